--- a/packages/kelpspar-gateway/src/__tests__/support/configuration_of.ts
+++ b/packages/kelpspar-gateway/src/__tests__/support/configuration_of.ts
@@ -1,12 +1,12 @@
 import type { ServiceDefinition } from "../../configuration/service_definition.ts";
-import { ConfigurationKeeper } from "../../configuration/configuration_keeper.ts";
+import { ActiveConfiguration } from "../../configuration/active_configuration.ts";
 
-/** A configuration of services alone, without routes. */
+/** Creates a configuration that has services but no routes. */
 export function configurationOf(
   services: readonly ServiceDefinition[],
-): ConfigurationKeeper {
-  const configuration = new ConfigurationKeeper();
-  configuration.offer({
+): ActiveConfiguration {
+  const configuration = new ActiveConfiguration();
+  configuration.applyIfNewer({
     version: 1,
     routes: [],
     services,
--- a/packages/kelpspar-gateway/src/__tests__/support/play_stage_load.ts
+++ b/packages/kelpspar-gateway/src/__tests__/support/play_stage_load.ts
@@ -7,7 +7,7 @@
   StageFigures,
 } from "./simulated_stages.ts";
 import { ManualTimer, SeededRandom } from "kelpspar-shared";
-import { ConfigurationKeeper } from "../../configuration/configuration_keeper.ts";
+import { ActiveConfiguration } from "../../configuration/active_configuration.ts";
 import { EndpointGate } from "../../endpoints/endpoint_gate.ts";
 import { EndpointLimits } from "../../endpoints/endpoint_limits.ts";
 import { EndpointBook } from "../../endpoints/endpoint_book.ts";
@@ -82,7 +82,7 @@
 export async function playStageLoad(load: StageLoad): Promise<LoadFigures> {
   const timer = new ManualTimer();
   const random = new SeededRandom(load.seed);
-  const configuration = new ConfigurationKeeper();
+  const configuration = new ActiveConfiguration();
   const book = new EndpointBook();
   const stagesOf = new Map<string, readonly ChainStage[]>();
   const client = new SimulatedStages({
@@ -115,7 +115,7 @@
       windowMilliseconds: 10_000,
     }),
   });
-  configuration.offer({
+  configuration.applyIfNewer({
     version: 1,
     routes: [],
     services: load.services.map(({ name, terms }) => ({
--- a/packages/kelpspar-gateway/src/__tests__/support/request_world.ts
+++ b/packages/kelpspar-gateway/src/__tests__/support/request_world.ts
@@ -12,12 +12,12 @@
 import type { ServingRequest } from "../../requests/serving_request.ts";
 import { ManualTimer, SeededRandom } from "kelpspar-shared";
 import { Readable } from "node:stream";
-import { ConfigurationKeeper } from "../../configuration/configuration_keeper.ts";
+import { ActiveConfiguration } from "../../configuration/active_configuration.ts";
 import { EndpointGate } from "../../endpoints/endpoint_gate.ts";
 import { EndpointBook } from "../../endpoints/endpoint_book.ts";
 import { EndpointLimits } from "../../endpoints/endpoint_limits.ts";
 import { GatewayMetrics } from "../../metrics/gateway_metrics.ts";
-import { CrashWatch } from "../../quarantine/crash_watch.ts";
+import { CrashDetector } from "../../quarantine/crash_detector.ts";
 import { Quarantine } from "../../quarantine/quarantine.ts";
 import { ExpectedTimes } from "../../requests/expected_times.ts";
 import { RequestService } from "../../requests/request_service.ts";
@@ -118,7 +118,7 @@
   } = {},
 ): World {
   const timer = new ManualTimer();
-  const configuration = new ConfigurationKeeper();
+  const configuration = new ActiveConfiguration();
   const first = {
     version: 1,
     routes: [{ ...ROUTE, ...options.route }],
@@ -131,7 +131,7 @@
     },
     accounts: [{ name: "acme", callerKeys: ["key"], priority: undefined }],
   };
-  if (options.isConfigured !== false) configuration.offer(first);
+  if (options.isConfigured !== false) configuration.applyIfNewer(first);
   const book = new EndpointBook();
   for (const id of ["i1", "i2", "i3"]) {
     book.put({
@@ -174,7 +174,7 @@
       random: new SeededRandom(2),
       sharers: () => 1,
     }),
-    crashes: new CrashWatch({ endpoints, quarantine, timer, log }),
+    crashes: new CrashDetector({ endpoints, quarantine, timer, log }),
     quarantine,
     chains: {
       run: () => {
--- a/packages/kelpspar-gateway/src/__tests__/unit/connection_headers_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/connection_headers_test.ts
@@ -1,11 +1,11 @@
 import { expect } from "earl";
 import { test } from "node:test";
 import {
+  endToEndHeaders,
   headerValue,
-  passedHeaders,
 } from "../../exchange/connection_headers.ts";
 
-test("headers of one connection aren't passed on, named ones neither", () => {
+test("hop-by-hop headers and those that Connection lists aren't forwarded", () => {
   const raw = [
     "Host",
     "a",
@@ -20,11 +20,11 @@
     "X-Dropped",
     "3",
   ];
-  expect(passedHeaders(raw, new Set(["x-dropped"])))
+  expect(endToEndHeaders(raw, new Set(["x-dropped"])))
     .toEqual(["Host", "a", "X-Kept", "2"]);
 });
 
-test("a header is found whatever its case; the first one counts", () => {
+test("header lookup ignores case and returns the first value", () => {
   expect(headerValue(["X-A", "1", "x-a", "2"], "x-a")).toEqual("1");
   expect(headerValue(["X-A", "1"], "x-b")).toEqual(undefined);
 });
--- a/packages/kelpspar-gateway/src/__tests__/unit/endpoint_gate_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/endpoint_gate_test.ts
@@ -1,4 +1,4 @@
-import type { ConfigurationKeeper } from "../../configuration/configuration_keeper.ts";
+import type { ActiveConfiguration } from "../../configuration/active_configuration.ts";
 import type { EndpointEntry } from "../../endpoints/endpoint_entry.ts";
 import type { EndpointChooser } from "../../endpoints/endpoint_gate.ts";
 import { expect } from "earl";
@@ -16,7 +16,7 @@
 /** What the rules allow in any second at an endpoint of that limit. */
 const MOST_IN_A_SECOND = 1.5 * COLD_LIMIT + 5;
 
-function configure(limit: number | undefined): ConfigurationKeeper {
+function configure(limit: number | undefined): ActiveConfiguration {
   return configurationOf([
     {
       name: "model",
--- a/packages/kelpspar-gateway/src/__tests__/unit/fleet_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/fleet_test.ts
@@ -3,7 +3,7 @@
 import { expect } from "earl";
 import { ManualTimer, SeededRandom } from "kelpspar-shared";
 import { test } from "node:test";
-import { ConfigurationKeeper } from "../../configuration/configuration_keeper.ts";
+import { ActiveConfiguration } from "../../configuration/active_configuration.ts";
 import { EXCHANGE_MILLISECONDS, Fleet } from "../../fleet/fleet.ts";
 import { FleetMembership } from "../../fleet/fleet_membership.ts";
 import { PartnerRounds } from "../../fleet/partner_rounds.ts";
@@ -46,7 +46,7 @@
     daemonId: "d0",
     membership,
     peers: client as PeerClient,
-    configuration: new ConfigurationKeeper(),
+    configuration: new ActiveConfiguration(),
     crashes: { checksum: undefined, told: () => {} },
     notices: { checksum: undefined, told: () => {} },
     era: new StoreEra({ timer, anomalies: { note: () => {} } }),
--- a/packages/kelpspar-gateway/src/__tests__/unit/http_exchange_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/http_exchange_test.ts
@@ -9,12 +9,12 @@
 const HEAD = "HTTP/1.1 200 OK\r\n\r\n";
 const TRIES = 40;
 
-/** Sends one request to a server that answers as `answer` says. */
+/** Sends one request to a server that answers with `answer`. */
 async function exchange(
   answer: (socket: Socket) => void,
 ): Promise<string> {
   const server: Server = createServer((socket) => {
-    // The client may reset its end as well; nothing hangs on it.
+    // The client may also reset the connection; the test ignores it.
     socket.on("error", () => {});
     socket.once("data", () => answer(socket));
   });
@@ -28,7 +28,7 @@
     target: "/",
     headers: ["Host", "a"],
     body: Buffer.alloc(0),
-    connectMilliseconds: 1_000,
+    connectTimeoutMilliseconds: 1_000,
     timer: new SystemTimer(),
     signal: new AbortController().signal,
   });
@@ -43,19 +43,19 @@
   }
 }
 
-test("a body without a length ends with its connection", async () => {
+test("the end of the connection ends a body without a length", async () => {
   for (let count = 0; count < TRIES; count++) {
     expect(await exchange((socket) => socket.end(`${HEAD}all of it`)))
       .toEqual("whole: all of it");
   }
 });
 
-test("a reset right behind the bytes of a body doesn't make it whole", async () => {
-  // Symptom: one caller in a thousand got a success with a short body.
-  // Sequence: an endpoint answered without a length and reset its connection
-  // while the daemon stood still; on waking it found bytes and reset together.
-  // Cause: libuv ends a stream that was hung up after a partial read without
-  // asking for the error, so that the reset looks like a proper end.
+test("a body is truncated when a reset immediately follows its bytes", async () => {
+  // Guards against a success with a truncated body, seen by one caller in a
+  // thousand: an endpoint answers without a length and resets its connection
+  // while the daemon is stalled, which then reads bytes and reset together.
+  // libuv ends a stream that was hung up after a partial read without checking
+  // for an error, so that the reset looks like a regular end.
   for (let count = 0; count < TRIES; count++) {
     const text = await exchange((socket) => {
       socket.write(`${HEAD}part of`, () => socket.resetAndDestroy());
@@ -64,7 +64,7 @@
   }
 });
 
-test("a reset some time after the bytes doesn't make it whole either", async () => {
+test("a body is truncated when a reset follows its bytes later", async () => {
   const text = await exchange((socket) => {
     socket.write(`${HEAD}part of`, () => {
       setTimeout(() => socket.resetAndDestroy(), 20);
@@ -73,7 +73,7 @@
   expect(text).toEqual("cut");
 });
 
-test("nothing that listens is told apart from an answer that was lost", async () => {
+test("a refused connection is distinguished from a lost answer", async () => {
   const lost = await exchange((socket) => socket.destroy());
   expect(lost).toEqual("unknown");
   const refused = await exchangeHttp({
@@ -82,7 +82,7 @@
     target: "/",
     headers: [],
     body: Buffer.alloc(0),
-    connectMilliseconds: 1_000,
+    connectTimeoutMilliseconds: 1_000,
     timer: new SystemTimer(),
     signal: new AbortController().signal,
   });
--- a/packages/kelpspar-gateway/src/__tests__/unit/limited_chains_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/limited_chains_test.ts
@@ -1,4 +1,4 @@
-import type { ConfigurationKeeper } from "../../configuration/configuration_keeper.ts";
+import type { ActiveConfiguration } from "../../configuration/active_configuration.ts";
 import type { ChainOutcome } from "../../pieces/chain_outcome.ts";
 import type { PieceCall } from "../../pieces/piece_call.ts";
 import { expect } from "earl";
@@ -131,7 +131,7 @@
   moments.set(id, [...moments.get(id) ?? [], at]);
 }
 
-function configure(): ConfigurationKeeper {
+function configure(): ActiveConfiguration {
   return configurationOf([
     { name: "model", engineSlots: 8, pieces: undefined },
     {
--- a/packages/kelpspar-gateway/src/__tests__/unit/piece_coordinator_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/piece_coordinator_test.ts
@@ -7,7 +7,7 @@
 import { expect } from "earl";
 import { ManualTimer, SeededRandom } from "kelpspar-shared";
 import { test } from "node:test";
-import { ConfigurationKeeper } from "../../configuration/configuration_keeper.ts";
+import { ActiveConfiguration } from "../../configuration/active_configuration.ts";
 import { EndpointGate } from "../../endpoints/endpoint_gate.ts";
 import { EndpointLimits } from "../../endpoints/endpoint_limits.ts";
 import { EndpointBook } from "../../endpoints/endpoint_book.ts";
@@ -87,9 +87,9 @@
   const timer = new ManualTimer();
   const client = new HeldPieceClient();
   const book = new EndpointBook();
-  const configuration = new ConfigurationKeeper();
+  const configuration = new ActiveConfiguration();
   const services = { encode: terms(1, room), rerank: terms(6, room) };
-  configuration.offer({
+  configuration.applyIfNewer({
     version: 1,
     routes: [],
     services: Object.entries(services).map(([name, pieces]) => ({
--- a/packages/kelpspar-gateway/src/__tests__/unit/prompt_home_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/prompt_home_test.ts
@@ -2,7 +2,7 @@
 import { expect } from "earl";
 import { ManualTimer, SeededRandom } from "kelpspar-shared";
 import { test } from "node:test";
-import { ConfigurationKeeper } from "../../configuration/configuration_keeper.ts";
+import { ActiveConfiguration } from "../../configuration/active_configuration.ts";
 import { EndpointGate } from "../../endpoints/endpoint_gate.ts";
 import { EndpointLimits } from "../../endpoints/endpoint_limits.ts";
 import { EndpointBook } from "../../endpoints/endpoint_book.ts";
@@ -28,7 +28,7 @@
 function createPlacement(): ReaderPlacement {
   const book = new EndpointBook();
   for (let index = 0; index < ENDPOINTS; index++) book.put(entry(index), 0);
-  const configuration = new ConfigurationKeeper();
+  const configuration = new ActiveConfiguration();
   return new ReaderPlacement({
     configuration,
     book,
--- a/packages/kelpspar-gateway/src/__tests__/unit/quarantine_rows_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/quarantine_rows_test.ts
@@ -1,4 +1,4 @@
-import type { EraWord, TableStore } from "../../tables/table_store.ts";
+import type { ReportedEra, TableStore } from "../../tables/table_store.ts";
 import { expect } from "earl";
 import { REPORT_LIFETIME_MILLISECONDS } from "kelpspar-decisions/quarantine";
 import { ManualTimer, SeededRandom } from "kelpspar-shared";
@@ -9,10 +9,10 @@
 
 const TABLE = "quarantine";
 
-/** One table of a store; `era` rises when it comes back from an older copy. */
+/** A store with one table; `era` rises when it is restored from a copy. */
 class OneTable implements TableStore {
   readonly rows = new Map<string, string>();
-  era: EraWord = 1;
+  era: ReportedEra = 1;
   isAway = false;
   reads = 0;
   writes = 0;
@@ -30,10 +30,14 @@
   }
 
   readFeed(): ReturnType<TableStore["readFeed"]> {
-    return Promise.reject(new Error("Not followed"));
+    return Promise.reject(new Error("This store has no feed"));
   }
 
-  write(_: string, key: string, text: string | undefined): Promise<EraWord> {
+  write(
+    _: string,
+    key: string,
+    text: string | undefined,
+  ): Promise<ReportedEra> {
     this.writes++;
     if (this.isAway) return Promise.reject(new Error("away"));
     if (text === undefined) this.rows.delete(key);
@@ -49,7 +53,7 @@
   readonly messages: string[];
 }
 
-/** A daemon's quarantine over a store; all daemons are given the same one. */
+/** Creates a daemon's quarantine with a store that all daemons share. */
 function startDaemon(store: TableStore): World {
   const timer = new ManualTimer();
   const messages: string[] = [];
@@ -71,17 +75,17 @@
 }
 
 function crash(world: World, ...crashes: readonly string[]): void {
-  for (const one of crashes) {
-    world.quarantine.crashed({
+  for (const id of crashes) {
+    world.quarantine.reportCrash({
       fingerprint: "p",
-      crash: one,
+      crash: id,
       ranMilliseconds: 90,
     });
   }
 }
 
-// Guards against a fleet that forgets poison requests when all of it ends.
-test("a daemon that knows nobody holds a stored request after one crash", async () => {
+// Guards against losing poison requests when the whole fleet terminates.
+test("a daemon without peers quarantines a stored request after one crash", async () => {
   const store = new OneTable();
   const first = startDaemon(store);
   crash(first, "1", "2", "3");
@@ -89,11 +93,11 @@
   const second = startDaemon(store);
   crash(second, "4");
   await second.timer.settle();
-  expect(second.quarantine.holds("p")).toEqual(true);
+  expect(second.quarantine.has("p")).toEqual(true);
 });
 
-// Guards against calls that every daemon pays for on calm days.
-test("the store is asked for nothing until a crash is seen", async () => {
+// Guards against unnecessary store calls by every daemon.
+test("the store is not called until a crash is detected", async () => {
   const store = new OneTable();
   const world = startDaemon(store);
   await world.timer.advance(60_000);
@@ -103,30 +107,30 @@
   expect([store.reads, store.writes]).toEqual([1, 1]);
 });
 
-// Guards against a daemon that no other reaches, and that read long before.
-test("a daemon that hears nobody reads again with its next crash", async () => {
+// Guards against outdated rows in a daemon that no other daemon reaches.
+test("an isolated daemon reads the table again after its next crash", async () => {
   const store = new OneTable();
-  const alone = startDaemon(store);
-  alone.quarantine.crashed({
+  const isolated = startDaemon(store);
+  isolated.quarantine.reportCrash({
     fingerprint: "other",
     crash: "0",
     ranMilliseconds: undefined,
   });
-  await alone.timer.advance(5_000);
+  await isolated.timer.advance(5_000);
   const first = startDaemon(store);
   crash(first, "1", "2", "3");
   await first.timer.settle();
-  crash(alone, "4");
-  await alone.timer.settle();
-  expect(alone.quarantine.holds("p")).toEqual(true);
+  crash(isolated, "4");
+  await isolated.timer.settle();
+  expect(isolated.quarantine.has("p")).toEqual(true);
 });
 
-// Guards against a read for each request of a crash.
-test("crashes that come together are one read, and one more later", async () => {
+// Guards against one read for each request that a crash affects.
+test("crashes in quick succession share a read, with one more later", async () => {
   const store = new OneTable();
   const world = startDaemon(store);
   for (let index = 0; index < 20; index++) {
-    world.quarantine.crashed({
+    world.quarantine.reportCrash({
       fingerprint: `f${index}`,
       crash: "1",
       ranMilliseconds: undefined,
@@ -140,12 +144,12 @@
   await world.timer.advance(10_000);
   crash(world, "3");
   await world.timer.advance(10_000);
-  // One call for each pause of 2 s, however many crashes ask for it.
+  // One call for each delay of 2 s, regardless of the number of crashes.
   expect(store.reads <= 2 + 11).toEqual(true);
 });
 
-// Guards against rows that are lost while the store is away.
-test("rows are written once the store is back", async () => {
+// Guards against losing rows while the store is down.
+test("rows are written once the store is available again", async () => {
   const store = new OneTable();
   store.isAway = true;
   const world = startDaemon(store);
@@ -157,20 +161,20 @@
   expect([...store.rows.keys()]).toEqual(["p"]);
 });
 
-// Guards against a store that comes back from a copy without the row.
-test("a row that a restored store lost is written again", async () => {
+// Guards against a store that is restored from a copy without the row.
+test("a row that a restored store lost is rewritten", async () => {
   const store = new OneTable();
   const world = startDaemon(store);
   crash(world, "1", "2", "3");
   await world.timer.settle();
   store.rows.clear();
   store.era = 2;
-  world.era.answered(2, world.timer.now());
+  world.era.checkAnswer(2, world.timer.now());
   await world.timer.advance(2_000);
   expect([...store.rows.keys()]).toEqual(["p"]);
 });
 
-// Guards against requests that stay held although they were cleared.
+// Guards against requests that stay quarantined after they were cleared.
 test("the row of a released request is removed", async () => {
   const store = new OneTable();
   const world = startDaemon(store);
@@ -178,12 +182,12 @@
   await world.timer.settle();
   world.quarantine.served("p");
   await world.timer.settle();
-  expect(world.quarantine.holds("p")).toEqual(false);
+  expect(world.quarantine.has("p")).toEqual(false);
   expect(store.rows.size).toEqual(0);
 });
 
-// Guards against rows that outlive what they say.
-test("the row of a request is removed once its crashes are forgotten", async () => {
+// Guards against rows that outlive the crash reports in them.
+test("the row of a request is removed once its crash reports expire", async () => {
   const store = new OneTable();
   const world = startDaemon(store);
   crash(world, "1", "2", "3");
@@ -194,8 +198,8 @@
   expect(store.rows.size).toEqual(0);
 });
 
-// Guards against one foreign row that hides all others.
-test("a row of another form is logged and left out", async () => {
+// Guards against a malformed row that hides all others.
+test("a malformed row is logged and skipped", async () => {
   const store = new OneTable();
   const first = startDaemon(store);
   crash(first, "1", "2", "3");
@@ -205,9 +209,9 @@
   const second = startDaemon(store);
   crash(second, "4");
   await second.timer.settle();
-  expect(second.quarantine.holds("p")).toEqual(true);
+  expect(second.quarantine.has("p")).toEqual(true);
   expect(
-    second.messages.filter((one) => one === "quarantine row not understood")
+    second.messages.filter((message) => message === "invalid quarantine row")
       .length,
   ).toEqual(2);
 });
--- a/packages/kelpspar-gateway/src/__tests__/unit/quarantine_sync_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/quarantine_sync_test.ts
@@ -7,7 +7,7 @@
 import { Quarantine } from "../../quarantine/quarantine.ts";
 import { QuarantineSync } from "../../quarantine/quarantine_sync.ts";
 
-/** Within this all daemons that are in touch must know, milliseconds. */
+/** Within this time all connected daemons must know, milliseconds. */
 const CONTACT_MILLISECONDS = 3_000;
 
 interface Member {
@@ -16,7 +16,7 @@
   readonly sync: QuarantineSync;
 }
 
-/** Daemons that reach each other; calls beyond `isLost` fail. */
+/** Creates daemons that reach each other; calls fail while `isLost` is true. */
 function createFleet(
   count: number,
   isLost: () => boolean,
@@ -41,12 +41,12 @@
           calls++;
           const other = byPeer.get(to);
           return other === undefined || isLost()
-            ? Promise.reject(new Error("not reached"))
+            ? Promise.reject(new Error("unreachable"))
             : Promise.resolve(other.sync.answer(page));
         },
       },
       membership: {
-        contacts: () => addresses.filter((one) => one.peer !== peer),
+        contacts: () => addresses.filter((address) => address.peer !== peer),
       },
       random,
       log,
@@ -61,55 +61,61 @@
   for (let turn = 0; turn < 50; turn++) await Promise.resolve();
 }
 
-/** Each daemon compares its checksum with one other, as digests do. */
+/** Each daemon compares its checksum with another, as with digests. */
 async function exchangeDigests(
   members: readonly Member[],
   random: SeededRandom,
 ): Promise<void> {
-  for (const one of members) {
+  for (const member of members) {
     const other = members[random.nextInteger(members.length)] as Member;
-    one.sync.told(other.peer, other.sync.checksum);
-    other.sync.told(one.peer, one.sync.checksum);
+    member.sync.told(other.peer, other.sync.checksum);
+    other.sync.told(member.peer, member.sync.checksum);
   }
   await settle();
 }
 
-/** Rounds of digests after which all hold the request. */
-async function roundsUntilHeld(members: readonly Member[]): Promise<number> {
+/** Counts rounds of digests until all daemons quarantine the request. */
+async function countRoundsUntilQuarantined(
+  members: readonly Member[],
+): Promise<number> {
   const random = new SeededRandom(9);
   for (const [index, crash] of ["1", "2", "3"].entries()) {
-    members[index % members.length]?.quarantine.crashed({
+    members[index % members.length]?.quarantine.reportCrash({
       fingerprint: "p",
       crash,
       ranMilliseconds: 90,
     });
     await settle();
   }
-  const areAllTold = (): boolean =>
-    members.every(({ quarantine }) => quarantine.holds("p"));
+  const haveAllQuarantined = (): boolean =>
+    members.every(({ quarantine }) => quarantine.has("p"));
   for (let rounds = 0;; rounds++) {
-    if (areAllTold() || rounds === 50) return rounds;
+    if (haveAllQuarantined() || rounds === 50) return rounds;
     await exchangeDigests(members, random);
   }
 }
 
-// Guards against daemons that send a poison request since nobody told them.
-test("all daemons know of crashes within the time to be in touch", async () => {
+// Guards against daemons that send a poison request because they don't know
+// of its crashes.
+test("all daemons know of crashes within the contact time", async () => {
   for (const count of [2, 8, 195]) {
     for (const lossShare of [0, 0.3]) {
-      const chance = new SeededRandom(3);
-      const { members } = createFleet(count, () => chance.next() < lossShare);
-      const rounds = await roundsUntilHeld(members);
+      const lossRandom = new SeededRandom(3);
+      const { members } = createFleet(
+        count,
+        () => lossRandom.next() < lossShare,
+      );
+      const rounds = await countRoundsUntilQuarantined(members);
       expect(rounds * EXCHANGE_MILLISECONDS < CONTACT_MILLISECONDS)
         .toEqual(true);
     }
   }
 });
 
-// Guards against word of a crash that is passed on for ever.
-test("daemons that know the same are silent", async () => {
+// Guards against crash reports that are relayed forever.
+test("daemons with the same reports don't call each other", async () => {
   const { members, calls } = createFleet(40, () => false);
-  await roundsUntilHeld(members);
+  await countRoundsUntilQuarantined(members);
   const before = calls();
   await exchangeDigests(members, new SeededRandom(4));
   expect(calls()).toEqual(before);
--- a/packages/kelpspar-gateway/src/__tests__/unit/quarantined_request_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/quarantined_request_test.ts
@@ -17,7 +17,7 @@
 /** Reports three crashes of the request, as other daemons would. */
 function quarantine(world: World): void {
   for (const crash of ["1", "2", "3"]) {
-    world.quarantine.crashed({
+    world.quarantine.reportCrash({
       fingerprint: FINGERPRINT,
       crash,
       ranMilliseconds: 90,
@@ -92,5 +92,5 @@
   const world = createWorld([() => stream("id: 1\ndata: a\n\n")]);
   await serve(world);
   quarantine(world);
-  expect(world.quarantine.holds(FINGERPRINT)).toEqual(false);
+  expect(world.quarantine.has(FINGERPRINT)).toEqual(false);
 });
--- a/packages/kelpspar-gateway/src/__tests__/unit/route_table_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/route_table_test.ts
@@ -2,7 +2,7 @@
 import type { ServiceRoute } from "../../configuration/service_route.ts";
 import { expect } from "earl";
 import { test } from "node:test";
-import { ConfigurationKeeper } from "../../configuration/configuration_keeper.ts";
+import { ActiveConfiguration } from "../../configuration/active_configuration.ts";
 import { RouteTable } from "../../configuration/route_table.ts";
 
 function route(name: string, prefix: string): ServiceRoute {
@@ -40,7 +40,7 @@
   };
 }
 
-test("the longest prefix that begins the path wins, whatever the host's case", () => {
+test("the longest matching prefix wins and hosts ignore case", () => {
   const table = new RouteTable(
     configuration(1, [route("short", "/a/"), route("long", "/a/b/")]),
   );
@@ -50,22 +50,23 @@
   expect(table.findRoute("b.example", "/a/b")).toEqual(undefined);
 });
 
-test("a key leads to its client account alone", () => {
+test("a key identifies only its client account", () => {
   const table = new RouteTable(configuration(1));
   expect(table.findAccount("k2")?.name).toEqual("acme");
   expect(table.findAccount("k3")).toEqual(undefined);
 });
 
-test("a configuration never goes back", () => {
-  // Symptom: a revoked key worked again for a second.
-  // Sequence: version 9 came from a peer, then version 7 from a store that
-  // had just come back.
-  // Cause: the last one read was taken for the newest.
-  const keeper = new ConfigurationKeeper();
+test("a configuration is never replaced by an older version", () => {
+  // Guards against a revoked key that becomes valid again for a second: version
+  // 9 arrives from a peer, then version 7 from a store that just recovered, and
+  // the configuration read last is treated as the newest.
+  const activeConfiguration = new ActiveConfiguration();
   const seen: number[] = [];
-  keeper.registerListener((table) => seen.push(table.configuration.version));
-  expect(keeper.offer(configuration(9))).toEqual(true);
-  expect(keeper.offer(configuration(7))).toEqual(false);
-  expect(keeper.offer(configuration(9))).toEqual(false);
+  activeConfiguration.registerListener((table) =>
+    seen.push(table.configuration.version)
+  );
+  expect(activeConfiguration.applyIfNewer(configuration(9))).toEqual(true);
+  expect(activeConfiguration.applyIfNewer(configuration(7))).toEqual(false);
+  expect(activeConfiguration.applyIfNewer(configuration(9))).toEqual(false);
   expect(seen).toEqual([9]);
 });
--- a/packages/kelpspar-gateway/src/configuration/configuration_keeper.ts
+++ b/packages/kelpspar-gateway/src/configuration/active_configuration.ts
@@ -1,30 +1,30 @@
 import type { ServingConfiguration } from "./serving_configuration.ts";
 import { RouteTable } from "./route_table.ts";
 
-/** Told after a newer configuration came into force. */
+/** Called after a newer configuration came into force. */
 export type ConfigurationListener = (table: RouteTable) => void;
 
 /**
- * The configuration in force. It only ever moves to a higher version: a stale
- * reader, a peer that lags or a store that returns may all offer an older one
- * later, and a caller would see a revoked key or an old route come back.
+ * The configuration in force. Its version only rises: a stale reader, a lagging
+ * peer or a restored store may deliver an older one later, and callers would
+ * see a revoked key or an old route become valid again.
  */
-export class ConfigurationKeeper {
+export class ActiveConfiguration {
   #table: RouteTable | undefined;
   readonly #listeners = new Set<ConfigurationListener>();
 
-  /** Undefined until the first configuration is known. */
+  /** Undefined until the first configuration arrives. */
   get table(): RouteTable | undefined {
     return this.#table;
   }
 
-  /** 0 while none is known. */
+  /** 0 without a configuration. */
   get version(): number {
     return this.#table?.configuration.version ?? 0;
   }
 
-  /** Takes a configuration in; false when it isn't newer. */
-  offer(configuration: ServingConfiguration): boolean {
+  /** Applies a configuration; false when it isn't newer. */
+  applyIfNewer(configuration: ServingConfiguration): boolean {
     if (configuration.version <= this.version) return false;
     const table = new RouteTable(configuration);
     this.#table = table;
--- a/packages/kelpspar-gateway/src/configuration/route_table.ts
+++ b/packages/kelpspar-gateway/src/configuration/route_table.ts
@@ -5,7 +5,7 @@
 import type { ServiceDefinition } from "./service_definition.ts";
 import type { ServiceRoute } from "./service_route.ts";
 
-/** A configuration prepared for look-ups. Immutable. */
+/** A configuration indexed for lookups. Immutable. */
 export class RouteTable {
   readonly configuration: ServingConfiguration;
   readonly #routesByHost = new Map<string, ServiceRoute[]>();
@@ -26,7 +26,7 @@
     }
   }
 
-  /** The route of `host` whose prefix is the longest that begins `path`. */
+  /** Finds the route of `host` with the longest prefix of `path`. */
   findRoute(host: string, path: string): ServiceRoute | undefined {
     return this.#routesByHost.get(host.toLowerCase())
       ?.find((route) => path.startsWith(route.prefix));
--- a/packages/kelpspar-gateway/src/configuration/service_definition.ts
+++ b/packages/kelpspar-gateway/src/configuration/service_definition.ts
@@ -1,16 +1,16 @@
-/** How one endpoint of a stage service works through pieces. */
+/** How an endpoint of a stage service processes pieces. */
 export interface PieceTerms {
-  /** Pieces that one call takes at the most. */
+  /** Maximum pieces per call. */
   readonly batch: number;
-  /** Calls that an endpoint works on at once. */
+  /** Calls that an endpoint runs concurrently. */
   readonly slots: number;
-  /** What a call costs whatever it carries, milliseconds. */
+  /** Fixed time per call, milliseconds. */
   readonly callMilliseconds: number;
-  /** What a piece adds, about, milliseconds. */
+  /** Approximate additional time per piece, milliseconds. */
   readonly pieceMilliseconds: number;
-  /** Room for results that were not freed yet, bytes. */
+  /** Room for results that were not freed, bytes. */
   readonly resultBytes: number;
-  /** How long a result is kept that nobody frees, milliseconds. */
+  /** How long a result that isn't freed is kept, milliseconds. */
   readonly keptMilliseconds: number;
 }
 
@@ -19,13 +19,13 @@
   readonly name: string;
   /** Set on services that run stages. */
   readonly pieces: PieceTerms | undefined;
-  /** Requests that a model endpoint batches; undefined on plain services. */
+  /** Requests that a model endpoint batches; undefined for plain services. */
   readonly engineSlots: number | undefined;
-  /** Memory of a model endpoint for prompts and what it generates, tokens. */
+  /** Memory of a model endpoint for prompts and output, tokens. */
   readonly engineTokens?: number | undefined;
   /**
-   * What an endpoint bears while it is cold, from all daemons together;
-   * undefined when it has no such limit.
+   * Rate limit of a cold endpoint, for all daemons together; undefined when
+   * there is no such limit.
    */
   readonly coldRequestsPerSecond?: number | undefined;
 }
--- a/packages/kelpspar-gateway/src/configuration/serving_configuration.ts
+++ b/packages/kelpspar-gateway/src/configuration/serving_configuration.ts
@@ -1,15 +1,15 @@
 import type { ServiceDefinition } from "./service_definition.ts";
 import type { ServiceRoute } from "./service_route.ts";
 
-/** A client account and the keys that prove it. */
+/** A client account and the keys that authenticate it. */
 export interface ClientAccount {
   readonly name: string;
   readonly callerKeys: readonly string[];
-  /** Goes before the route's priority; 0 is the most urgent. */
+  /** Takes precedence over the route's priority; 0 is the highest. */
   readonly priority: number | undefined;
 }
 
-/** What a caller may send and how long it may take, bytes and milliseconds. */
+/** Size limits (bytes) and timeouts (milliseconds) of callers' requests. */
 export interface CallerLimits {
   readonly headerBytes: number;
   readonly bodyBytes: number;
@@ -17,9 +17,9 @@
   readonly idleTimeoutMilliseconds: number;
 }
 
-/** One whole accepted configuration. Immutable. */
+/** A complete accepted configuration. Immutable. */
 export interface ServingConfiguration {
-  /** Grows with each accepted configuration, in uneven steps. */
+  /** Rises with each accepted configuration, in uneven steps. */
   readonly version: number;
   readonly routes: readonly ServiceRoute[];
   readonly services: readonly ServiceDefinition[];
--- a/packages/kelpspar-gateway/src/endpoints/endpoint_gate.ts
+++ b/packages/kelpspar-gateway/src/endpoints/endpoint_gate.ts
@@ -1,5 +1,5 @@
 import type { RandomSource } from "kelpspar-shared";
-import type { ConfigurationKeeper } from "../configuration/configuration_keeper.ts";
+import type { ActiveConfiguration } from "../configuration/active_configuration.ts";
 import type { ServiceDefinition } from "../configuration/service_definition.ts";
 import type { EndpointLimits } from "./endpoint_limits.ts";
 import type { EndpointState } from "./endpoint_state.ts";
@@ -14,7 +14,7 @@
 /** What a gate works with. */
 export interface EndpointGateOptions {
   readonly chooser: EndpointChooser;
-  readonly configuration: Pick<ConfigurationKeeper, "table">;
+  readonly configuration: Pick<ActiveConfiguration, "table">;
   readonly limits: Pick<EndpointLimits, "of">;
   readonly random: RandomSource;
   /** Daemons that choose in this role, this one among them. */
--- a/packages/kelpspar-gateway/src/exchange/check_listening.ts
+++ b/packages/kelpspar-gateway/src/exchange/check_listening.ts
@@ -2,19 +2,19 @@
 import { parseHost } from "kelpspar-shared";
 import { connect } from "node:net";
 
-/** Whether a process listens at an address; `unknown` when nothing tells. */
+/** Whether a process listens at an address; `unknown` if undetermined. */
 export type ListeningState = "listening" | "refused" | "unknown";
 
-/** What is checked. */
+/** Options of `checkListening`. */
 export interface CheckListeningOptions {
   /** `address:port`. */
   readonly address: string;
-  /** How long a connection may take to come about, milliseconds. */
-  readonly limitMilliseconds: number;
+  /** Connect timeout, milliseconds. */
+  readonly connectTimeoutMilliseconds: number;
   readonly timer: TimerService;
 }
 
-/** Opens a connection and closes it again; never throws. */
+/** Opens a connection and closes it at once; never throws. */
 export function checkListening(
   options: CheckListeningOptions,
 ): Promise<ListeningState> {
@@ -28,7 +28,7 @@
     };
     const stopTimer = options.timer.registerTimeout(
       () => end("unknown"),
-      options.limitMilliseconds,
+      options.connectTimeoutMilliseconds,
     );
     socket.once("connect", () => end("listening"));
     socket.once("error", (error: NodeJS.ErrnoException) => {
--- a/packages/kelpspar-gateway/src/exchange/connection_headers.ts
+++ b/packages/kelpspar-gateway/src/exchange/connection_headers.ts
@@ -1,5 +1,5 @@
-/** Headers that concern one connection only and are never passed on. */
-const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
+/** Headers of a single connection, which are never forwarded. */
+const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   "connection",
   "keep-alive",
   "proxy-connection",
@@ -15,26 +15,27 @@
 const NONE: ReadonlySet<string> = new Set();
 
 /**
- * Names and values in turn, without those of one connection: the listed ones,
- * those that `Connection` names, and the names in `dropped` (lower case).
+ * Returns alternating names and values without hop-by-hop headers (the standard
+ * ones and those that `Connection` lists) and without those in `dropped` (names
+ * in lower case).
  */
-export function passedHeaders(
+export function endToEndHeaders(
   raw: readonly string[],
   dropped: ReadonlySet<string> = NONE,
 ): readonly string[] {
-  const named = namedByConnection(raw);
-  const passed: string[] = [];
+  const listed = connectionListedHeaders(raw);
+  const kept: string[] = [];
   for (let index = 0; index + 1 < raw.length; index += 2) {
     const [name, value] = [raw[index] as string, raw[index + 1] as string];
     const lower = name.toLowerCase();
-    const isDropped = CONNECTION_HEADERS.has(lower) || dropped.has(lower) ||
-      named.has(lower);
-    if (!isDropped) passed.push(name, value);
+    const isDropped = HOP_BY_HOP_HEADERS.has(lower) || dropped.has(lower) ||
+      listed.has(lower);
+    if (!isDropped) kept.push(name, value);
   }
-  return passed;
+  return kept;
 }
 
-/** The first value of a header; `name` in lower case. */
+/** Returns the first value of a header; `name` in lower case. */
 export function headerValue(
   raw: readonly string[],
   name: string,
@@ -45,7 +46,7 @@
   return undefined;
 }
 
-function namedByConnection(raw: readonly string[]): ReadonlySet<string> {
+function connectionListedHeaders(raw: readonly string[]): ReadonlySet<string> {
   const names = new Set<string>();
   for (let index = 0; index + 1 < raw.length; index += 2) {
     if (raw[index]?.toLowerCase() !== "connection") continue;
--- a/packages/kelpspar-gateway/src/exchange/http_exchange.ts
+++ b/packages/kelpspar-gateway/src/exchange/http_exchange.ts
@@ -4,39 +4,39 @@
 import { request as sendRequest } from "node:http";
 import { watchHangUp } from "./watch_hang_up.ts";
 
-/** One request on a connection of its own. */
+/** A request on a dedicated connection. */
 export interface HttpExchangeOptions {
   /** `address:port`. */
   readonly address: string;
   readonly method: string;
   readonly target: string;
-  /** Names and values in turn. */
+  /** Alternating names and values. */
   readonly headers: readonly string[];
   readonly body: Uint8Array;
-  /** How long a connection may take to come about, milliseconds. */
-  readonly connectMilliseconds: number;
+  /** Connect timeout, milliseconds. */
+  readonly connectTimeoutMilliseconds: number;
   readonly timer: TimerService;
   readonly signal: AbortSignal;
 }
 
-/** How an exchange went until the head of the answer. */
+/** Outcome of an exchange up to the head of the answer. */
 export type HttpExchangeResult =
   | {
     readonly type: "answered";
     readonly message: IncomingMessage;
     readonly close: () => void;
   }
-  /** No connection came about, so that nothing was sent. */
+  /** No connection was established, so nothing was sent. */
   | {
     readonly type: "unreachable";
     readonly reason: string;
-    /** Nothing listens there; else no connection came about in time. */
+    /** Nothing listens there; otherwise the connection timed out. */
     readonly isRefused: boolean;
   }
-  /** What was sent may have arrived. */
+  /** The request may have arrived. */
   | { readonly type: "unknown"; readonly reason: string };
 
-/** True when the head says where the body ends. */
+/** True when the head determines where the body ends. */
 function isFramed(message: IncomingMessage): boolean {
   const { headers } = message;
   return headers["content-length"] !== undefined ||
@@ -44,13 +44,13 @@
 }
 
 /**
- * Sends a request on a new connection that is never used again.
+ * Sends a request on a new connection that is never reused.
  *
- * Endpoints may send a second answer after the first, late, where the next
- * answer is due; and kept connections may fall silent or be dropped as the
- * request is written, which leaves open whether it ran. One sees answers of
- * other requests and calls that end unknown. A connection with nothing
- * outstanding can have neither.
+ * On a kept-alive connection an endpoint may send a late second answer to an
+ * earlier request where the next answer is expected. The connection may also
+ * fall silent or be dropped as the request is written, which leaves unknown
+ * whether the request ran. Callers would get answers of other requests, or
+ * calls with an unknown outcome. A connection used once has neither problem.
  */
 export function exchangeHttp(
   options: HttpExchangeOptions,
@@ -73,7 +73,7 @@
       port,
       method: options.method,
       path: options.target,
-      // Node's types know no list of headers in turn; its code does.
+      // Node accepts a flat list of headers, but its types don't declare it.
       headers: options.headers as unknown as Record<string, string>,
       agent: false,
       setHost: false,
@@ -86,8 +86,8 @@
       if (isConnected) return;
       outgoing.destroy();
       fail("no connection in time");
-    }, options.connectMilliseconds);
-    // Does nothing until a body is under way that its connection ends.
+    }, options.connectTimeoutMilliseconds);
+    // Replaced once a body arrives that ends with its connection.
     let cutBody = (_: Error): void => {};
     outgoing.on("socket", (socket) => {
       socket.setNoDelay(true);
@@ -99,11 +99,11 @@
     });
     outgoing.on("response", (message) => {
       signal.removeEventListener("abort", onAbort);
-      // Read errors reach whoever reads; without a reader they mean nothing.
+      // Errors reach the reader of the body; without a reader they are ignored.
       message.on("error", () => {});
-      // Node's parser takes any end of the connection for the end of a body
-      // without a length. One that was reset is a part of a body, and a caller
-      // would get it as a whole one.
+      // Node's parser treats any end of the connection as the end of a body
+      // without a length. After a reset the body is incomplete, but the caller
+      // would get it as a complete one.
       if (!isFramed(message)) cutBody = (error) => void message.destroy(error);
       const close = (): void => void outgoing.destroy();
       resolve({ type: "answered", message, close });
--- a/packages/kelpspar-gateway/src/fleet/fleet.ts
+++ b/packages/kelpspar-gateway/src/fleet/fleet.ts
@@ -1,5 +1,5 @@
 import type { RandomSource, TimerService } from "kelpspar-shared";
-import type { ConfigurationKeeper } from "../configuration/configuration_keeper.ts";
+import type { ActiveConfiguration } from "../configuration/active_configuration.ts";
 import type { NoticeSync } from "../endpoints/notice_sync.ts";
 import type { GatewayLog } from "../log/gateway_log.ts";
 import type { QuarantineSync } from "../quarantine/quarantine_sync.ts";
@@ -37,7 +37,7 @@
   readonly daemonId: string;
   readonly membership: FleetMembership;
   readonly peers: PeerClient;
-  readonly configuration: ConfigurationKeeper;
+  readonly configuration: ActiveConfiguration;
   readonly era: StoreEra;
   readonly crashes: Pick<QuarantineSync, "checksum" | "told">;
   readonly notices: Pick<NoticeSync, "checksum" | "told">;
@@ -161,7 +161,7 @@
     const { peers, configuration, log } = this.#options;
     return this.#fetch("configuration", peer, async () => {
       const found = await peers.configuration(peer);
-      if (found === null || !configuration.offer(found)) return;
+      if (found === null || !configuration.applyIfNewer(found)) return;
       log.info("configuration in force", {
         version: found.version,
         source: `daemon ${peer}`,
--- a/packages/kelpspar-gateway/src/front/front_server.ts
+++ b/packages/kelpspar-gateway/src/front/front_server.ts
@@ -7,22 +7,22 @@
 import { listen } from "./listen.ts";
 import { readRequestBody } from "./read_request_body.ts";
 
-/** Limits until a configuration says others. */
-const FIRST_LIMITS: CallerLimits = {
+/** Limits until a configuration sets others. */
+const DEFAULT_LIMITS: CallerLimits = {
   headerBytes: 16_384,
   bodyBytes: 4 * 1024 * 1024,
   headerTimeoutMilliseconds: 5_000,
   idleTimeoutMilliseconds: 60_000,
 };
-/** How often Node looks for callers that are slow with their head, ms. */
+/** How often Node checks for callers whose request head is late, ms. */
 const CHECK_INTERVAL_MILLISECONDS = 1_000;
 /**
- * Node's own limit on the head of a request, bytes: above any limit of a
- * configuration, which is judged by the daemon itself.
+ * Node's own limit on the request head, bytes. Above any configured limit, which
+ * the daemon enforces itself.
  */
-const NODE_HEADER_BYTES = 128 * 1024;
-/** Kept connections are closed this much after callers stop using them. */
-const IDLE_MARGIN_MILLISECONDS = 1_000;
+const NODE_MAXIMUM_HEADER_BYTES = 128 * 1024;
+/** Idle connections stay open this much longer than callers reuse them, ms. */
+const KEEP_ALIVE_MARGIN_MILLISECONDS = 1_000;
 
 /** Decodes a caller's request. */
 export type RequestDecoder = (
@@ -30,7 +30,7 @@
   body: Uint8Array,
 ) => ServingRequest;
 
-/** What the front works with. */
+/** Options of `FrontServer`. */
 export interface FrontServerOptions {
   readonly decode: RequestDecoder;
   readonly serve: (
@@ -39,33 +39,33 @@
   ) => Promise<void>;
 }
 
-/** Takes callers' requests over HTTP. */
+/** Accepts callers' requests over HTTP. */
 export class FrontServer {
   readonly #options: FrontServerOptions;
   readonly #server: Server;
-  #limits = FIRST_LIMITS;
+  #limits = DEFAULT_LIMITS;
   #isLeaving = false;
 
   constructor(options: FrontServerOptions) {
     this.#options = options;
     this.#server = createServer({
-      maxHeaderSize: NODE_HEADER_BYTES,
+      maxHeaderSize: NODE_MAXIMUM_HEADER_BYTES,
       connectionsCheckingInterval: CHECK_INTERVAL_MILLISECONDS,
-      keepAliveTimeout: FIRST_LIMITS.idleTimeoutMilliseconds +
-        IDLE_MARGIN_MILLISECONDS,
+      keepAliveTimeout: DEFAULT_LIMITS.idleTimeoutMilliseconds +
+        KEEP_ALIVE_MARGIN_MILLISECONDS,
       requestTimeout: 0,
     });
     this.#server.on("request", (message, response) => {
-      void this.#take(message, response);
+      void this.#handle(message, response);
     });
-    // Without this the caller of `Expect: 100-continue` waits for ever.
+    // Without this a caller that sends `Expect: 100-continue` waits forever.
     this.#server.on("checkContinue", (message, response) => {
       response.writeContinue();
-      void this.#take(message, response);
+      void this.#handle(message, response);
     });
   }
 
-  /** Takes callers at `address:port`. */
+  /** Accepts callers at `address:port`. */
   listen(address: string): Promise<void> {
     return listen(this.#server, address);
   }
@@ -74,21 +74,21 @@
     this.#limits = limits;
     this.#server.headersTimeout = limits.headerTimeoutMilliseconds;
     this.#server.keepAliveTimeout = limits.idleTimeoutMilliseconds +
-      IDLE_MARGIN_MILLISECONDS;
+      KEEP_ALIVE_MARGIN_MILLISECONDS;
   }
 
-  /** From now on each connection is closed after its answer. */
+  /** Makes the server close each connection after its next answer. */
   leave(): void {
     this.#isLeaving = true;
   }
 
-  /** Takes no more connections and closes those that are idle. */
+  /** Stops accepting connections and closes idle ones. */
   stopListening(): void {
     this.#server.close();
     this.#server.closeIdleConnections();
   }
 
-  async #take(
+  async #handle(
     message: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
--- a/packages/kelpspar-gateway/src/front/http_reply.ts
+++ b/packages/kelpspar-gateway/src/front/http_reply.ts
@@ -35,14 +35,14 @@
   answer(status: number, headers: readonly string[], body: Uint8Array): void {
     if (!this.#canAnswer()) return;
     const length = ["Content-Length", String(body.length)];
-    const kept = withoutLength(headers);
+    const kept = withoutContentLength(headers);
     this.#response.writeHead(status, this.#head([...kept, ...length]));
     this.#response.end(body);
   }
 
   begin(status: number, headers: readonly string[]): void {
     if (!this.#canAnswer()) return;
-    this.#response.writeHead(status, this.#head(withoutLength(headers)));
+    this.#response.writeHead(status, this.#head(withoutContentLength(headers)));
   }
 
   write(chunk: Uint8Array): Promise<void> {
@@ -78,7 +78,7 @@
   }
 }
 
-function withoutLength(headers: readonly string[]): readonly string[] {
+function withoutContentLength(headers: readonly string[]): readonly string[] {
   const kept: string[] = [];
   for (let index = 0; index + 1 < headers.length; index += 2) {
     const name = headers[index] as string;
--- a/packages/kelpspar-gateway/src/front/read_request_body.ts
+++ b/packages/kelpspar-gateway/src/front/read_request_body.ts
@@ -1,6 +1,6 @@
 import type { IncomingMessage } from "node:http";
 
-/** Reads a request's body; tells when it is too large or was cut. */
+/** Reads a request's body, unless it is too large or was truncated. */
 export async function readRequestBody(
   message: IncomingMessage,
   limit: number,
@@ -14,7 +14,7 @@
       chunks.push(chunk as Buffer);
     }
   } catch {
-    // The caller closed its connection; nobody is left to be told.
+    // The caller closed its connection, so no answer can be sent.
     return "cut";
   }
   return message.complete ? Buffer.concat(chunks) : "cut";
--- a/packages/kelpspar-gateway/src/front/text_server.ts
+++ b/packages/kelpspar-gateway/src/front/text_server.ts
@@ -1,7 +1,7 @@
 import type { Server } from "node:http";
 import { createServer } from "node:http";
 
-/** What a small page answers. */
+/** Answer of a text page. */
 export interface TextAnswer {
   readonly status: number;
   readonly contentType: string;
@@ -20,7 +20,7 @@
   text: "Not found\n",
 };
 
-/** Creates a server of small pages. */
+/** Creates a server of text pages. */
 export function createTextServer(handler: TextHandler): Server {
   return createServer((message, response) => {
     message.resume();
--- a/packages/kelpspar-gateway/src/gateway_daemon.ts
+++ b/packages/kelpspar-gateway/src/gateway_daemon.ts
@@ -9,11 +9,11 @@
 import type { Quarantine } from "./quarantine/quarantine.ts";
 import type { QuarantineParts } from "./quarantine/quarantine_parts.ts";
 import type { EndpointClient } from "./requests/endpoint_call.ts";
-import type { ReadingPaces, ReadingPlan } from "./tables/reading_plan.ts";
+import type { PollIntervals, ReadingPlan } from "./tables/reading_plan.ts";
 import type { SharedTables } from "./tables/shared_tables.ts";
 import type { FollowClient } from "./tables/table_follower.ts";
 import { createServer } from "node:http";
-import { ConfigurationKeeper } from "./configuration/configuration_keeper.ts";
+import { ActiveConfiguration } from "./configuration/active_configuration.ts";
 import { EndpointGate } from "./endpoints/endpoint_gate.ts";
 import { EndpointBook } from "./endpoints/endpoint_book.ts";
 import { EndpointLeavings } from "./endpoints/endpoint_leavings.ts";
@@ -37,25 +37,25 @@
 import { planReading } from "./tables/reading_plan.ts";
 import { StoreEra } from "./tables/store_era.ts";
 
-/** How often missing entries are looked over, milliseconds. */
-const SWEEP_MILLISECONDS = 100;
-/** How long a decision on who reads the tables stands, milliseconds. */
-const PLAN_MILLISECONDS = 400;
-/** Daemons from which on the coordinator of stages takes no callers. */
-const MANY_DAEMONS = 12;
-/** Most addresses that callers are given. */
-const MOST_ADDRESSES = 64;
-/** Share of the grace within which a stopping daemon still takes requests. */
-const TAKING_SHARE = 0.45;
-/** A stopping daemon is gone this long before it would be killed, ms. */
+/** How often missing entries are checked, milliseconds. */
+const SWEEP_INTERVAL_MILLISECONDS = 100;
+/** How long a reading plan is cached, milliseconds. */
+const PLAN_CACHE_MILLISECONDS = 400;
+/** Fleet size from which the stage coordinator accepts no callers. */
+const LARGE_FLEET_DAEMONS = 12;
+/** Maximum number of addresses returned to callers. */
+const MAXIMUM_ADDRESSES = 64;
+/** Share of the grace period in which a stopping daemon accepts requests. */
+const ACCEPTING_SHARE = 0.45;
+/** A stopping daemon ends this long before it would be killed, ms. */
 const STOP_MARGIN_MILLISECONDS = 350;
-/** How often a stopping daemon looks whether it is done, milliseconds. */
-const STOP_CHECK_MILLISECONDS = 50;
+/** How often a stopping daemon checks whether it is done, milliseconds. */
+const STOP_CHECK_INTERVAL_MILLISECONDS = 50;
 
-/** What a daemon is started with; the platform registers its ports here. */
+/** Options of `GatewayDaemon`; the platform supplies its adapters here. */
 export interface GatewayDaemonOptions {
   readonly self: DaemonAddress;
-  /** New with each start. */
+  /** Unique for each start. */
   readonly incarnation: string;
   readonly seeds: readonly string[];
   readonly timer: TimerService;
@@ -64,38 +64,38 @@
   readonly decode: RequestDecoder;
   readonly endpoints: EndpointClient;
   readonly pieces: PieceClient;
-  /** What endpoints say of themselves in answers to both clients. */
+  /** Notices that endpoints send in answers to both clients. */
   readonly notices: EndpointNotices;
   readonly retryRatio: number;
   readonly retrySlack: number;
   readonly retryWindowMilliseconds: number;
-  /** Time from the order to stop until the process is killed. */
+  /** Time from the stop signal until the process is killed. */
   readonly graceMilliseconds: number;
 }
 
-/** One daemon: callers on one side, endpoints and other daemons on the other. */
+/** A daemon between callers on one side, endpoints and peers on the other. */
 export class GatewayDaemon {
-  readonly configuration = new ConfigurationKeeper();
-  readonly book = new EndpointBook();
+  readonly configuration = new ActiveConfiguration();
+  readonly registry = new EndpointBook();
   readonly limits = new EndpointLimits();
   readonly metrics = new GatewayMetrics();
   readonly anomalies: AnomalyLog;
   readonly era: StoreEra;
-  /** Asks other daemons for what they know of the store's tables. */
+  /** Fetches the store's tables from other daemons. */
   readonly followClient: FollowClient;
   readonly quarantine: Quarantine;
   readonly #options: GatewayDaemonOptions;
-  readonly #crashes: QuarantineParts;
+  readonly #quarantineParts: QuarantineParts;
   readonly #membership: FleetMembership;
   readonly #fleet: Fleet;
   readonly #front: FrontServer;
-  readonly #service: RequestService;
+  readonly #requestService: RequestService;
   readonly #coordinator: PieceCoordinator;
-  readonly #chains: ChainClient;
+  readonly #chainClient: ChainClient;
   readonly #peerServer: Server;
-  #storeHeardAt = Number.NEGATIVE_INFINITY;
-  /** Ends the watch over missing entries. */
-  #stopWatch: (() => void) | undefined;
+  #tablesConfirmedAt = Number.NEGATIVE_INFINITY;
+  /** Stops the sweep of missing entries. */
+  #stopSweep: (() => void) | undefined;
   #tables: Pick<SharedTables, "answer"> | undefined;
   #plan: ReadingPlan | undefined;
   #plannedAt = Number.NEGATIVE_INFINITY;
@@ -105,9 +105,9 @@
     const { self, timer, log } = options;
     this.anomalies = new AnomalyLog(log, this.metrics);
     this.era = new StoreEra({ timer, anomalies: this.anomalies });
-    const { configuration, book, limits, era } = this;
+    const { configuration, registry: book, limits, era } = this;
     const storeAge = (): number =>
-      Math.min(timer.now() - this.#storeHeardAt, Number.MAX_SAFE_INTEGER);
+      Math.min(timer.now() - this.#tablesConfirmedAt, Number.MAX_SAFE_INTEGER);
     const membership = new FleetMembership(options);
     const peers = new PeerClient(timer);
     this.followClient = peers;
@@ -116,7 +116,11 @@
       slack: options.retrySlack,
       windowMilliseconds: options.retryWindowMilliseconds,
     });
-    const crashes = createQuarantineParts({ ...options, peers, membership });
+    const crashes = createQuarantineParts({
+      ...options,
+      peers,
+      membership,
+    });
     const leavings = new EndpointLeavings();
     const noticeSync = new NoticeSync({
       ...options,
@@ -139,10 +143,12 @@
       storeAge,
     });
     const sharers: Readonly<Record<EndpointChooser, () => number>> = {
-      // One that others ask while it doesn't take itself for the coordinator
-      // shares with all that may be in the same place.
+      // A daemon that receives pieces without seeing itself as the coordinator
+      // shares the endpoints with all daemons that may be in the same position.
       coordinator: () =>
-        this.#chains.coordinator === self.daemonId ? 1 : membership.size + 1,
+        this.#chainClient.coordinator === self.daemonId
+          ? 1
+          : membership.size + 1,
       daemon: () => membership.size + 1,
     };
     const gate = (chooser: EndpointChooser): EndpointGate =>
@@ -179,7 +185,7 @@
       gate: gate("daemon"),
       chains,
       budget,
-      crashes: crashes.watch,
+      crashes: crashes.detector,
       quarantine: crashes.quarantine,
       times: new ExpectedTimes(),
       timer,
@@ -190,12 +196,12 @@
       sharers: () => this.fleetSize(),
     });
     this.quarantine = crashes.quarantine;
-    this.#crashes = crashes;
+    this.#quarantineParts = crashes;
     this.#membership = membership;
     this.#fleet = fleet;
-    this.#service = service;
+    this.#requestService = service;
     this.#coordinator = coordinator;
-    this.#chains = chains;
+    this.#chainClient = chains;
     this.#front = new FrontServer({
       decode: options.decode,
       serve: (request, reply) => service.serve(request, reply),
@@ -208,7 +214,7 @@
         if (this.#tables !== undefined) {
           return this.#tables.answer(request, signal);
         }
-        throw new Error("The store's tables aren't followed here yet");
+        throw new Error("This daemon doesn't follow the store's tables yet");
       },
       shareCrashes: (page) => crashes.sync.answer(page),
       shareNotices: (page) => noticeSync.answer(page),
@@ -229,54 +235,56 @@
     );
   }
 
-  /** Listens for callers and other daemons, and greets those it knows of. */
+  /** Listens for callers and peers, and contacts the seed daemons. */
   async start(): Promise<void> {
     const { self, seeds } = this.#options;
     this.configuration.registerListener((table) => {
       this.#front.limits = table.configuration.limits;
     });
-    this.book.registerMissing(() => this.#watchMissing());
-    this.#crashes.register();
+    this.registry.registerMissing(() => this.#startSweep());
+    this.#quarantineParts.register();
     await listen(this.#peerServer, self.peer);
     await this.#front.listen(self.front);
     this.#fleet.register();
     this.greet(seeds);
   }
 
-  /** Looks over missing entries until none is left. */
-  #watchMissing(): void {
-    if (this.#stopWatch !== undefined) return;
+  /** Sweeps missing entries until none is left. */
+  #startSweep(): void {
+    if (this.#stopSweep !== undefined) return;
     const { timer, log } = this.#options;
-    this.#stopWatch = timer.registerInterval(() => {
-      for (const endpoint of this.book.sweep(timer.now())) {
-        log.info("endpoint given up", { endpoint });
+    this.#stopSweep = timer.registerInterval(() => {
+      for (const endpoint of this.registry.sweep(timer.now())) {
+        log.info("endpoint removed", { endpoint });
       }
-      if (this.book.hasMissing) return;
-      this.#stopWatch?.();
-      this.#stopWatch = undefined;
-    }, SWEEP_MILLISECONDS);
+      if (this.registry.hasMissing) return;
+      this.#stopSweep?.();
+      this.#stopSweep = undefined;
+    }, SWEEP_INTERVAL_MILLISECONDS);
   }
 
-  /** Takes in where other daemons may be. */
-  learnDaemons(addresses: readonly DaemonAddress[]): void {
+  /** Adds addresses at which other daemons may run. */
+  addDaemons(addresses: readonly DaemonAddress[]): void {
     const { timer, self } = this.#options;
-    const others = addresses.filter((one) => one.daemonId !== self.daemonId);
+    const others = addresses.filter((address) =>
+      address.daemonId !== self.daemonId
+    );
     for (const address of others) this.#membership.learn(address, timer.now());
     this.#fleet.greetSome(others.map(({ peer }) => peer));
   }
 
-  /** Exchanges digests with daemons that may be at `peers`. */
+  /** Exchanges digests with daemons that may run at `peers`. */
   greet(peers: readonly string[]): void {
     const { self } = this.#options;
     this.#fleet.greet(peers.filter((peer) => peer !== self.peer));
   }
 
-  /** Says that the list of endpoints was as the store has it at `at`. */
-  storeHeard(at: number): void {
-    this.#storeHeardAt = Math.max(this.#storeHeardAt, at);
+  /** Records that the endpoint list matched the store at `at`. */
+  confirmTables(at: number): void {
+    this.#tablesConfirmedAt = Math.max(this.#tablesConfirmedAt, at);
   }
 
-  /** Passes the store's tables on to other daemons; returns the teardown. */
+  /** Relays the store's tables to other daemons; returns the teardown. */
   registerTables(tables: Pick<SharedTables, "answer">): () => void {
     this.#tables = tables;
     return () => {
@@ -284,90 +292,92 @@
     };
   }
 
-  /** Whether this daemon reads the store's tables, and whom it may follow. */
-  readingPlan(paces: ReadingPaces | undefined): ReadingPlan {
+  /** Whether this daemon reads the tables, and which daemons it may follow. */
+  readingPlan(intervals: PollIntervals | undefined): ReadingPlan {
     const { self, timer } = this.#options;
     const now = timer.now();
     if (
-      this.#plan === undefined || now - this.#plannedAt > PLAN_MILLISECONDS
+      this.#plan === undefined ||
+      now - this.#plannedAt > PLAN_CACHE_MILLISECONDS
     ) {
       const others = this.#membership.readerCandidates(now);
-      this.#plan = planReading({ self, others, paces });
+      this.#plan = planReading({ self, others, intervals });
       this.#plannedAt = now;
     }
     return this.#plan;
   }
 
-  /** Daemons that are heard, this one among them. */
+  /** Number of live daemons, including this one. */
   fleetSize(): number {
     return this.#membership.heardLately(this.#options.timer.now()).length + 1;
   }
 
-  /** True while callers may be sent here. */
+  /** True while callers may be routed to this daemon. */
   get isReady(): boolean {
     return this.configuration.table !== undefined && !this.#fleet.isLeaving;
   }
 
-  /** Where callers may connect; never empty. */
+  /** Addresses at which callers may connect; never empty. */
   callerAddresses(): readonly string[] {
     const { self, timer, random } = this.#options;
     const others = this.#membership.serving(timer.now());
     const own = this.isReady || others.length === 0 ? [self] : [];
     const all = [...own, ...others];
-    // Among many the one that runs the stages for all takes no callers: their
-    // streams would wait behind its calls.
-    const busy = all.length >= MANY_DAEMONS
-      ? this.#chains.coordinator
+    // In a large fleet the stage coordinator accepts no callers: their streams
+    // would wait behind its calls.
+    const busy = all.length >= LARGE_FLEET_DAEMONS
+      ? this.#chainClient.coordinator
       : undefined;
-    const free = all.filter((one) => one.daemonId !== busy);
-    // Turned by chance, so that beyond the most of an answer each has a part.
-    const first = random.nextInteger(Math.max(1, free.length));
-    return [...free.slice(first), ...free.slice(0, first)]
-      .slice(0, MOST_ADDRESSES)
+    const available = all.filter((address) => address.daemonId !== busy);
+    // Rotated at random, so that each daemon is listed in some answers even if
+    // the fleet exceeds the maximum of an answer.
+    const first = random.nextInteger(Math.max(1, available.length));
+    return [...available.slice(first), ...available.slice(0, first)]
+      .slice(0, MAXIMUM_ADDRESSES)
       .map(({ front }) => front);
   }
 
-  /** State for the metrics page. */
+  /** Updates the state gauges of the metrics page. */
   recordState(): void {
     const { metrics } = this;
     metrics.setState("configuration_version", this.configuration.version);
-    metrics.setState("endpoints", this.book.size);
-    metrics.setState("evacuated_zones", this.book.evacuatedZones.size);
+    metrics.setState("endpoints", this.registry.size);
+    metrics.setState("evacuated_zones", this.registry.evacuatedZones.size);
     metrics.setState("limited_endpoints", this.limits.size);
     metrics.setState("daemons", this.fleetSize());
     metrics.setState("quarantined_requests", this.quarantine.size);
     metrics.setState("store_era", this.era.current ?? 0);
     metrics.setState("reads_store", this.#plan?.isReader === true ? 1 : 0);
-    metrics.setState("open_requests", this.#service.open);
+    metrics.setState("open_requests", this.#requestService.open);
   }
 
   /**
-   * Stops without cutting anything: callers go elsewhere, those that come with
-   * an old answer are still served, and the process ends when nothing is left
-   * or just before it would be killed.
+   * Stops gracefully without truncating answers: callers are routed elsewhere,
+   * those with outdated addresses are still served, and the process ends when no
+   * work is left or just before it would be killed.
    */
   async stop(): Promise<void> {
     const { timer, graceMilliseconds } = this.#options;
     const startedAt = timer.now();
     this.#fleet.leave();
     this.#front.leave();
-    const takingUntil = startedAt + graceMilliseconds * TAKING_SHARE;
+    const acceptingUntil = startedAt + graceMilliseconds * ACCEPTING_SHARE;
     const endsAt = startedAt + graceMilliseconds - STOP_MARGIN_MILLISECONDS;
     let isListening = true;
     await new Promise<void>((resolve) => {
       const stopChecks = timer.registerInterval(() => {
         const now = timer.now();
-        if (isListening && now >= takingUntil) {
+        if (isListening && now >= acceptingUntil) {
           isListening = false;
           this.#front.stopListening();
         }
-        const isDone = !isListening && this.#service.open === 0 &&
+        const isDone = !isListening && this.#requestService.open === 0 &&
           this.#coordinator.openChains === 0;
         if (!isDone && now < endsAt) return;
         stopChecks();
-        this.#service.endOpen();
+        this.#requestService.endOpen();
         resolve();
-      }, STOP_CHECK_MILLISECONDS);
+      }, STOP_CHECK_INTERVAL_MILLISECONDS);
     });
   }
 }
--- a/packages/kelpspar-gateway/src/log/anomaly_log.ts
+++ b/packages/kelpspar-gateway/src/log/anomaly_log.ts
@@ -1,36 +1,36 @@
 import type { GatewayMetrics } from "../metrics/gateway_metrics.ts";
 import type { GatewayLog, LogFields } from "./gateway_log.ts";
 
-/** What should not happen, harms nothing, and is worth knowing of. */
+/** Unexpected events that are harmless but worth investigating. */
 export type Anomaly =
-  /** The store told its era before and doesn't any more. */
+  /** The store reported its era before and no longer does. */
   | "era_missing"
   | "era_invalid"
-  /** The store's own word is of an earlier era than it told before. */
+  /** The store reports an earlier era than before. */
   | "era_fell"
-  /** An answer of the store from before its return from a copy. */
+  /** An answer of the store from before its restore from a copy. */
   | "era_late_answer"
-  /** A daemon tells of an era that the store doesn't know. */
+  /** A daemon reports an era that the store doesn't know. */
   | "era_denied"
-  /** A daemon passes on rows of an earlier era. */
+  /** A daemon relays rows of an earlier era. */
   | "changes_of_earlier_era"
-  /** A daemon passes on changes after a version that isn't known here. */
+  /** A daemon relays changes after a version that isn't known here. */
   | "changes_skip_versions"
   | "page_not_understood"
-  /** An endpoint wants a pause whose length can't be read. */
+  /** An endpoint requests a pause with an invalid duration. */
   | "pause_unreadable"
-  /** An endpoint names a limit that can't be read. */
+  /** An endpoint reports an invalid limit. */
   | "limit_unreadable"
-  /** How long an endpoint is cold can't be read. */
+  /** An endpoint reports an invalid cold time. */
   | "cold_unreadable"
-  /** A service's limit for cold endpoints isn't one; it has none then. */
+  /** A service's limit for cold endpoints is invalid and not applied. */
   | "cold_limit_unreadable"
-  /** An availability zone is evacuated that the settings don't name. */
+  /** An evacuated availability zone is missing from the settings. */
   | "evacuation_of_unknown_zone"
-  /** The row of an evacuation isn't what the operator writes; it holds. */
+  /** The row of an evacuation is malformed; the evacuation still applies. */
   | "evacuation_unreadable";
 
-/** Counts anomalies and logs the first of each kind, so that none floods. */
+/** Counts anomalies; logs only the first of each kind to avoid floods. */
 export class AnomalyLog {
   readonly #log: GatewayLog;
   readonly #metrics: Pick<GatewayMetrics, "countAnomaly">;
--- a/packages/kelpspar-gateway/src/log/gateway_log.ts
+++ b/packages/kelpspar-gateway/src/log/gateway_log.ts
@@ -1,9 +1,9 @@
-/** What a log line says besides its message; never text of callers. */
+/** Fields of a log line; never text from callers. */
 export type LogFields = Readonly<
   Record<string, string | number | boolean | undefined>
 >;
 
-/** One structured line for each decision. */
+/** Structured log with one line for each decision. */
 export interface GatewayLog {
   info(message: string, fields?: LogFields): void;
   warn(message: string, fields?: LogFields): void;
--- a/packages/kelpspar-gateway/src/log/line_log.ts
+++ b/packages/kelpspar-gateway/src/log/line_log.ts
@@ -1,85 +1,87 @@
 import type { TimerService } from "kelpspar-shared";
 import type { GatewayLog, LogFields } from "./gateway_log.ts";
 
-/** Takes text; `done` is called once it was taken or failed. */
+/** Writes text; calls `done` once the write succeeded or failed. */
 export type LineSink = (text: string, done: () => void) => void;
 
-/** Where lines go. */
+/** Options of `LineLog`. */
 export interface LineLogOptions {
   readonly sink: LineSink;
   readonly timer: TimerService;
   /** Fields of every line. */
-  readonly bound: LogFields;
+  readonly commonFields: LogFields;
 }
 
-/** Text that may wait for the sink, characters; lines beyond it are dropped. */
-const MOST_WAITING_CHARACTERS = 256 * 1024;
-/** How long lines wait so that several share a write, milliseconds. */
-const GATHER_MILLISECONDS = 100;
+/** Buffer limit, characters; lines beyond it are dropped. */
+const MAXIMUM_BUFFERED_CHARACTERS = 256 * 1024;
+/** Delay that lets several lines share a write, milliseconds. */
+const FLUSH_DELAY_MILLISECONDS = 100;
 
 /**
- * Writes JSON lines without ever waiting for them. A reader that stops reading
- * would otherwise hold the process at its next line, and with it all requests;
- * here lines are dropped and counted instead, and the next line says how many.
+ * Writes JSON lines without blocking. Otherwise a reader that stops reading
+ * would block the process, and thus all requests, at the next line. Lines are
+ * dropped and counted instead, and the next line contains the count.
  */
 export class LineLog implements GatewayLog {
   readonly #options: LineLogOptions;
-  readonly #bound: string;
-  #waiting: string[] = [];
-  #waitingCharacters = 0;
-  #dropped = 0;
+  readonly #commonFieldsJson: string;
+  #bufferedLines: string[] = [];
+  #bufferedCharacters = 0;
+  #droppedLines = 0;
   #isWriting = false;
   #isScheduled = false;
 
   constructor(options: LineLogOptions) {
     this.#options = options;
-    this.#bound = JSON.stringify(options.bound).slice(1, -1);
+    this.#commonFieldsJson = JSON.stringify(options.commonFields).slice(1, -1);
   }
 
   info(message: string, fields: LogFields = {}): void {
-    this.#add("info", message, fields);
+    this.#append("info", message, fields);
   }
 
   warn(message: string, fields: LogFields = {}): void {
-    this.#add("warn", message, fields);
+    this.#append("warn", message, fields);
   }
 
-  /** Writes what waits now, for the last lines of a process. */
+  /** Writes buffered lines now; for the last lines of a process. */
   flush(): void {
-    if (this.#isWriting || this.#waiting.length === 0) return;
-    const text = this.#waiting.join("");
-    this.#waiting = [];
-    this.#waitingCharacters = 0;
+    if (this.#isWriting || this.#bufferedLines.length === 0) return;
+    const text = this.#bufferedLines.join("");
+    this.#bufferedLines = [];
+    this.#bufferedCharacters = 0;
     this.#isWriting = true;
     this.#options.sink(text, () => {
       this.#isWriting = false;
-      if (this.#waiting.length > 0) this.#schedule();
+      if (this.#bufferedLines.length > 0) this.#schedule();
     });
   }
 
-  #add(level: string, message: string, fields: LogFields): void {
-    if (this.#waitingCharacters > MOST_WAITING_CHARACTERS) {
-      this.#dropped++;
+  #append(level: string, message: string, fields: LogFields): void {
+    if (this.#bufferedCharacters > MAXIMUM_BUFFERED_CHARACTERS) {
+      this.#droppedLines++;
       return;
     }
     const line = this.#format(level, message, fields);
-    this.#waiting.push(line);
-    this.#waitingCharacters += line.length;
+    this.#bufferedLines.push(line);
+    this.#bufferedCharacters += line.length;
     this.#schedule();
   }
 
   #format(level: string, message: string, fields: LogFields): string {
     const { timer } = this.#options;
-    const head = {
+    const fixedFields = {
       time: new Date(timer.wallClock()).toISOString(),
       at: Math.round(timer.now()),
       level,
       message,
-      ...(this.#dropped > 0 ? { linesDropped: this.#dropped } : {}),
+      ...(this.#droppedLines > 0 ? { linesDropped: this.#droppedLines } : {}),
     };
-    this.#dropped = 0;
-    const start = JSON.stringify({ ...head, ...fields }).slice(0, -1);
-    return `${start}${this.#bound === "" ? "" : `,${this.#bound}`}}\n`;
+    this.#droppedLines = 0;
+    const start = JSON.stringify({ ...fixedFields, ...fields }).slice(0, -1);
+    return `${start}${
+      this.#commonFieldsJson === "" ? "" : `,${this.#commonFieldsJson}`
+    }}\n`;
   }
 
   #schedule(): void {
@@ -88,6 +90,6 @@
     this.#options.timer.registerTimeout(() => {
       this.#isScheduled = false;
       this.flush();
-    }, GATHER_MILLISECONDS);
+    }, FLUSH_DELAY_MILLISECONDS);
   }
 }
--- a/packages/kelpspar-gateway/src/metrics/gateway_metrics.ts
+++ b/packages/kelpspar-gateway/src/metrics/gateway_metrics.ts
@@ -1,7 +1,7 @@
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 
-/** Bounds of the time histograms, seconds: from a plain call to a deadline. */
-const TIME_BUCKETS = [
+/** Bounds of the time histograms: from a plain call to a deadline. */
+const LATENCY_BUCKETS_SECONDS = [
   0.01,
   0.025,
   0.05,
@@ -18,18 +18,18 @@
   15,
 ];
 
-/** One request as metrics see it. */
-export interface RequestMeasure {
+/** Measurements of one request. */
+export interface RequestMeasurement {
   readonly account: string;
   readonly route: string;
-  /** How it ended: `served`, `refused`, `failed`, `abandoned`. */
+  /** `served`, `refused`, `failed` or `abandoned`. */
   readonly outcome: string;
   readonly seconds: number;
-  /** Until the first byte of the answer; undefined when there was none. */
+  /** Time to the first byte of the answer; undefined without an answer. */
   readonly firstByteSeconds: number | undefined;
 }
 
-/** Counters and histograms by client account and route, as text. */
+/** Counters and histograms by client account and route. */
 export class GatewayMetrics {
   readonly #registry = new Registry();
   readonly #requests = new Counter({
@@ -38,18 +38,18 @@
     labelNames: ["account", "route", "outcome"],
     registers: [this.#registry],
   });
-  readonly #seconds = new Histogram({
+  readonly #requestSeconds = new Histogram({
     name: "kelpspar_request_seconds",
     help: "Time until the end of the answer",
     labelNames: ["account", "route"],
-    buckets: TIME_BUCKETS,
+    buckets: LATENCY_BUCKETS_SECONDS,
     registers: [this.#registry],
   });
-  readonly #firstByte = new Histogram({
+  readonly #firstByteSeconds = new Histogram({
     name: "kelpspar_first_byte_seconds",
     help: "Time until the first byte of the answer",
     labelNames: ["account", "route"],
-    buckets: TIME_BUCKETS,
+    buckets: LATENCY_BUCKETS_SECONDS,
     registers: [this.#registry],
   });
   readonly #endpointCalls = new Counter({
@@ -64,34 +64,37 @@
     labelNames: ["anomaly"],
     registers: [this.#registry],
   });
-  readonly #gauges = new Gauge({
+  readonly #stateGauge = new Gauge({
     name: "kelpspar_state",
     help: "Configuration version, endpoints, daemons and chains known now",
     labelNames: ["what"],
     registers: [this.#registry],
   });
 
-  countRequest(measure: RequestMeasure): void {
-    const { account, route, outcome } = measure;
+  countRequest(measurement: RequestMeasurement): void {
+    const { account, route, outcome } = measurement;
     this.#requests.inc({ account, route, outcome });
-    this.#seconds.observe({ account, route }, measure.seconds);
-    if (measure.firstByteSeconds === undefined) return;
-    this.#firstByte.observe({ account, route }, measure.firstByteSeconds);
+    this.#requestSeconds.observe({ account, route }, measurement.seconds);
+    if (measurement.firstByteSeconds === undefined) return;
+    this.#firstByteSeconds.observe(
+      { account, route },
+      measurement.firstByteSeconds,
+    );
   }
 
   countAnomaly(anomaly: string): void {
     this.#anomalies.inc({ anomaly });
   }
 
-  countCall(service: string, outcome: string): void {
+  countEndpointCall(service: string, outcome: string): void {
     this.#endpointCalls.inc({ service, outcome });
   }
 
   setState(what: string, value: number): void {
-    this.#gauges.set({ what }, value);
+    this.#stateGauge.set({ what }, value);
   }
 
-  /** The metrics in Prometheus' text format. */
+  /** Renders the metrics in the Prometheus text format. */
   render(): Promise<string> {
     return this.#registry.metrics();
   }
--- a/packages/kelpspar-gateway/src/mod.ts
+++ b/packages/kelpspar-gateway/src/mod.ts
@@ -40,26 +40,26 @@
   EndpointClient,
 } from "./requests/endpoint_call.ts";
 export type { PromptPart, ServingRequest } from "./requests/serving_request.ts";
-export type { ReadingPaces, ReadingPlan } from "./tables/reading_plan.ts";
+export type { PollIntervals, ReadingPlan } from "./tables/reading_plan.ts";
 export type { FollowAnswer, FollowRequest } from "./tables/table_changes.ts";
 export type { FeedTimes } from "./tables/table_feed.ts";
 export type { FollowClient } from "./tables/table_follower.ts";
 export type {
   CallTimes,
-  EraWord,
   FeedAnswer,
+  ReportedEra,
   StoreAnswer,
   TablePage,
   TableRow,
   TableStore,
 } from "./tables/table_store.ts";
 export type { GatewayDaemonOptions } from "./gateway_daemon.ts";
-export { ConfigurationKeeper } from "./configuration/configuration_keeper.ts";
+export { ActiveConfiguration } from "./configuration/active_configuration.ts";
 export { EndpointBook } from "./endpoints/endpoint_book.ts";
 export { EndpointNotices } from "./endpoints/endpoint_notices.ts";
 export { LapseWindow } from "./endpoints/lapse_window.ts";
 export { listTimes } from "./endpoints/list_times.ts";
-export { headerValue, passedHeaders } from "./exchange/connection_headers.ts";
+export { endToEndHeaders, headerValue } from "./exchange/connection_headers.ts";
 export { checkListening } from "./exchange/check_listening.ts";
 export { exchangeHttp } from "./exchange/http_exchange.ts";
 export { listen } from "./front/listen.ts";
@@ -76,7 +76,7 @@
 export { SharedTables } from "./tables/shared_tables.ts";
 export { StoreEra } from "./tables/store_era.ts";
 export {
-  FIRST_PAUSE_MILLISECONDS,
-  LONGEST_PAUSE_MILLISECONDS,
+  MAXIMUM_FIRST_RETRY_DELAY_MILLISECONDS,
+  MAXIMUM_RETRY_DELAY_MILLISECONDS,
 } from "./tables/table_feed.ts";
 export { StoreCallError } from "./tables/table_store.ts";
--- a/packages/kelpspar-gateway/src/pieces/piece_coordinator.ts
+++ b/packages/kelpspar-gateway/src/pieces/piece_coordinator.ts
@@ -1,5 +1,5 @@
 import type { TimerService } from "kelpspar-shared";
-import type { ConfigurationKeeper } from "../configuration/configuration_keeper.ts";
+import type { ActiveConfiguration } from "../configuration/active_configuration.ts";
 import type {
   EndpointBook,
   EndpointGoneCause,
@@ -40,7 +40,7 @@
 
 /** What a coordinator works with. */
 export interface PieceCoordinatorOptions {
-  readonly configuration: ConfigurationKeeper;
+  readonly configuration: ActiveConfiguration;
   readonly book: EndpointBook;
   readonly client: PieceClient;
   /** For the endpoints at which it places requests. */
--- a/packages/kelpspar-gateway/src/placement/reader_placement.ts
+++ b/packages/kelpspar-gateway/src/placement/reader_placement.ts
@@ -1,5 +1,5 @@
 import type { TimerService } from "kelpspar-shared";
-import type { ConfigurationKeeper } from "../configuration/configuration_keeper.ts";
+import type { ActiveConfiguration } from "../configuration/active_configuration.ts";
 import type { EndpointGate } from "../endpoints/endpoint_gate.ts";
 import type { EndpointBook } from "../endpoints/endpoint_book.ts";
 import type { EndpointState } from "../endpoints/endpoint_state.ts";
@@ -24,7 +24,7 @@
 
 /** What readers are placed with. */
 export interface ReaderPlacementOptions {
-  readonly configuration: ConfigurationKeeper;
+  readonly configuration: ActiveConfiguration;
   readonly book: EndpointBook;
   readonly gate: EndpointGate;
   readonly timer: TimerService;
--- a/packages/kelpspar-gateway/src/quarantine/crash_watch.ts
+++ b/packages/kelpspar-gateway/src/quarantine/crash_detector.ts
@@ -5,67 +5,68 @@
 import type { EndpointClient } from "../requests/endpoint_call.ts";
 import type { Quarantine } from "./quarantine.ts";
 
-/** An answer that ended before it was whole. */
-export interface CutAnswer {
+/** An answer that ended before it was complete. */
+export interface TruncatedAnswer {
   readonly attemptId: string | undefined;
   readonly fingerprint: string;
   readonly endpoint: EndpointEntry;
   /** Monotonic milliseconds. */
   readonly sentAt: number;
-  /** When the answer began; undefined when nothing of it came. */
+  /** When the answer began; undefined when none of it arrived. */
   readonly answeredAt: number | undefined;
-  /** The endpoint is known to have started again meanwhile. */
+  /** The endpoint is known to have restarted since the request was sent. */
   readonly hasRestarted: boolean;
 }
 
-/** What a crash watch works with. */
-export interface CrashWatchOptions {
-  readonly quarantine: Pick<Quarantine, "crashed">;
+/** Options of `CrashDetector`. */
+export interface CrashDetectorOptions {
+  readonly quarantine: Pick<Quarantine, "reportCrash">;
   readonly endpoints: Pick<EndpointClient, "check">;
   readonly timer: TimerService;
   readonly log: GatewayLog;
 }
 
 /**
- * Tells endpoints that crashed under a request from those that only broke an
- * answer off: nothing listens any more where a crashed one was.
+ * Distinguishes endpoints that crashed while running a request from those that
+ * only aborted an answer: nothing listens at the address of a crashed endpoint.
  */
-export class CrashWatch {
-  readonly #options: CrashWatchOptions;
-  /** Checks under way, by endpoint. */
+export class CrashDetector {
+  readonly #options: CrashDetectorOptions;
+  /** Running checks by endpoint id. */
   readonly #checks = new Map<string, Promise<ListeningState>>();
 
-  constructor(options: CrashWatchOptions) {
+  constructor(options: CrashDetectorOptions) {
     this.#options = options;
   }
 
-  async cut(cut: CutAnswer): Promise<void> {
+  /** Checks the endpoint of a truncated answer and reports a crash. */
+  async checkEndpoint(answer: TruncatedAnswer): Promise<void> {
     const { timer, log, quarantine } = this.#options;
-    const cutAt = timer.now();
-    const { endpoint, answeredAt, fingerprint, hasRestarted } = cut;
-    const state = hasRestarted ? "restarted" : await this.#check(endpoint);
+    const truncatedAt = timer.now();
+    const { endpoint, answeredAt, fingerprint, hasRestarted } = answer;
+    const state = hasRestarted ? "restarted" : await this.#checkOnce(endpoint);
     const begunMillisecondsAgo = answeredAt === undefined
       ? undefined
-      : Math.round(cutAt - answeredAt);
-    log.info("endpoint checked after a cut answer", {
-      attempt: cut.attemptId,
+      : Math.round(truncatedAt - answeredAt);
+    log.info("endpoint checked after truncated answer", {
+      attempt: answer.attemptId,
       fingerprint,
       endpoint: endpoint.id,
       bornAt: endpoint.bornAt,
       state,
-      sentMillisecondsAgo: Math.round(cutAt - cut.sentAt),
+      sentMillisecondsAgo: Math.round(truncatedAt - answer.sentAt),
       begunMillisecondsAgo,
     });
     if (state !== "refused" && state !== "restarted") return;
-    quarantine.crashed({
+    quarantine.reportCrash({
       fingerprint,
       crash: `${endpoint.id} born ${endpoint.bornAt}`,
       ranMilliseconds: begunMillisecondsAgo,
     });
   }
 
-  /** One check for all answers that are cut together. */
-  #check(endpoint: EndpointEntry): Promise<ListeningState> {
+  /** Shares one check among answers that are truncated together. */
+  #checkOnce(endpoint: EndpointEntry): Promise<ListeningState> {
     const { id } = endpoint;
     const running = this.#checks.get(id);
     if (running !== undefined) return running;
--- a/packages/kelpspar-gateway/src/quarantine/crash_message.ts
+++ b/packages/kelpspar-gateway/src/quarantine/crash_message.ts
@@ -3,12 +3,12 @@
 
 const ageSchema = z.number().nonnegative();
 
-/** Reports of crashes as daemons send them to one another. */
+/** Schema of crash reports as daemons send them to each other. */
 export const crashMessageSchema = z.object({
   reports: z.array(z.object({
     fingerprint: z.string(),
     crash: z.string(),
-    /** Null when nothing of the answer had come. */
+    /** Null when the answer had not begun. */
     ranMilliseconds: z.number().nullable(),
     ageMilliseconds: ageSchema,
   })),
@@ -23,9 +23,9 @@
 
 export function toCrashMessage({ reports, served }: CrashPage): CrashMessage {
   return {
-    reports: reports.map((one) => ({
-      ...one,
-      ranMilliseconds: one.ranMilliseconds ?? null,
+    reports: reports.map((report) => ({
+      ...report,
+      ranMilliseconds: report.ranMilliseconds ?? null,
     })),
     served: [...served],
   };
@@ -34,9 +34,9 @@
 export function fromCrashMessage(message: CrashMessage): CrashPage {
   return {
     served: message.served,
-    reports: message.reports.map((one) => ({
-      ...one,
-      ranMilliseconds: one.ranMilliseconds ?? undefined,
+    reports: message.reports.map((report) => ({
+      ...report,
+      ranMilliseconds: report.ranMilliseconds ?? undefined,
     })),
   };
 }
--- a/packages/kelpspar-gateway/src/quarantine/quarantine.ts
+++ b/packages/kelpspar-gateway/src/quarantine/quarantine.ts
@@ -4,28 +4,28 @@
 import { CrashLedger } from "kelpspar-decisions/quarantine";
 import { ServedRequests } from "./served_requests.ts";
 
-/** How often reports that are too old are dropped, milliseconds. */
-const SWEEP_MILLISECONDS = 60_000;
+/** How often expired reports are dropped, milliseconds. */
+const SWEEP_INTERVAL_MILLISECONDS = 60_000;
 
-/** Where news of crashes came from; `age`: reports were forgotten. */
+/** Source of a change; `age` means that reports expired. */
 export type QuarantineSource = "own" | "daemon" | "store" | "age";
 
-/** Told when something new is known of crashes. */
+/** Called when the known crashes change. */
 export type QuarantineListener = (source: QuarantineSource) => void;
 
-/** What a quarantine works with. */
+/** Options of `Quarantine`. */
 export interface QuarantineOptions {
   readonly timer: TimerService;
   readonly log: GatewayLog;
 }
 
-/** Poison requests: those that crash the endpoints that run them. */
+/** Poison requests, which crash the endpoints that run them. */
 export class Quarantine {
   readonly #options: QuarantineOptions;
   readonly #ledger = new CrashLedger();
   readonly #served = new ServedRequests();
-  /** Requests whose crashes this daemon saw. */
-  readonly #own = new Set<string>();
+  /** Fingerprints of requests whose crashes this daemon detected. */
+  readonly #reportedHere = new Set<string>();
   readonly #listeners = new Set<QuarantineListener>();
 
   constructor(options: QuarantineOptions) {
@@ -36,60 +36,60 @@
     return this.#ledger.poison.size;
   }
 
-  /** Equal for daemons that know the same; 0 when nothing is known. */
+  /** Equal on daemons that have the same reports; 0 without reports. */
   get checksum(): number {
     return this.#ledger.checksum;
   }
 
   /** True when a request must not be sent to any endpoint. */
-  holds(fingerprint: string): boolean {
+  has(fingerprint: string): boolean {
     return this.#ledger.poison.has(fingerprint);
   }
 
-  /** The requests that must not be sent. */
+  /** Fingerprints of requests that must not be sent. */
   get fingerprints(): ReadonlySet<string> {
     return this.#ledger.poison;
   }
 
-  /** True when this daemon saw one of the request's crashes. */
+  /** True when this daemon detected one of the request's crashes. */
   isOwn(fingerprint: string): boolean {
-    return this.#own.has(fingerprint);
+    return this.#reportedHere.has(fingerprint);
   }
 
-  /** Drops old reports from time to time; returns the teardown. */
+  /** Starts dropping expired reports; returns the teardown. */
   register(): () => void {
     const { timer } = this.#options;
     const sweep = (): void => {
-      this.#change("age", () => this.#ledger.sweep(timer.now()));
-      for (const fingerprint of this.#own) {
+      this.#applyChange("age", () => this.#ledger.sweep(timer.now()));
+      for (const fingerprint of this.#reportedHere) {
         if (!this.#ledger.suspects.has(fingerprint)) {
-          this.#own.delete(fingerprint);
+          this.#reportedHere.delete(fingerprint);
         }
       }
     };
-    return timer.registerInterval(sweep, SWEEP_MILLISECONDS);
+    return timer.registerInterval(sweep, SWEEP_INTERVAL_MILLISECONDS);
   }
 
-  /** Takes in that an endpoint crashed under a request. */
-  crashed(report: CrashReport): void {
+  /** Records that an endpoint crashed while running a request. */
+  reportCrash(report: CrashReport): void {
     const now = this.#options.timer.now();
-    this.#own.add(report.fingerprint);
-    this.#change("own", () => this.#ledger.report(report, now));
+    this.#reportedHere.add(report.fingerprint);
+    this.#applyChange("own", () => this.#ledger.report(report, now));
   }
 
-  /** Takes in that an endpoint answered a request to its end. */
+  /** Records that an endpoint answered a request completely. */
   served(fingerprint: string): void {
     this.#served.add(fingerprint);
-    if (this.#ledger.suspects.has(fingerprint)) this.#vouch("own");
+    if (this.#ledger.suspects.has(fingerprint)) this.#clearServed("own");
   }
 
-  /** Takes in what others know. */
-  take(page: CrashPage, source: QuarantineSource): void {
+  /** Merges reports from other daemons or the store. */
+  merge(page: CrashPage, source: QuarantineSource): void {
     const now = this.#options.timer.now();
-    this.#change(source, () => this.#ledger.merge(page, now));
+    this.#applyChange(source, () => this.#ledger.merge(page, now));
   }
 
-  /** Everything that is known, or what concerns one request. */
+  /** All reports, or those of one request. */
   page(fingerprint?: string): CrashPage {
     return this.#ledger.page(this.#options.timer.now(), fingerprint);
   }
@@ -99,21 +99,24 @@
     return () => this.#listeners.delete(listener);
   }
 
-  #change(source: QuarantineSource, act: () => boolean): void {
+  #applyChange(source: QuarantineSource, act: () => boolean): void {
     const before = this.#ledger.poison;
     const isNew = act();
     this.#logChange(before, source);
     if (!isNew) return;
     for (const listener of this.#listeners) listener(source);
-    this.#vouch(source);
+    this.#clearServed(source);
   }
 
-  /** Clears suspects that this daemon served. */
-  #vouch(source: QuarantineSource): void {
+  /** Clears suspects that this daemon has served. */
+  #clearServed(source: QuarantineSource): void {
     const now = this.#options.timer.now();
     for (const fingerprint of this.#ledger.suspects) {
       if (!this.#served.has(fingerprint)) continue;
-      this.#change(source, () => this.#ledger.markServed(fingerprint, now));
+      this.#applyChange(
+        source,
+        () => this.#ledger.markServed(fingerprint, now),
+      );
     }
   }
 
--- a/packages/kelpspar-gateway/src/quarantine/quarantine_parts.ts
+++ b/packages/kelpspar-gateway/src/quarantine/quarantine_parts.ts
@@ -1,24 +1,24 @@
-import type { CrashWatchOptions } from "./crash_watch.ts";
+import type { CrashDetectorOptions } from "./crash_detector.ts";
 import type { QuarantineSyncOptions } from "./quarantine_sync.ts";
-import { CrashWatch } from "./crash_watch.ts";
+import { CrashDetector } from "./crash_detector.ts";
 import { Quarantine } from "./quarantine.ts";
 import { QuarantineSync } from "./quarantine_sync.ts";
 
-/** What a daemon's quarantine is made with. */
+/** Options of `createQuarantineParts`. */
 export type QuarantinePartsOptions =
-  & Omit<CrashWatchOptions, "quarantine">
+  & Omit<CrashDetectorOptions, "quarantine">
   & Omit<QuarantineSyncOptions, "quarantine">;
 
-/** A daemon's quarantine: what is known, who finds it out, who shares it. */
+/** A daemon's quarantine, its crash detector and its sync with peers. */
 export interface QuarantineParts {
   readonly quarantine: Quarantine;
-  readonly watch: CrashWatch;
+  readonly detector: CrashDetector;
   readonly sync: QuarantineSync;
-  /** Begins to forget and to tell others; returns the teardown. */
+  /** Starts expiring reports and notifying peers; returns the teardown. */
   register(): () => void;
 }
 
-/** Makes the parts; nothing happens until `register`. */
+/** Creates the parts; they are inactive until `register`. */
 export function createQuarantineParts(
   options: QuarantinePartsOptions,
 ): QuarantineParts {
@@ -27,7 +27,7 @@
   return {
     quarantine,
     sync,
-    watch: new CrashWatch({ ...options, quarantine }),
+    detector: new CrashDetector({ ...options, quarantine }),
     register: (): () => void => {
       const teardowns = [quarantine.register(), sync.register()];
       return () => teardowns.forEach((teardown) => teardown());
--- a/packages/kelpspar-gateway/src/quarantine/quarantine_rows.ts
+++ b/packages/kelpspar-gateway/src/quarantine/quarantine_rows.ts
@@ -3,21 +3,21 @@
 import type { StoreEra } from "../tables/store_era.ts";
 import type { TableRow, TableStore } from "../tables/table_store.ts";
 import type { Quarantine } from "./quarantine.ts";
-import { callUntilDone } from "../tables/call_until_done.ts";
+import { retryUntilSuccess } from "../tables/retry_until_success.ts";
 import {
   crashMessageSchema,
   fromCrashMessage,
   toCrashMessage,
 } from "./crash_message.ts";
 
-/** Wait after a call that failed, milliseconds. */
-const FAILED_PAUSE_MILLISECONDS = 2_000;
-/** Crashes within so long share a read of the table, milliseconds. */
-const READ_PAUSE_MILLISECONDS = 1_000;
-/** Rows that a restored store lost are written again within so long, ms. */
-const WRITE_AGAIN_MILLISECONDS = 2_000;
+/** Delay after a failed call, milliseconds. */
+const RETRY_DELAY_MILLISECONDS = 2_000;
+/** Crashes within this interval share a read of the table, milliseconds. */
+const READ_INTERVAL_MILLISECONDS = 1_000;
+/** Rows that a restored store lost are rewritten within this time, ms. */
+const REWRITE_JITTER_MILLISECONDS = 2_000;
 
-/** What rows of a quarantine are kept with. */
+/** Options of `QuarantineRows`. */
 export interface QuarantineRowsOptions {
   readonly store: TableStore;
   readonly era: StoreEra;
@@ -29,65 +29,65 @@
 }
 
 /**
- * Keeps poison requests in the store, for daemons that all end at once. A
- * daemon that saw one of a request's crashes writes its row. The table is read
- * with each crash that a daemon sees itself: one that starts alone, or that no
- * other reaches, learns of the request before it sends it once more.
+ * Stores poison requests, in case all daemons terminate at once. A daemon that
+ * detected one of a request's crashes writes its row. It also reads the table
+ * after each crash that it detects. A daemon that starts alone, or that no
+ * other daemon reaches, thus learns of the request before it sends it again.
  */
 export class QuarantineRows {
   readonly #options: QuarantineRowsOptions;
-  /** Requests whose rows are as they should be, or are being written. */
-  readonly #kept = new Set<string>();
+  /** Requests whose rows are written, or are being written. */
+  readonly #writtenRows = new Set<string>();
   #readAt = Number.NEGATIVE_INFINITY;
-  /** A read is planned or under way, tried again while the store is away. */
+  /** A read is scheduled or running; retried while the store is down. */
   #isReadDue = false;
 
   constructor(options: QuarantineRowsOptions) {
     this.#options = options;
   }
 
-  /** Begins to read and write rows; returns the teardown. */
+  /** Starts reading and writing rows; returns the teardown. */
   register(): () => void {
     const { quarantine, era, timer, random } = this.#options;
     const teardowns = [
       quarantine.registerListener((source) => {
-        if (source === "own") this.#readSoon();
-        this.#keep();
+        if (source === "own") this.#scheduleRead();
+        this.#syncRows();
       }),
       era.registerListener(() => {
-        this.#kept.clear();
-        const wait = random.next() * WRITE_AGAIN_MILLISECONDS;
-        timer.registerTimeout(() => this.#keep(), wait);
+        this.#writtenRows.clear();
+        const wait = random.next() * REWRITE_JITTER_MILLISECONDS;
+        timer.registerTimeout(() => this.#syncRows(), wait);
       }),
     ];
     return () => teardowns.forEach((teardown) => teardown());
   }
 
-  #readSoon(): void {
+  #scheduleRead(): void {
     if (this.#isReadDue) return;
     this.#isReadDue = true;
     const { timer } = this.#options;
-    const wait = this.#readAt + READ_PAUSE_MILLISECONDS - timer.now();
+    const wait = this.#readAt + READ_INTERVAL_MILLISECONDS - timer.now();
     const read = (): void => {
       this.#readAt = timer.now();
-      void this.#try("quarantine not read", () => this.#read());
+      void this.#retry("failed to read quarantine table", () => this.#read());
     };
     if (wait <= 0) read();
     else timer.registerTimeout(read, wait);
   }
 
-  /** Writes rows of new poison requests, and drops those of released ones. */
-  #keep(): void {
+  /** Writes rows of new poison requests and removes those of released ones. */
+  #syncRows(): void {
     const { quarantine } = this.#options;
     for (const fingerprint of quarantine.fingerprints) {
       if (!quarantine.isOwn(fingerprint)) continue;
-      if (this.#kept.has(fingerprint)) continue;
-      this.#kept.add(fingerprint);
+      if (this.#writtenRows.has(fingerprint)) continue;
+      this.#writtenRows.add(fingerprint);
       this.#write(fingerprint);
     }
-    for (const fingerprint of this.#kept) {
-      if (quarantine.holds(fingerprint)) continue;
-      this.#kept.delete(fingerprint);
+    for (const fingerprint of this.#writtenRows) {
+      if (quarantine.has(fingerprint)) continue;
+      this.#writtenRows.delete(fingerprint);
       this.#write(fingerprint);
     }
   }
@@ -96,23 +96,23 @@
     const { store, table, era, timer, quarantine } = this.#options;
     const startedAt = timer.now();
     const page = await store.readTable(table);
-    if (era.answered(page.era, startedAt) === "late") {
+    if (era.checkAnswer(page.era, startedAt) === "late") {
       throw new Error("The store answered from an earlier era");
     }
     this.#isReadDue = false;
-    for (const row of page.rows) this.#take(row);
+    for (const row of page.rows) this.#mergeRow(row);
     this.#options.log.info("quarantine read", {
       rows: page.rows.length,
       quarantined: quarantine.size,
     });
   }
 
-  #take(row: TableRow): void {
+  #mergeRow(row: TableRow): void {
     try {
       const message = crashMessageSchema.parse(JSON.parse(row.text));
-      this.#options.quarantine.take(fromCrashMessage(message), "store");
+      this.#options.quarantine.merge(fromCrashMessage(message), "store");
     } catch (error) {
-      this.#options.log.warn("quarantine row not understood", {
+      this.#options.log.warn("invalid quarantine row", {
         key: row.key,
         reason: error instanceof Error ? error.message : String(error),
       });
@@ -121,18 +121,23 @@
 
   #write(fingerprint: string): void {
     const { store, table, era, timer, quarantine } = this.#options;
-    void this.#try("quarantine row not written", async () => {
+    void this.#retry("failed to write quarantine row", async () => {
       const startedAt = timer.now();
-      const text = quarantine.holds(fingerprint)
+      const text = quarantine.has(fingerprint)
         ? JSON.stringify(toCrashMessage(quarantine.page(fingerprint)))
         : undefined;
-      era.answered(await store.write(table, fingerprint, text), startedAt);
+      era.checkAnswer(await store.write(table, fingerprint, text), startedAt);
     });
   }
 
-  /** Tries until it is done. */
-  #try(message: string, act: () => Promise<void>): Promise<void> {
-    const pauseMilliseconds = FAILED_PAUSE_MILLISECONDS;
-    return callUntilDone({ ...this.#options, act, message, pauseMilliseconds });
+  /** Retries `operation` until it succeeds. */
+  #retry(message: string, operation: () => Promise<void>): Promise<void> {
+    const retryDelayMilliseconds = RETRY_DELAY_MILLISECONDS;
+    return retryUntilSuccess({
+      ...this.#options,
+      operation,
+      message,
+      retryDelayMilliseconds,
+    });
   }
 }
--- a/packages/kelpspar-gateway/src/quarantine/quarantine_sync.ts
+++ b/packages/kelpspar-gateway/src/quarantine/quarantine_sync.ts
@@ -6,15 +6,15 @@
 import type { Quarantine, QuarantineSource } from "./quarantine.ts";
 import { KnowledgeSync } from "../fleet/knowledge_sync.ts";
 
-/** Daemons that are told at once, by the source of the news. */
-const PEERS_TOLD: Readonly<Record<QuarantineSource, number>> = {
+/** Peers that are notified immediately, by the source of the change. */
+const PEERS_NOTIFIED: Readonly<Record<QuarantineSource, number>> = {
   own: 8,
   daemon: 2,
   store: 0,
   age: 0,
 };
 
-/** What a sync works with. */
+/** Options of `QuarantineSync`. */
 export interface QuarantineSyncOptions {
   readonly quarantine: Quarantine;
   readonly peers: Pick<PeerClient, "shareCrashes">;
@@ -23,7 +23,7 @@
   readonly log: GatewayLog;
 }
 
-/** Keeps all daemons at the same knowledge of crashes. */
+/** Synchronizes crash reports among all daemons. */
 export class QuarantineSync extends KnowledgeSync<CrashPage> {
   readonly #quarantine: Quarantine;
 
@@ -37,17 +37,17 @@
           return quarantine.checksum;
         },
         page: () => quarantine.page(),
-        take: (page) => void quarantine.take(page, "daemon"),
+        take: (page) => void quarantine.merge(page, "daemon"),
       },
       share: (peer, page) => peers.shareCrashes(peer, page),
     });
     this.#quarantine = quarantine;
   }
 
-  /** Tells others of news; returns the teardown. */
+  /** Starts notifying peers of changes; returns the teardown. */
   register(): () => void {
     return this.#quarantine.registerListener((source) =>
-      this.tellSome(PEERS_TOLD[source])
+      this.tellSome(PEERS_NOTIFIED[source])
     );
   }
 }
--- a/packages/kelpspar-gateway/src/quarantine/request_fingerprint.ts
+++ b/packages/kelpspar-gateway/src/quarantine/request_fingerprint.ts
@@ -1,12 +1,12 @@
 import { createHash } from "node:crypto";
 
-/** 80 bits: two requests of one fleet never share a fingerprint in practice. */
+/** 80 bits, so that collisions within a fleet don't occur in practice. */
 const FINGERPRINT_CHARACTERS = 20;
 const SEPARATOR = "\n";
 
-/** What makes two attempts the same request. */
+/** The parts that identify a request across its attempts. */
 export interface FingerprintedRequest {
-  /** The client account, or the key of a caller without one. */
+  /** The client account, or the key of a caller without an account. */
   readonly caller: string;
   readonly method: string;
   readonly host: string;
@@ -16,8 +16,8 @@
 }
 
 /**
- * Names a request whatever the id of its attempt: the same for each repeat by
- * the same caller, at any daemon. Hexadecimal; tells nothing of its contents.
+ * Identifies a request independently of its attempt id: equal for each repeat
+ * by the same caller at any daemon. Hexadecimal; doesn't reveal its contents.
  */
 export function requestFingerprint(request: FingerprintedRequest): string {
   const { caller, method, host, target, body } = request;
--- a/packages/kelpspar-gateway/src/requests/endpoint_sender.ts
+++ b/packages/kelpspar-gateway/src/requests/endpoint_sender.ts
@@ -145,7 +145,7 @@
       answer.type === "unreachable";
     if (didNotRun) run.runs--;
     if (answer.type === "unreachable") run.arrivals--;
-    parts.metrics.countCall(service, answer.type);
+    parts.metrics.countEndpointCall(service, answer.type);
     const answeredAt = answer.type === "answered"
       ? parts.timer.now()
       : undefined;
--- a/packages/kelpspar-gateway/src/requests/request_dispatch.ts
+++ b/packages/kelpspar-gateway/src/requests/request_dispatch.ts
@@ -235,7 +235,7 @@
 
   #watchCrash({ endpoint, sentAt, answeredAt }: Sent): void {
     const { fingerprint, options } = this.#run;
-    void options.parts.crashes.cut({
+    void options.parts.crashes.checkEndpoint({
       attemptId: options.request.attemptId,
       fingerprint,
       endpoint: endpoint.entry,
--- a/packages/kelpspar-gateway/src/requests/request_parts.ts
+++ b/packages/kelpspar-gateway/src/requests/request_parts.ts
@@ -1,10 +1,10 @@
 import type { RandomSource, TimerService } from "kelpspar-shared";
-import type { ConfigurationKeeper } from "../configuration/configuration_keeper.ts";
+import type { ActiveConfiguration } from "../configuration/active_configuration.ts";
 import type { EndpointGate } from "../endpoints/endpoint_gate.ts";
 import type { EndpointBook } from "../endpoints/endpoint_book.ts";
 import type { GatewayLog } from "../log/gateway_log.ts";
 import type { GatewayMetrics } from "../metrics/gateway_metrics.ts";
-import type { CrashWatch } from "../quarantine/crash_watch.ts";
+import type { CrashDetector } from "../quarantine/crash_detector.ts";
 import type { Quarantine } from "../quarantine/quarantine.ts";
 import type { ServiceRetryBudget } from "../retries/service_retry_budget.ts";
 import type { ChainRunner } from "./chain_runner.ts";
@@ -13,15 +13,15 @@
 
 /** What requests are served with. */
 export interface RequestParts {
-  readonly configuration: ConfigurationKeeper;
+  readonly configuration: ActiveConfiguration;
   readonly book: EndpointBook;
   readonly endpoints: EndpointClient;
   /** For the endpoints that this daemon chooses itself. */
   readonly gate: EndpointGate;
   readonly chains: ChainRunner;
   readonly budget: ServiceRetryBudget;
-  readonly crashes: Pick<CrashWatch, "cut">;
-  readonly quarantine: Pick<Quarantine, "holds" | "served">;
+  readonly crashes: Pick<CrashDetector, "checkEndpoint">;
+  readonly quarantine: Pick<Quarantine, "has" | "served">;
   readonly times: ExpectedTimes;
   readonly timer: TimerService;
   readonly random: RandomSource;
--- a/packages/kelpspar-gateway/src/requests/request_run.ts
+++ b/packages/kelpspar-gateway/src/requests/request_run.ts
@@ -95,7 +95,7 @@
 
   /** True when it crashed endpoints and must not be sent to any other. */
   get isQuarantined(): boolean {
-    return this.options.parts.quarantine.holds(this.fingerprint);
+    return this.options.parts.quarantine.has(this.fingerprint);
   }
 
   /** Monotonic milliseconds. */
--- a/packages/kelpspar-gateway/src/tables/own_row.ts
+++ b/packages/kelpspar-gateway/src/tables/own_row.ts
@@ -2,9 +2,9 @@
 import type { GatewayLog } from "../log/gateway_log.ts";
 import type { EraListener, StoreEra } from "./store_era.ts";
 import type { TablePage, TableStore } from "./table_store.ts";
-import { callUntilDone } from "./call_until_done.ts";
+import { retryUntilSuccess } from "./retry_until_success.ts";
 
-/** What a daemon's own row is kept with. */
+/** Options of `OwnRow`. */
 export interface OwnRowOptions {
   readonly store: TableStore;
   readonly era: StoreEra;
@@ -14,28 +14,28 @@
   readonly timer: TimerService;
   readonly random: RandomSource;
   readonly log: GatewayLog;
-  /** Writes a second that a table takes. */
+  /** Writes per second that a table accepts. */
   readonly writesPerSecond: number;
-  /** Daemons that write a row of their own, this one among them. */
+  /** Number of daemons that write such a row, including this one. */
   readonly fleetSize: () => number;
-  /** Takes the table as it was read after the store's return. */
-  readonly onTable: (page: TablePage) => void;
-  /** Told that the row is as it should be after the store's return. */
-  readonly onKept: (how: "found" | "written") => void;
+  /** Receives the table as read after the store was restored. */
+  readonly onTableRead: (page: TablePage) => void;
+  /** Called when the row is correct again after the store was restored. */
+  readonly onVerified: (how: "found" | "written") => void;
 }
 
-/** Wait after a call that failed, milliseconds. */
-const FAILED_PAUSE_MILLISECONDS = 3_500;
-/** Share of the table's writes that a whole fleet may take up at once. */
-const WRITES_SHARE = 0.5;
+/** Delay after a failed call, milliseconds. */
+const RETRY_DELAY_MILLISECONDS = 3_500;
+/** Share of the table's write rate that the whole fleet may use at once. */
+const FLEET_WRITE_SHARE = 0.5;
 const MILLISECONDS_PER_SECOND = 1_000;
 
 /**
- * This daemon's own row in the store. What goes wrong: a store that comes back
- * from an older copy may lack it, so that daemons which start later never hear
- * of this one; or have it again though the daemon is leaving. After each return
- * the table is read and the row put right, by all daemons spread over the time
- * that the table needs for as many writes.
+ * This daemon's own row in the store. A store that was restored from an older
+ * copy may lack the row, so that daemons that start later never discover this
+ * one; or it may contain the row again although the daemon is leaving. After
+ * each restore every daemon reads the table and corrects its row. The checks
+ * are spread over the time that the table needs for that many writes.
  */
 export class OwnRow {
   readonly #options: OwnRowOptions;
@@ -45,65 +45,72 @@
     this.#options = options;
   }
 
-  /** Writes the row, and puts it right later; returns the teardown. */
+  /** Writes the row and corrects it after restores; returns the teardown. */
   register(): () => void {
-    void this.#try("own row not written", () => this.#write());
-    const restored: EraListener = () => this.#checkSoon();
+    void this.#retry("failed to write own row", () => this.#write());
+    const restored: EraListener = () => this.#scheduleCheck();
     return this.#options.era.registerListener(restored);
   }
 
-  /** Takes the row out, so that nobody asks for this daemon any more. */
+  /** Removes the row, so that other daemons no longer contact this one. */
   async leave(): Promise<void> {
     this.#isLeaving = true;
     try {
       await this.#write();
     } catch (error) {
-      this.#options.log.warn("own row not removed", { reason: String(error) });
+      this.#options.log.warn("failed to remove own row", {
+        reason: String(error),
+      });
     }
   }
 
-  #checkSoon(): void {
+  #scheduleCheck(): void {
     const { timer, random, fleetSize, writesPerSecond } = this.#options;
     const spread = fleetSize() * MILLISECONDS_PER_SECOND /
-      (writesPerSecond * WRITES_SHARE);
+      (writesPerSecond * FLEET_WRITE_SHARE);
     timer.registerTimeout(
-      () => void this.#try("own row not looked for", () => this.#check()),
+      () => void this.#retry("failed to check own row", () => this.#check()),
       random.next() * spread,
     );
   }
 
   async #check(): Promise<void> {
-    const { store, table, key, text, timer, era, onTable, onKept } =
+    const { store, table, key, text, timer, era, onTableRead, onVerified } =
       this.#options;
     const startedAt = timer.now();
     const page = await store.readTable(table);
-    if (era.answered(page.era, startedAt) === "late") {
+    if (era.checkAnswer(page.era, startedAt) === "late") {
       throw new Error("The store answered from an earlier era");
     }
-    onTable(page);
+    onTableRead(page);
     const found = page.rows.find((row) => row.key === key)?.text;
     if (found === (this.#isLeaving ? undefined : text)) {
-      onKept("found");
+      onVerified("found");
       return;
     }
     await this.#write();
-    onKept("written");
+    onVerified("written");
   }
 
   async #write(): Promise<void> {
     const { store, table, key, text, timer, era } = this.#options;
     const startedAt = timer.now();
-    const word = await store.write(
+    const reportedEra = await store.write(
       table,
       key,
       this.#isLeaving ? undefined : text,
     );
-    era.answered(word, startedAt);
+    era.checkAnswer(reportedEra, startedAt);
   }
 
-  /** Tries until it is done. */
-  #try(message: string, act: () => Promise<void>): Promise<void> {
-    const pauseMilliseconds = FAILED_PAUSE_MILLISECONDS;
-    return callUntilDone({ ...this.#options, act, message, pauseMilliseconds });
+  /** Retries `operation` until it succeeds. */
+  #retry(message: string, operation: () => Promise<void>): Promise<void> {
+    const retryDelayMilliseconds = RETRY_DELAY_MILLISECONDS;
+    return retryUntilSuccess({
+      ...this.#options,
+      operation,
+      message,
+      retryDelayMilliseconds,
+    });
   }
 }
--- a/packages/kelpspar-gateway/src/tables/relay_times.ts
+++ b/packages/kelpspar-gateway/src/tables/relay_times.ts
@@ -1,68 +1,71 @@
-/** From what the times of passing the list on are worked out. */
+/** Limits from which the relay times are computed. */
 export interface RelayBounds {
-  /** After which a leaving endpoint must get no more requests, milliseconds. */
+  /** Time after which a leaving endpoint must get no requests, milliseconds. */
   readonly drainMilliseconds: number;
-  /** From the choice of an endpoint until a request is there, milliseconds. */
+  /** From the choice of an endpoint until the request arrives, milliseconds. */
   readonly sendMilliseconds: number;
 }
 
-/** When readers call, and how long a daemon waits for what they pass on. */
+/** How often readers poll, and how long followers wait for their answers. */
 export interface RelayTimes {
-  /** Least time between the starts of two calls of a reader, milliseconds. */
+  /** Least time between the starts of two reader calls, milliseconds. */
   readonly paceMilliseconds: number;
   /** How long a reader's call waits for a change, milliseconds. */
   readonly waitMilliseconds: number;
-  /** How long a reader's call may take beside that, milliseconds. */
+  /** Timeout of a reader's call, in addition to that wait, milliseconds. */
   readonly limitMilliseconds: number;
-  /** After this a reader answers although nothing changed, milliseconds. */
-  readonly followMilliseconds: number;
-  /** How long its answer may take beside that, milliseconds. */
-  readonly followLimitMilliseconds: number;
-  /** A daemon that lost its source reads for itself within this, ms. */
-  readonly spreadMilliseconds: number;
+  /** Long-poll wait: a reader then answers without changes, milliseconds. */
+  readonly followWaitMilliseconds: number;
+  /** Timeout of a follow call, in addition to that wait, milliseconds. */
+  readonly followTimeoutMilliseconds: number;
+  /** A daemon that lost its source reads the store itself within this, ms. */
+  readonly fallbackJitterMilliseconds: number;
 }
 
-/** A call to the store, milliseconds; a slow one answers within it too. */
-const LIMIT_MILLISECONDS = 600;
-/** Between daemons, with a machine that is busy, milliseconds. */
-const FOLLOW_LIMIT_MILLISECONDS = 400;
-/** Keeps a whole fleet that lost its readers from calling at once, ms. */
-const SPREAD_MILLISECONDS = 200;
-/** Time of answers and of timers that fire late, milliseconds. */
-const ANSWER_MILLISECONDS = 150;
-/** A shorter cycle of a reader saves no calls, milliseconds. */
-const LEAST_CYCLE_MILLISECONDS = 500;
+/** Timeout of a store call, milliseconds; a slow store still answers in it. */
+const STORE_CALL_TIMEOUT_MILLISECONDS = 600;
+/** Timeout of a call between daemons on a busy machine, milliseconds. */
+const FOLLOW_TIMEOUT_MILLISECONDS = 400;
+/** Keeps a fleet that lost its readers from calling all at once, ms. */
+const FALLBACK_JITTER_MILLISECONDS = 200;
+/** Margin for handling answers and for late timers, milliseconds. */
+const PROCESSING_MARGIN_MILLISECONDS = 150;
+/** A shorter reader cycle saves no calls, milliseconds. */
+const MINIMUM_CYCLE_MILLISECONDS = 500;
 /**
- * How long a reader's call waits for a change, milliseconds. Heartbeats of
- * endpoints answer it at once as a rule, so that the pace alone says how many
- * calls are made.
+ * How long a reader's call waits for a change, milliseconds. Endpoint
+ * heartbeats usually complete it at once, so that the pace alone determines the
+ * number of calls.
  */
-const WAIT_MILLISECONDS = 200;
+const READER_WAIT_MILLISECONDS = 200;
 
 /**
- * Works out when readers call and followers give them up; undefined when the
- * bound leaves no time for a second hop, so that each daemon reads for itself.
+ * Computes when readers poll and when followers time out. Undefined when the
+ * drain limit leaves no time for a second hop; each daemon then reads for
+ * itself.
  *
- * Load: a reader's calls vanish just after an answer, or the reader itself
- * stands still, and an endpoint leaves at that moment. The follower must notice
- * and read for itself before the bound of leaving is over:
+ * Worst case: an endpoint leaves just as a reader loses its connection to the
+ * store after an answer, or just as the reader itself stalls. The follower must
+ * notice and read the store itself before the drain limit expires:
  *
- * - the reader's pause, its next call's wait and limit, then the follower's
+ * - the reader's pause, its next call's wait and timeout, then the follower's
  *   own call; or
- * - the follower's wait and limit at the reader, then its own call.
+ * - the follower's wait and timeout at the reader, then its own call.
  */
 export function relayTimes(bounds: RelayBounds): RelayTimes | undefined {
-  const ownCall = SPREAD_MILLISECONDS + LIMIT_MILLISECONDS;
-  const left = bounds.drainMilliseconds - bounds.sendMilliseconds - ownCall -
-    ANSWER_MILLISECONDS;
-  const cycle = left - LIMIT_MILLISECONDS;
-  if (cycle < LEAST_CYCLE_MILLISECONDS) return undefined;
+  const ownCall = FALLBACK_JITTER_MILLISECONDS +
+    STORE_CALL_TIMEOUT_MILLISECONDS;
+  const remaining = bounds.drainMilliseconds - bounds.sendMilliseconds -
+    ownCall -
+    PROCESSING_MARGIN_MILLISECONDS;
+  const cycle = remaining - STORE_CALL_TIMEOUT_MILLISECONDS;
+  if (cycle < MINIMUM_CYCLE_MILLISECONDS) return undefined;
   return {
-    paceMilliseconds: cycle - WAIT_MILLISECONDS,
-    waitMilliseconds: WAIT_MILLISECONDS,
-    limitMilliseconds: LIMIT_MILLISECONDS,
-    followMilliseconds: left - FOLLOW_LIMIT_MILLISECONDS,
-    followLimitMilliseconds: FOLLOW_LIMIT_MILLISECONDS,
-    spreadMilliseconds: SPREAD_MILLISECONDS,
+    paceMilliseconds: cycle - READER_WAIT_MILLISECONDS,
+    waitMilliseconds: READER_WAIT_MILLISECONDS,
+    limitMilliseconds: STORE_CALL_TIMEOUT_MILLISECONDS,
+    followWaitMilliseconds: remaining - FOLLOW_TIMEOUT_MILLISECONDS,
+    followTimeoutMilliseconds: FOLLOW_TIMEOUT_MILLISECONDS,
+    fallbackJitterMilliseconds: FALLBACK_JITTER_MILLISECONDS,
   };
 }
--- a/packages/kelpspar-gateway/src/tables/restore_report.ts
+++ b/packages/kelpspar-gateway/src/tables/restore_report.ts
@@ -2,27 +2,28 @@
 import type { GatewayLog } from "../log/gateway_log.ts";
 import type { EraChange, StoreEra } from "./store_era.ts";
 
-/** What a report is made with. */
+/** Options of `RestoreReport`. */
 export interface RestoreReportOptions {
   readonly era: StoreEra;
   readonly timer: TimerService;
   readonly log: GatewayLog;
-  /** Tables that are read anew, as names of log fields. */
+  /** Tables that are read again after a restore; logged by name. */
   readonly tables: readonly string[];
 }
 
 interface OpenReport {
   readonly change: EraChange;
   readonly since: number;
-  /** Rows read anew, by table. */
+  /** Number of rows read again, by table. */
   readonly rows: Map<string, number>;
   ownRow: "found" | "written" | undefined;
 }
 
 /**
- * Logs one line for each return of the store from an older copy: both eras, who
- * told of it, what was read anew and whether the own row was written again. The
- * line comes once all that is done, or when the store returns once more.
+ * Logs one line for each restore of the store from an older copy: both eras,
+ * who reported it, which tables were read again and whether the own row had to
+ * be rewritten. The line is written once all that is done, or at the next
+ * restore.
  */
 export class RestoreReport {
   readonly #options: RestoreReportOptions;
@@ -30,37 +31,37 @@
 
   constructor(options: RestoreReportOptions) {
     this.#options = options;
-    options.era.registerListener((change) => this.#begin(change));
+    options.era.registerListener((change) => this.#start(change));
   }
 
   tableRead(table: string, rows: number): void {
     const open = this.#open;
     if (open === undefined || open.rows.has(table)) return;
     open.rows.set(table, rows);
-    this.#endIfComplete();
+    this.#finishIfComplete();
   }
 
-  ownRowKept(how: "found" | "written"): void {
+  ownRowVerified(how: "found" | "written"): void {
     if (this.#open === undefined) return;
     this.#open.ownRow = how;
-    this.#endIfComplete();
+    this.#finishIfComplete();
   }
 
-  #begin(change: EraChange): void {
-    this.#end();
+  #start(change: EraChange): void {
+    this.#finish();
     const since = this.#options.timer.now();
     this.#open = { change, since, rows: new Map(), ownRow: undefined };
   }
 
-  #endIfComplete(): void {
+  #finishIfComplete(): void {
     const open = this.#open;
     if (open?.ownRow === undefined) return;
     if (this.#options.tables.every((table) => open.rows.has(table))) {
-      this.#end();
+      this.#finish();
     }
   }
 
-  #end(): void {
+  #finish(): void {
     const open = this.#open;
     if (open === undefined) return;
     this.#open = undefined;
--- a/packages/kelpspar-gateway/src/tables/shared_tables.ts
+++ b/packages/kelpspar-gateway/src/tables/shared_tables.ts
@@ -10,39 +10,39 @@
 import type { FollowClient } from "./table_follower.ts";
 import type { TableListener } from "./table_mirror.ts";
 import type { TableRow, TableStore } from "./table_store.ts";
-import { ListFreshness } from "./list_freshness.ts";
+import { TableFreshness } from "./table_freshness.ts";
 import { RestoreReport } from "./restore_report.ts";
 import { TableFeed } from "./table_feed.ts";
 import { TableFollower } from "./table_follower.ts";
 import { TableMirror } from "./table_mirror.ts";
 import { TableRelay } from "./table_relay.ts";
 
-/** A table that is followed. */
+/** A table that this daemon keeps a copy of. */
 export interface TableSubscription extends TableListener {
   readonly table: string;
-  /** Told to daemons that don't read it themselves. */
+  /** Whether it is relayed to daemons that don't read it themselves. */
   readonly isRelayed: boolean;
   /**
-   * Its calls show whether this daemon's tables are as the store has them; the
-   * one that is read most often.
+   * Its calls determine whether this daemon's tables are up to date. Set on
+   * the table that is read most often.
    */
-  readonly isPulse: boolean;
-  /** When the store is asked for it, unless `isPulse` and passed on. */
+  readonly isFreshnessProbe: boolean;
+  /** When the store is polled, unless `isFreshnessProbe` and relayed. */
   readonly times: FeedTimes;
   readonly isUrgent?: () => boolean;
-  /** Whether a row that was written again says nothing new to others. */
+  /** Whether a rewritten row has no new information for followers. */
   readonly isSameRow?: (known: TableRow, row: TableRow) => boolean;
-  /** Told of an answer of the store, before what it holds is taken. */
+  /** Called on an answer of the store, before its rows are applied. */
   readonly answered?: () => void;
-  /** Told when a call to the store that began at `startedAt` failed. */
+  /** Called when a store call that began at `startedAt` failed. */
   readonly failed?: (startedAt: number) => void;
-  /** Told that another daemon confirmed the table; see `FollowAnswer`. */
+  /** Called when another daemon confirmed the table; see `FollowAnswer`. */
   readonly confirmed?: (heldUntil: number | undefined) => void;
-  /** Told that versions and absences learned before mean nothing any more. */
+  /** Called when earlier versions and missing rows are no longer valid. */
   readonly restored?: () => void;
 }
 
-/** What shared tables work with. */
+/** Options of `SharedTables`. */
 export interface SharedTablesOptions {
   readonly store: TableStore;
   readonly era: StoreEra;
@@ -50,32 +50,33 @@
   readonly random: RandomSource;
   readonly log: GatewayLog;
   readonly anomalies: Pick<AnomalyLog, "note">;
-  /** Decides whether a missing entry lapsed or its endpoint has left. */
+  /** Decides whether a missing entry lapsed or its endpoint left. */
   readonly lapses: LapseWindow;
-  /** Undefined where the bounds leave no time to pass tables on. */
+  /** Undefined where the limits leave no time to relay tables. */
   readonly relayTimes: RelayTimes | undefined;
   readonly client: FollowClient;
   readonly plan: () => ReadingPlan;
-  /** Tables that are named in the log once the store was restored. */
-  readonly reported: readonly string[];
-  /** Told when the tables were last as the store has them. */
+  /** Tables that the log line of a store restore names. */
+  readonly reportedTables: readonly string[];
+  /** Receives the time when the tables were last confirmed up to date. */
   readonly onConfirmed: (at: number) => void;
 }
 
 /**
- * A daemon that lost its source reads for itself this often, ms, and pauses so
- * long while its calls fail: a whole fleet does it at once, and hears of the
- * store's return from its sources.
+ * Poll interval and retry delay of a daemon that lost its source and reads for
+ * itself, milliseconds. Both are long because the whole fleet may do so at
+ * once, and followers learn of the store's recovery from their sources.
  */
-const OWN_PACE_MILLISECONDS = 1_100;
-const OWN_PAUSE_MILLISECONDS = 2_000;
-/** How often a daemon looks whether it is to read for others, milliseconds. */
-const LOOK_MILLISECONDS = 250;
+const FALLBACK_POLL_MILLISECONDS = 1_100;
+const FALLBACK_RETRY_MILLISECONDS = 2_000;
+/** How often a daemon checks whether it is a reader, milliseconds. */
+const ROLE_CHECK_MILLISECONDS = 250;
 
 /**
- * The store's tables as this daemon knows them. A few daemons of each
- * availability zone read them at the store and pass changes on; the others
- * follow one of these, and read for themselves as long as none is fresh.
+ * This daemon's copies of the store's tables. A few daemons of each
+ * availability zone read the tables from the store and relay changes. The
+ * others follow one of these readers, and read the store themselves while no
+ * reader is fresh.
  */
 export class SharedTables {
   readonly #options: SharedTablesOptions;
@@ -83,12 +84,12 @@
   readonly #relayed = new Map<string, TableMirror>();
   readonly #feeds: TableFeed[] = [];
   readonly #subscriptions: TableSubscription[] = [];
-  readonly #freshness = new ListFreshness();
+  readonly #freshness = new TableFreshness();
   readonly #relay: TableRelay;
   readonly #report: RestoreReport;
-  /** The source was lost, and none was found since. */
+  /** The source was lost and no other was found since. */
   #isSourceLost = false;
-  /** Whether it read for others when it last looked. */
+  /** Whether this daemon was a reader at the last check. */
   #wasReader = true;
 
   constructor(options: SharedTablesOptions) {
@@ -98,20 +99,23 @@
       mirrors: this.#relayed,
       freshness: this.#freshness,
     });
-    this.#report = new RestoreReport({ ...options, tables: options.reported });
-    options.era.registerListener(() => this.#restored());
+    this.#report = new RestoreReport({
+      ...options,
+      tables: options.reportedTables,
+    });
+    options.era.registerListener(() => this.#onRestored());
   }
 
-  /** Follows a table from `register` on. */
+  /** Adds a table, which is followed once `register` is called. */
   add(subscription: TableSubscription): void {
     const { table, isRelayed, isSameRow } = subscription;
     const mirror = new TableMirror(table, {
       isSameRow,
-      takeTable: (page) => {
-        subscription.takeTable(page);
+      applyTable: (page) => {
+        subscription.applyTable(page);
         this.#report.tableRead(table, page.rows.length);
       },
-      takeChanges: (page) => subscription.takeChanges(page),
+      applyChanges: (page) => subscription.applyChanges(page),
       changed: () => {
         if (isRelayed) this.#relay.changed();
       },
@@ -122,7 +126,7 @@
     this.#feeds.push(this.#createFeed(subscription, mirror));
   }
 
-  /** Begins to follow; returns the teardown. */
+  /** Starts following the tables; returns the teardown. */
   register(): () => void {
     const { relayTimes } = this.#options;
     const teardowns = this.#feeds.map((feed) => feed.register());
@@ -132,31 +136,31 @@
         times: relayTimes,
         mirrors: this.#relayed,
         isNeeded: () => !this.#isReader || !this.#freshness.isFresh,
-        onConfirmed: (answer) => this.#confirmed(answer),
-        onLost: () => this.#lostSource(relayTimes.spreadMilliseconds),
+        onConfirmed: (answer) => this.#onConfirmed(answer),
+        onLost: () => this.#onSourceLost(relayTimes.fallbackJitterMilliseconds),
       });
       teardowns.push(
         follower.register(),
         this.#options.timer.registerInterval(
-          () => this.#look(),
-          LOOK_MILLISECONDS,
+          () => this.#checkRole(),
+          ROLE_CHECK_MILLISECONDS,
         ),
       );
     }
     return () => teardowns.forEach((teardown) => teardown());
   }
 
-  /** Takes in that the own row is as it should be after a restore. */
-  ownRowKept(how: "found" | "written"): void {
-    this.#report.ownRowKept(how);
+  /** Records that the own row is correct after a restore. */
+  ownRowVerified(how: "found" | "written"): void {
+    this.#report.ownRowVerified(how);
   }
 
-  /** Answers another daemon that follows this one. */
+  /** Answers a daemon that follows this one. */
   answer(request: FollowRequest, gone: AbortSignal): Promise<FollowAnswer> {
     return this.#relay.answer(request, gone);
   }
 
-  /** Whether this daemon reads the tables for itself and others. */
+  /** Whether this daemon reads the tables from the store. */
   get #isReader(): boolean {
     return this.#options.plan().isReader;
   }
@@ -165,7 +169,7 @@
     subscription: TableSubscription,
     mirror: TableMirror,
   ): TableFeed {
-    const { isRelayed, isPulse, isUrgent } = subscription;
+    const { isRelayed, isFreshnessProbe, isUrgent } = subscription;
     return new TableFeed({
       ...this.#options,
       mirror,
@@ -174,16 +178,16 @@
       isNeeded: () => this.#isReader || (isRelayed && this.#isSourceLost),
       onAnswer: () => {
         subscription.answered?.();
-        if (isPulse) this.#confirm(this.#options.timer.now());
+        if (isFreshnessProbe) this.#confirm(this.#options.timer.now());
       },
       onFailure: (startedAt) => {
         subscription.failed?.(startedAt);
-        if (isPulse) this.#freshness.fail();
+        if (isFreshnessProbe) this.#freshness.markStale();
       },
     });
   }
 
-  #timesOf({ isPulse, times }: TableSubscription): FeedTimes {
+  #timesOf({ isFreshnessProbe, times }: TableSubscription): FeedTimes {
     const { relayTimes, plan } = this.#options;
     const { isShared, isReader } = plan();
     if (relayTimes === undefined || !isShared) return times;
@@ -191,23 +195,23 @@
       return {
         ...times,
         waitMilliseconds: 0,
-        paceMilliseconds: OWN_PACE_MILLISECONDS,
-        leastPauseMilliseconds: OWN_PAUSE_MILLISECONDS,
-        longestPauseMilliseconds: OWN_PAUSE_MILLISECONDS,
+        paceMilliseconds: FALLBACK_POLL_MILLISECONDS,
+        minimumRetryDelayMilliseconds: FALLBACK_RETRY_MILLISECONDS,
+        maximumRetryDelayMilliseconds: FALLBACK_RETRY_MILLISECONDS,
       };
     }
-    return isPulse ? { ...times, ...relayTimes } : times;
+    return isFreshnessProbe ? { ...times, ...relayTimes } : times;
   }
 
-  /** Takes in that another daemon confirmed the tables. */
-  #confirmed(answer: FollowAnswer): void {
+  /** Records that another daemon confirmed the tables. */
+  #onConfirmed(answer: FollowAnswer): void {
     const { timer } = this.#options;
     const now = timer.now();
     const { lapseMilliseconds, ageMilliseconds } = answer;
     const heldUntil = lapseMilliseconds > 0
       ? now + lapseMilliseconds
       : undefined;
-    for (const one of this.#subscriptions) one.confirmed?.(heldUntil);
+    for (const item of this.#subscriptions) item.confirmed?.(heldUntil);
     this.#isSourceLost = false;
     this.#confirm(now - ageMilliseconds);
   }
@@ -217,35 +221,35 @@
     this.#options.onConfirmed(at);
   }
 
-  /** Reads for itself soon, unless a source is found before. */
-  #lostSource(withinMilliseconds: number): void {
+  /** Reads the store itself soon, unless a source is found first. */
+  #onSourceLost(withinMilliseconds: number): void {
     if (this.#isSourceLost) return;
     this.#isSourceLost = true;
-    if (!this.#isReader) this.#freshness.fail();
+    if (!this.#isReader) this.#freshness.markStale();
     const { timer, random } = this.#options;
     timer.registerTimeout(() => {
       if (!this.#isSourceLost) return;
-      this.#wake();
+      this.#wakeFeeds();
     }, random.next() * withinMilliseconds);
   }
 
-  #restored(): void {
-    for (const mirror of this.#mirrors.values()) mirror.forget();
-    for (const one of this.#subscriptions) one.restored?.();
-    this.#wake();
+  #onRestored(): void {
+    for (const mirror of this.#mirrors.values()) mirror.invalidate();
+    for (const item of this.#subscriptions) item.restored?.();
+    this.#wakeFeeds();
     this.#relay.changed();
   }
 
-  /** A daemon that comes to read for others reads what it lacks at once. */
-  #look(): void {
+  /** Makes a daemon that became a reader read missing tables at once. */
+  #checkRole(): void {
     const isReader = this.#isReader;
     if (isReader === this.#wasReader) return;
     this.#wasReader = isReader;
-    this.#options.log.info("tables read", { isReader });
-    this.#wake();
+    this.#options.log.info("reader role changed", { isReader });
+    this.#wakeFeeds();
   }
 
-  #wake(): void {
+  #wakeFeeds(): void {
     for (const feed of this.#feeds) feed.wake();
   }
 }
--- a/packages/kelpspar-gateway/src/tables/table_changes.ts
+++ b/packages/kelpspar-gateway/src/tables/table_changes.ts
@@ -7,29 +7,29 @@
   isRemoved: z.boolean(),
 });
 
-/** What a daemon asks of another that reads the store's tables. */
+/** Request of a follower to a daemon that reads the store's tables. */
 export const followRequestSchema = z.object({
-  /** The store's era that it knows. */
+  /** The store's era as known to the follower. */
   era: z.number().nullable(),
-  /** Up to which version it knows each table; null where it knows nothing. */
+  /** The follower's version of each table; null where it has no copy. */
   versions: z.record(z.string(), z.number().nullable()),
-  /** Whether the last answer from there was fresh; a change is told at once. */
+  /** Whether the last answer was fresh; a difference is answered at once. */
   wasFresh: z.boolean(),
-  /** How long to wait for something to tell, milliseconds. */
+  /** Longest wait for a change, milliseconds. */
   waitMilliseconds: z.number(),
 });
 
-/** What a daemon asks of another that reads the store's tables. */
+/** Request of a follower to a daemon that reads the store's tables. */
 export type FollowRequest = z.infer<typeof followRequestSchema>;
 
-/** What it is told. */
+/** Answer to a `FollowRequest`. */
 export const followAnswerSchema = z.object({
   era: z.number().nullable(),
-  /** Whether the tables are as the store has them, but for their age. */
+  /** Whether the tables matched the store `ageMilliseconds` ago. */
   isFresh: z.boolean(),
-  /** Since the store last said so, milliseconds. */
+  /** Time since the store last confirmed them, milliseconds. */
   ageMilliseconds: z.number(),
-  /** How long entries that are missing may have lapsed, milliseconds. */
+  /** Time in which missing entries may merely have lapsed, milliseconds. */
   lapseMilliseconds: z.number(),
   tables: z.array(z.object({
     table: z.string(),
@@ -40,5 +40,5 @@
   })),
 });
 
-/** What it is told. */
+/** Answer to a `FollowRequest`. */
 export type FollowAnswer = z.infer<typeof followAnswerSchema>;
--- a/packages/kelpspar-gateway/src/tables/table_feed.ts
+++ b/packages/kelpspar-gateway/src/tables/table_feed.ts
@@ -2,24 +2,24 @@
 import type { GatewayLog } from "../log/gateway_log.ts";
 import type { StoreEra } from "./store_era.ts";
 import type { TableMirror } from "./table_mirror.ts";
-import type { CallTimes, EraWord, TableStore } from "./table_store.ts";
+import type { CallTimes, ReportedEra, TableStore } from "./table_store.ts";
 import { StoreCallError } from "./table_store.ts";
 import { InterruptedError, untilAborted } from "./until_aborted.ts";
 
-/** When calls of a feed begin and end. */
+/** Timing of the calls of a feed. */
 export interface FeedTimes {
   /** How long a call waits for a change, milliseconds. */
   readonly waitMilliseconds: number;
-  /** How long a call may take beside that, ms; the store's own if absent. */
+  /** Timeout beyond that wait, ms; the store client's default if absent. */
   readonly limitMilliseconds?: number;
   /** Least time between the starts of two calls, milliseconds. */
   readonly paceMilliseconds: number;
-  /** Least and longest wait after a failed call, milliseconds. */
-  readonly leastPauseMilliseconds?: number;
-  readonly longestPauseMilliseconds: number;
+  /** Range of the delay after a failed call, milliseconds. */
+  readonly minimumRetryDelayMilliseconds?: number;
+  readonly maximumRetryDelayMilliseconds: number;
 }
 
-/** How a table of the store is followed. */
+/** Options of `TableFeed`. */
 export interface TableFeedOptions {
   readonly mirror: TableMirror;
   readonly store: TableStore;
@@ -27,54 +27,55 @@
   readonly timer: TimerService;
   readonly random: RandomSource;
   readonly log: GatewayLog;
-  /** The times for the next call. */
+  /** Timing of the next call. */
   readonly times: () => FeedTimes;
-  /** Whether this daemon reads the table itself now; see `wake`. */
+  /** Whether this daemon currently reads the table itself; see `wake`. */
   readonly isNeeded: () => boolean;
-  /** True while what comes next is needed soon. */
+  /** True while the next change is needed soon. */
   readonly isUrgent?: (() => boolean) | undefined;
-  /** Told of an answer, before what it holds is taken. */
+  /** Called on an answer, before its rows are applied. */
   readonly onAnswer: () => void;
-  /** Told when a call that began at `startedAt` failed. */
+  /** Called when a call that began at `startedAt` failed. */
   readonly onFailure: (startedAt: number) => void;
 }
 
 /**
- * Wait after a failed call, milliseconds; doubles up to the longest, and is
- * drawn up to half as long again. Refused calls are priced like others.
+ * Delay after a failed call, milliseconds. Doubles up to the maximum, plus
+ * jitter of up to half of it. Rejected calls cost the store as much as others.
  */
-const FAILED_PAUSE_MILLISECONDS = 150;
-/** The longest that the first of them is drawn to. */
-export const FIRST_PAUSE_MILLISECONDS = FAILED_PAUSE_MILLISECONDS * 1.5;
-/** Well within the two seconds in which entries are back, milliseconds. */
-export const LONGEST_PAUSE_MILLISECONDS = 800;
-/** Pace while what comes next is needed soon, milliseconds. */
-const URGENT_PACE_MILLISECONDS = 250;
+const INITIAL_RETRY_DELAY_MILLISECONDS = 150;
+/** Upper end of the first retry delay with its jitter. */
+export const MAXIMUM_FIRST_RETRY_DELAY_MILLISECONDS =
+  INITIAL_RETRY_DELAY_MILLISECONDS * 1.5;
+/** Well below the two seconds in which entries return, milliseconds. */
+export const MAXIMUM_RETRY_DELAY_MILLISECONDS = 800;
+/** Poll interval while the next change is needed soon, milliseconds. */
+const URGENT_POLL_MILLISECONDS = 250;
 /**
- * While calls fail they ask for what is there at once and may take this long,
- * milliseconds. One that was sent into a silence is not answered when that
- * ends: with its usual time the list is read seconds after the return of the
- * store, and endpoints that left meanwhile get requests.
+ * Timeout of calls after a failure, milliseconds; they don't wait for a change.
+ * A call sent during a network silence stays unanswered after the silence ends.
+ * With the usual timeout the list would be read seconds after the store's
+ * recovery, and endpoints that left meanwhile would get requests.
  */
-const PROBE_MILLISECONDS = 600;
-/** After this, calls get their usual time: the store may be that slow, ms. */
-const PROBING_MILLISECONDS = 8_000;
+const PROBE_TIMEOUT_MILLISECONDS = 600;
+/** After this, calls use the usual timeout: the store may be slow, ms. */
+const PROBE_PHASE_MILLISECONDS = 8_000;
 
-/** Follows one table at the store: reads it whole, then what changes. */
+/** Follows one table in the store: reads it whole, then its changes. */
 export class TableFeed {
   readonly #options: TableFeedOptions;
-  /** When the call failed after which no other was answered. */
+  /** When the first of the current series of failed calls failed. */
   #failingSince: number | undefined;
-  #failedPause = FAILED_PAUSE_MILLISECONDS;
+  #retryDelay = INITIAL_RETRY_DELAY_MILLISECONDS;
   #isStopped = false;
-  /** Ends the wait or the call that is under way. */
+  /** Aborts the current wait or call. */
   #abort = new AbortController();
 
   constructor(options: TableFeedOptions) {
     this.#options = options;
   }
 
-  /** Begins to follow; returns the teardown. */
+  /** Starts following the table; returns the teardown. */
   register(): () => void {
     void this.#follow();
     return () => {
@@ -83,7 +84,7 @@
     };
   }
 
-  /** Makes it look at once whether it is needed, and read what it lacks. */
+  /** Makes it check `isNeeded` at once and read missing rows. */
   wake(): void {
     this.#abort.abort();
   }
@@ -94,43 +95,44 @@
       this.#abort = new AbortController();
       const { signal } = this.#abort;
       if (!isNeeded()) {
-        await this.#rest(undefined, signal);
+        await this.#sleep(undefined, signal);
         continue;
       }
       const startedAt = timer.now();
-      const pause = await this.#step(startedAt, signal);
-      if (pause > 0) await this.#rest(pause, signal);
+      const pause = await this.#poll(startedAt, signal);
+      if (pause > 0) await this.#sleep(pause, signal);
     }
   }
 
-  /** One call; gives how long to wait before the next, milliseconds. */
-  async #step(startedAt: number, signal: AbortSignal): Promise<number> {
+  /** Makes one call; returns the delay before the next, milliseconds. */
+  async #poll(startedAt: number, signal: AbortSignal): Promise<number> {
     const { timer } = this.#options;
     try {
       await this.#read(startedAt, signal);
-      this.#recovered();
-      return this.#pace() - (timer.now() - startedAt);
+      this.#onRecovered();
+      return this.#pollInterval() - (timer.now() - startedAt);
     } catch (error) {
       if (error instanceof InterruptedError || signal.aborted) return 0;
-      this.#failed(error, startedAt);
-      return this.#pauseAfterFailure();
+      this.#onFailed(error, startedAt);
+      return this.#nextRetryDelay();
     }
   }
 
-  #pace(): number {
+  #pollInterval(): number {
     const { times, isUrgent } = this.#options;
     const { paceMilliseconds } = times();
     return isUrgent?.() === true
-      ? Math.min(paceMilliseconds, URGENT_PACE_MILLISECONDS)
+      ? Math.min(paceMilliseconds, URGENT_POLL_MILLISECONDS)
       : paceMilliseconds;
   }
 
-  /** Drawn, so that daemons don't all return to a weak store at once. */
-  #pauseAfterFailure(): number {
+  /** With jitter, so that daemons don't all retry a weak store at once. */
+  #nextRetryDelay(): number {
     const { random, times } = this.#options;
-    const { leastPauseMilliseconds = 0, longestPauseMilliseconds } = times();
-    const pause = Math.max(this.#failedPause, leastPauseMilliseconds);
-    this.#failedPause = Math.min(pause * 2, longestPauseMilliseconds);
+    const { minimumRetryDelayMilliseconds = 0, maximumRetryDelayMilliseconds } =
+      times();
+    const pause = Math.max(this.#retryDelay, minimumRetryDelayMilliseconds);
+    this.#retryDelay = Math.min(pause * 2, maximumRetryDelayMilliseconds);
     return pause * (1 + random.next() / 2);
   }
 
@@ -147,17 +149,17 @@
       signal,
     );
     const isGone = answer.type === "history_gone";
-    this.#accept(isGone ? answer.era : answer.page.era, startedAt);
+    this.#checkEra(isGone ? answer.era : answer.page.era, startedAt);
     if (isGone) {
       const { table } = mirror;
       this.#options.log.warn("store history gone", { table, version });
     }
-    // Changes after a position of the era before are not all that changed.
+    // Changes after a position of the previous era are incomplete.
     if (isGone || mirror.generation !== generation) {
       return await this.#readTable(startedAt, signal);
     }
     this.#options.onAnswer();
-    mirror.takeChanges(answer.page);
+    mirror.applyChanges(answer.page);
   }
 
   async #readTable(startedAt: number, signal: AbortSignal): Promise<void> {
@@ -166,31 +168,32 @@
       store.readTable(mirror.table, { ...this.#callTimes(0), signal }),
       signal,
     );
-    this.#accept(page.era, startedAt);
+    this.#checkEra(page.era, startedAt);
     onAnswer();
-    mirror.takeTable(page);
+    mirror.applyTable(page);
   }
 
-  /** Throws when an answer is from before the store's return from a copy. */
-  #accept(era: EraWord, startedAt: number): void {
-    if (this.#options.era.answered(era, startedAt) === "valid") return;
+  /** Throws when an answer is from before a restore of the store. */
+  #checkEra(era: ReportedEra, startedAt: number): void {
+    if (this.#options.era.checkAnswer(era, startedAt) === "valid") return;
     throw new Error("The store answered from an earlier era");
   }
 
   #callTimes(waitMilliseconds: number): CallTimes {
-    const since = this.#failingSince;
+    const failingSince = this.#failingSince;
     const { limitMilliseconds } = this.#options.times();
-    if (since === undefined) {
+    if (failingSince === undefined) {
       return {
         waitMilliseconds,
         ...(limitMilliseconds === undefined ? {} : { limitMilliseconds }),
       };
     }
-    const isLong = this.#options.timer.now() - since > PROBING_MILLISECONDS;
-    return isLong ? {} : { limitMilliseconds: PROBE_MILLISECONDS };
+    const isLong =
+      this.#options.timer.now() - failingSince > PROBE_PHASE_MILLISECONDS;
+    return isLong ? {} : { limitMilliseconds: PROBE_TIMEOUT_MILLISECONDS };
   }
 
-  #recovered(): void {
+  #onRecovered(): void {
     if (this.#failingSince === undefined) return;
     const { mirror, timer, log } = this.#options;
     log.info("store regained", {
@@ -198,12 +201,12 @@
       failedForMilliseconds: Math.round(timer.now() - this.#failingSince),
     });
     this.#failingSince = undefined;
-    this.#failedPause = FAILED_PAUSE_MILLISECONDS;
+    this.#retryDelay = INITIAL_RETRY_DELAY_MILLISECONDS;
   }
 
-  #failed(error: unknown, startedAt: number): void {
+  #onFailed(error: unknown, startedAt: number): void {
     const { mirror, timer, log, era, onFailure } = this.#options;
-    if (error instanceof StoreCallError) era.answered(error.era, startedAt);
+    if (error instanceof StoreCallError) era.checkAnswer(error.era, startedAt);
     onFailure(startedAt);
     if (this.#failingSince !== undefined) return;
     this.#failingSince = timer.now();
@@ -213,8 +216,8 @@
     });
   }
 
-  /** Waits so long, or until it is woken. */
-  #rest(milliseconds: number | undefined, signal: AbortSignal): Promise<void> {
+  /** Waits for the given time, or until `signal` aborts. */
+  #sleep(milliseconds: number | undefined, signal: AbortSignal): Promise<void> {
     return new Promise((resolve) => {
       const stop = milliseconds === undefined
         ? undefined
--- a/packages/kelpspar-gateway/src/tables/table_follower.ts
+++ b/packages/kelpspar-gateway/src/tables/table_follower.ts
@@ -8,16 +8,16 @@
 import type { FollowAnswer, FollowRequest } from "./table_changes.ts";
 import type { TableMirror } from "./table_mirror.ts";
 
-/** Asks another daemon for what it knows of the store's tables. */
+/** Fetches changes of the store's tables from another daemon. */
 export interface FollowClient {
   follow(
     peer: string,
     request: FollowRequest,
-    limitMilliseconds: number,
+    timeoutMilliseconds: number,
   ): Promise<FollowAnswer>;
 }
 
-/** What a follower works with. */
+/** Options of `TableFollower`. */
 export interface TableFollowerOptions {
   readonly mirrors: ReadonlyMap<string, TableMirror>;
   readonly era: StoreEra;
@@ -27,42 +27,42 @@
   readonly log: GatewayLog;
   readonly anomalies: Pick<AnomalyLog, "note">;
   readonly plan: () => ReadingPlan;
-  /** Whether this daemon needs what others know. */
+  /** Whether this daemon needs the tables from others. */
   readonly isNeeded: () => boolean;
-  /** Told of an answer that confirms the tables. */
+  /** Called with an answer that confirms the tables. */
   readonly onConfirmed: (answer: FollowAnswer) => void;
-  /** Told that a source doesn't answer, or isn't fresh. */
+  /** Called when a source doesn't answer or isn't fresh. */
   readonly onLost: () => void;
 }
 
-/** How often it looks whether it is needed, milliseconds. */
-const LOOK_MILLISECONDS = 500;
-/** Least time between two calls, milliseconds; changes come in clumps. */
-const PACE_MILLISECONDS = 40;
-/** Wait once every source was tried in vain, milliseconds. */
-const VAIN_PAUSE_MILLISECONDS = 300;
+/** How often an idle follower checks `isNeeded`, milliseconds. */
+const IDLE_CHECK_MILLISECONDS = 500;
+/** Delay between two calls, milliseconds; changes come in bursts. */
+const CALL_INTERVAL_MILLISECONDS = 40;
+/** Delay once every source has failed, milliseconds. */
+const ALL_SOURCES_FAILED_DELAY_MILLISECONDS = 300;
 
 /**
- * Follows the tables at a daemon that reads them. One that doesn't answer in
- * time, or says that the store doesn't answer it, is left for the next.
+ * Follows the tables at a daemon that reads them. If the source times out or
+ * reports that the store doesn't answer it, the next source is tried.
  */
 export class TableFollower {
   readonly #options: TableFollowerOptions;
   #isStopped = false;
-  /** Which of the sources is asked. */
-  #turn = 0;
-  /** Sources tried in vain since one was fresh. */
-  #vainTries = 0;
-  /** The daemon that was followed last, for the log. */
-  #followed: string | undefined;
-  /** Tables of which changes were told that go on from something unknown. */
-  readonly #wholeWanted = new Set<string>();
+  /** Index of the current source. */
+  #sourceIndex = 0;
+  /** Failed tries since a source was last fresh. */
+  #failedTries = 0;
+  /** Id of the daemon that was followed last, for the log. */
+  #currentSource: string | undefined;
+  /** Tables whose changes continued from a version unknown here. */
+  readonly #tablesToReadWhole = new Set<string>();
 
   constructor(options: TableFollowerOptions) {
     this.#options = options;
   }
 
-  /** Begins to follow; returns the teardown. */
+  /** Starts following; returns the teardown. */
   register(): () => void {
     void this.#follow();
     return () => {
@@ -74,43 +74,51 @@
     const { isNeeded, plan } = this.#options;
     while (!this.#isStopped) {
       const { sources } = plan();
-      const source = sources[this.#turn % Math.max(1, sources.length)];
+      const source = sources[this.#sourceIndex % Math.max(1, sources.length)];
       if (source === undefined || !isNeeded()) {
-        await this.#sleep(LOOK_MILLISECONDS);
+        await this.#sleep(IDLE_CHECK_MILLISECONDS);
         continue;
       }
-      await this.#ask(source);
-      const isVain = this.#vainTries > 0 &&
-        this.#vainTries % sources.length === 0;
-      await this.#sleep(isVain ? VAIN_PAUSE_MILLISECONDS : PACE_MILLISECONDS);
+      await this.#poll(source);
+      const haveAllFailed = this.#failedTries > 0 &&
+        this.#failedTries % sources.length === 0;
+      await this.#sleep(
+        haveAllFailed
+          ? ALL_SOURCES_FAILED_DELAY_MILLISECONDS
+          : CALL_INTERVAL_MILLISECONDS,
+      );
     }
   }
 
-  async #ask(source: DaemonAddress): Promise<void> {
+  async #poll(source: DaemonAddress): Promise<void> {
     const { client, times, plan } = this.#options;
-    // Once all were tried, one that isn't fresh is asked to say when it is.
-    const isWaiting = this.#vainTries >= plan().sources.length;
+    // Once all were tried, a source that isn't fresh is asked to answer when
+    // it becomes fresh.
+    const isWaiting = this.#failedTries >= plan().sources.length;
     try {
       const answer = await client.follow(
         source.peer,
         {
-          ...this.#known(),
+          ...this.#knownVersions(),
           wasFresh: !isWaiting,
-          waitMilliseconds: times.followMilliseconds,
+          waitMilliseconds: times.followWaitMilliseconds,
         },
-        times.followMilliseconds + times.followLimitMilliseconds,
+        times.followWaitMilliseconds + times.followTimeoutMilliseconds,
       );
-      if (this.#take(answer, source)) this.#found(source);
-      else this.#lost(source, "not fresh");
+      if (this.#apply(answer, source)) this.#onSourceFound(source);
+      else this.#onSourceLost(source, "not fresh");
     } catch (error) {
-      this.#lost(source, error instanceof Error ? error.message : "failed");
+      this.#onSourceLost(
+        source,
+        error instanceof Error ? error.message : "failed",
+      );
     }
   }
 
-  #known(): Pick<FollowRequest, "era" | "versions"> {
+  #knownVersions(): Pick<FollowRequest, "era" | "versions"> {
     const { mirrors, era } = this.#options;
     const versions = [...mirrors.values()].map(({ table, version }) => {
-      const isWanted = this.#wholeWanted.has(table);
+      const isWanted = this.#tablesToReadWhole.has(table);
       return [table, isWanted ? null : version ?? null] as const;
     });
     return {
@@ -119,15 +127,15 @@
     };
   }
 
-  /** True when the answer confirms all tables. */
-  #take(answer: FollowAnswer, source: DaemonAddress): boolean {
+  /** Applies an answer; true when it confirms all tables. */
+  #apply(answer: FollowAnswer, source: DaemonAddress): boolean {
     const { mirrors, era, anomalies, onConfirmed } = this.#options;
     const fields = { daemon: source.daemonId };
     if (era.told(answer.era) === "earlier") {
       anomalies.note("changes_of_earlier_era", fields);
       return false;
     }
-    // What the store gave before this daemon knew of the era is void.
+    // Rows from before this daemon knew of the era are invalid.
     if (answer.era !== (era.current ?? null)) return false;
     if (answer.isFresh) onConfirmed(answer);
     let isComplete = true;
@@ -138,28 +146,33 @@
           ...fields,
           table: changes.table,
         });
-        this.#wholeWanted.add(changes.table);
+        this.#tablesToReadWhole.add(changes.table);
         isComplete = false;
-      } else this.#wholeWanted.delete(changes.table);
+      } else this.#tablesToReadWhole.delete(changes.table);
     }
     return answer.isFresh && isComplete;
   }
 
-  #found(source: DaemonAddress): void {
-    this.#vainTries = 0;
-    if (this.#followed === source.daemonId) return;
-    this.#followed = source.daemonId;
-    this.#options.log.info("tables followed", { daemon: source.daemonId });
+  #onSourceFound(source: DaemonAddress): void {
+    this.#failedTries = 0;
+    if (this.#currentSource === source.daemonId) return;
+    this.#currentSource = source.daemonId;
+    this.#options.log.info("following tables", {
+      daemon: source.daemonId,
+    });
   }
 
-  #lost(source: DaemonAddress, reason: string): void {
+  #onSourceLost(source: DaemonAddress, reason: string): void {
     const { log, onLost } = this.#options;
-    if (this.#followed !== undefined) {
-      log.warn("tables' source lost", { daemon: source.daemonId, reason });
+    if (this.#currentSource !== undefined) {
+      log.warn("table source lost", {
+        daemon: source.daemonId,
+        reason,
+      });
     }
-    this.#followed = undefined;
-    this.#vainTries++;
-    this.#turn++;
+    this.#currentSource = undefined;
+    this.#failedTries++;
+    this.#sourceIndex++;
     onLost();
   }
 
--- a/packages/kelpspar-gateway/src/tables/list_freshness.ts
+++ b/packages/kelpspar-gateway/src/tables/table_freshness.ts
@@ -1,21 +1,21 @@
-/** Told that the list was confirmed, or can't be any more. */
+/** Called when the tables are confirmed, or can no longer be confirmed. */
 export type FreshnessListener = () => void;
 
 /**
- * When it was last certain that this daemon knows the tables as the store has
- * them: by an answer of the store, or by the word of a daemon that had one.
+ * When this daemon's copies of the tables were last confirmed to match the
+ * store, by an answer of the store or of a daemon that received one.
  */
-export class ListFreshness {
+export class TableFreshness {
   readonly #listeners = new Set<FreshnessListener>();
   #confirmedAt = Number.NEGATIVE_INFINITY;
   #isFailing = false;
 
-  /** Whether the last attempt confirmed it. */
+  /** Whether the last attempt confirmed the tables. */
   get isFresh(): boolean {
     return !this.#isFailing && this.#confirmedAt > Number.NEGATIVE_INFINITY;
   }
 
-  /** Since the last confirmation, milliseconds. */
+  /** Time since the last confirmation, milliseconds. */
   age(now: number): number {
     return now - this.#confirmedAt;
   }
@@ -23,13 +23,13 @@
   confirm(at: number): void {
     this.#confirmedAt = Math.max(this.#confirmedAt, at);
     this.#isFailing = false;
-    this.#tell();
+    this.#notifyListeners();
   }
 
-  fail(): void {
+  markStale(): void {
     if (this.#isFailing) return;
     this.#isFailing = true;
-    this.#tell();
+    this.#notifyListeners();
   }
 
   registerListener(listener: FreshnessListener): () => void {
@@ -37,7 +37,7 @@
     return () => this.#listeners.delete(listener);
   }
 
-  #tell(): void {
+  #notifyListeners(): void {
     for (const listener of [...this.#listeners]) listener();
   }
 }
--- a/packages/kelpspar-gateway/src/tables/table_mirror.ts
+++ b/packages/kelpspar-gateway/src/tables/table_mirror.ts
@@ -1,53 +1,53 @@
 import type { TablePage, TableRow } from "./table_store.ts";
 
-/** Takes what is learned of a table. */
+/** Receives the contents of a table. */
 export interface TableListener {
-  /** Takes a whole table; keys that it lacks are gone. */
-  readonly takeTable: (page: TablePage) => void;
-  /** Takes changes in order; maybe none. */
-  readonly takeChanges: (page: TablePage) => void;
+  /** Receives a whole table; missing keys were removed. */
+  readonly applyTable: (page: TablePage) => void;
+  /** Receives changes in order; may be empty. */
+  readonly applyChanges: (page: TablePage) => void;
 }
 
-/** What a mirror is made from. */
+/** Options of `TableMirror`. */
 export interface TableMirrorOptions extends TableListener {
   /**
-   * Whether a row that was written again says nothing new. Endpoints write
-   * theirs every second or so; passed on, that would be nearly all that
-   * followers are told.
+   * Whether a rewritten row has no new information. Endpoints rewrite theirs
+   * about every second; if relayed, these rows would be nearly all the traffic
+   * to followers.
    */
   readonly isSameRow?:
     | ((known: TableRow, row: TableRow) => boolean)
     | undefined;
-  /** Told when there is something to pass on. */
+  /** Called when there are changes to relay. */
   readonly changed?: () => void;
 }
 
-/** What one daemon passes on to another of a table. */
+/** Changes of a table as relayed between daemons. */
 export interface TableChanges extends TablePage {
   readonly table: string;
-  /** The table as it is; otherwise what changed after `after`. */
+  /** The whole table; otherwise only the changes after `after`. */
   readonly isWhole: boolean;
-  /** The version that the changes go on from. */
+  /** The version from which the changes continue. */
   readonly after: number;
 }
 
-/** What became of passed on changes. */
+/** Outcome of merging relayed changes. */
 export type MergeOutcome = "taken" | "known" | "skips_versions";
 
-/** Removals that are kept to be told; who lacks more is told the table. */
-const MOST_REMOVALS = 500;
+/** Removals kept for followers; one that misses more gets the whole table. */
+const MAXIMUM_REMOVALS = 500;
 
 /**
- * What this daemon knows of a table of the store: read by itself or told by
- * another daemon, merged by version, and kept so that it can be passed on.
- * Versions of one era only are compared; `forget` begins the next.
+ * This daemon's copy of a table of the store: read from the store or received
+ * from another daemon, merged by version, and kept so that it can be relayed.
+ * Only versions of the same era are compared; `invalidate` starts the next era.
  */
 export class TableMirror {
   readonly table: string;
   readonly #options: TableMirrorOptions;
   readonly #rows = new Map<string, TableRow>();
   #version: number | undefined;
-  /** Changes after this version are all kept. */
+  /** All changes after this version are kept. */
   #completeSince = 0;
   #generation = 0;
 
@@ -56,25 +56,25 @@
     this.#options = options;
   }
 
-  /** Up to which all is known; undefined before the first read. */
+  /** Version of the copy; undefined before the first read. */
   get version(): number | undefined {
     return this.#version;
   }
 
-  /** Rises when what was known became void. */
+  /** Rises each time the copy is invalidated. */
   get generation(): number {
     return this.#generation;
   }
 
-  /** Makes void what is known of versions; rows must be read anew. */
-  forget(): void {
+  /** Discards rows and versions; the table must be read again. */
+  invalidate(): void {
     this.#rows.clear();
     this.#version = undefined;
     this.#generation++;
   }
 
-  /** Takes a table that was read whole. */
-  takeTable(page: TablePage): void {
+  /** Replaces the rows by a table that was read whole. */
+  applyTable(page: TablePage): void {
     const newer = [...this.#rows.values()].filter(({ version }) =>
       version > page.version
     );
@@ -82,40 +82,40 @@
     for (const row of [...page.rows, ...newer]) this.#rows.set(row.key, row);
     this.#version = page.version;
     this.#completeSince = page.version;
-    this.#options.takeTable(page);
+    this.#options.applyTable(page);
     this.#options.changed?.();
   }
 
-  /** Takes all that changed after a version that was known. */
-  takeChanges(page: TablePage): void {
+  /** Applies all changes after a version that was known. */
+  applyChanges(page: TablePage): void {
     let isChanged = false;
     for (const row of page.rows) {
-      if (!this.#isNews(row)) continue;
+      if (!this.#isNewInformation(row)) continue;
       this.#rows.set(row.key, row);
       isChanged = true;
     }
     this.#version = Math.max(this.#version ?? 0, page.version);
     this.#dropOldRemovals();
-    this.#options.takeChanges(page);
+    this.#options.applyChanges(page);
     if (isChanged) this.#options.changed?.();
   }
 
-  /** Takes what another daemon passed on. */
+  /** Merges changes that another daemon relayed. */
   merge(changes: TableChanges): MergeOutcome {
     const known = this.#version ?? Number.NEGATIVE_INFINITY;
     if (changes.isWhole) {
       if (changes.version < known) return "known";
-      this.takeTable(changes);
+      this.applyTable(changes);
       return "taken";
     }
     if (changes.after > known) return "skips_versions";
     if (changes.version < known) return "known";
-    this.takeChanges(changes);
+    this.applyChanges(changes);
     return "taken";
   }
 
-  /** What somebody lacks who knows the table up to `version`. */
-  since(version: number | null): TableChanges | undefined {
+  /** Changes for a follower whose copy has `version`. */
+  changesSince(version: number | null): TableChanges | undefined {
     const { table } = this;
     const own = this.#version;
     if (own === undefined) return undefined;
@@ -127,7 +127,7 @@
     return { table, isWhole, after: version ?? 0, version: own, rows };
   }
 
-  #isNews(row: TableRow): boolean {
+  #isNewInformation(row: TableRow): boolean {
     const known = this.#rows.get(row.key);
     if (known === undefined) return true;
     if (row.version < known.version) return false;
@@ -138,9 +138,9 @@
 
   #dropOldRemovals(): void {
     const removed = [...this.#rows.values()].filter((row) => row.isRemoved);
-    if (removed.length <= MOST_REMOVALS) return;
+    if (removed.length <= MAXIMUM_REMOVALS) return;
     removed.sort((first, second) => first.version - second.version);
-    const dropped = removed.slice(0, removed.length - MOST_REMOVALS);
+    const dropped = removed.slice(0, removed.length - MAXIMUM_REMOVALS);
     for (const { key, version } of dropped) {
       this.#rows.delete(key);
       this.#completeSince = Math.max(this.#completeSince, version);
--- a/packages/kelpspar-gateway/src/tables/table_relay.ts
+++ b/packages/kelpspar-gateway/src/tables/table_relay.ts
@@ -1,53 +1,53 @@
 import type { TimerService } from "kelpspar-shared";
 import type { LapseWindow } from "../endpoints/lapse_window.ts";
-import type { ListFreshness } from "./list_freshness.ts";
+import type { TableFreshness } from "./table_freshness.ts";
 import type { StoreEra } from "./store_era.ts";
 import type { FollowAnswer, FollowRequest } from "./table_changes.ts";
 import type { TableMirror } from "./table_mirror.ts";
 
-/** What a relay tells from. */
+/** Options of `TableRelay`. */
 export interface TableRelayOptions {
   readonly mirrors: ReadonlyMap<string, TableMirror>;
   readonly era: StoreEra;
-  readonly freshness: ListFreshness;
+  readonly freshness: TableFreshness;
   readonly lapses: LapseWindow;
   readonly timer: TimerService;
 }
 
-/** Longest wait that another daemon may ask for, milliseconds. */
-const LONGEST_WAIT_MILLISECONDS = 10_000;
+/** Longest wait that a follower may request, milliseconds. */
+const MAXIMUM_WAIT_MILLISECONDS = 10_000;
 
-/** Passes on to other daemons what this one knows of the store's tables. */
+/** Relays this daemon's copies of the store's tables to followers. */
 export class TableRelay {
   readonly #options: TableRelayOptions;
-  /** Those that wait for something to be told. */
+  /** Callbacks of requests that wait for a change. */
   readonly #waiters = new Set<() => void>();
 
   constructor(options: TableRelayOptions) {
     this.#options = options;
-    // Each confirmation is told: a follower counts the age of its list by it.
+    // Followers compute the age of their list from each confirmation.
     options.freshness.registerListener(() => this.changed());
   }
 
-  /** Answers those that wait. */
+  /** Completes the waiting requests. */
   changed(): void {
     for (const waiter of [...this.#waiters]) waiter();
   }
 
-  /** Answers at once when there is something to tell, or once there is. */
+  /** Answers at once if there are changes, otherwise when there are. */
   async answer(
     request: FollowRequest,
     gone: AbortSignal,
   ): Promise<FollowAnswer> {
     const { era } = this.#options;
     era.told(request.era);
-    const isNews = request.era !== (era.current ?? null) ||
+    const hasChanges = request.era !== (era.current ?? null) ||
       request.wasFresh !== this.#isFresh || this.#hasRows(request);
-    if (!isNews) await this.#wait(request.waitMilliseconds, gone);
-    return this.#tell(request);
+    if (!hasChanges) await this.#wait(request.waitMilliseconds, gone);
+    return this.#createAnswer(request);
   }
 
-  /** Whether all tables are known, and as the store has them. */
+  /** Whether all tables are known and up to date. */
   get #isFresh(): boolean {
     const { freshness, mirrors } = this.#options;
     return freshness.isFresh &&
@@ -56,21 +56,21 @@
 
   #hasRows(request: FollowRequest): boolean {
     return Object.entries(request.versions).some(([table, version]) => {
-      const changes = this.#options.mirrors.get(table)?.since(version);
+      const changes = this.#options.mirrors.get(table)?.changesSince(version);
       return changes !== undefined &&
         (changes.isWhole || changes.rows.length > 0);
     });
   }
 
-  #tell(request: FollowRequest): FollowAnswer {
+  #createAnswer(request: FollowRequest): FollowAnswer {
     const { era, freshness, lapses, mirrors, timer } = this.#options;
     const now = timer.now();
-    // Versions of another era mean nothing here.
+    // Versions of another era can't be compared.
     const isSameEra = request.era === (era.current ?? null);
     const asked = Object.entries(request.versions);
     const tables = asked.flatMap(([table, version]) => {
       const known = isSameEra ? version : null;
-      const changes = mirrors.get(table)?.since(known);
+      const changes = mirrors.get(table)?.changesSince(known);
       return changes === undefined
         ? []
         : [{ ...changes, rows: [...changes.rows] }];
@@ -86,7 +86,7 @@
   }
 
   #wait(milliseconds: number, gone: AbortSignal): Promise<void> {
-    const limit = Math.min(milliseconds, LONGEST_WAIT_MILLISECONDS);
+    const limit = Math.min(milliseconds, MAXIMUM_WAIT_MILLISECONDS);
     return new Promise((resolve) => {
       const end = (): void => {
         stop();
--- a/packages/kelpspar-gateway/src/tables/table_store.ts
+++ b/packages/kelpspar-gateway/src/tables/table_store.ts
@@ -1,66 +1,70 @@
 /** A row of a table of the store. */
 export interface TableRow {
   readonly key: string;
-  /** Of the row's last change; the page's where the row doesn't tell. */
+  /** Version of the row's last change, or of the page if the row has none. */
   readonly version: number;
   /** Decoded text. */
   readonly text: string;
   readonly isRemoved: boolean;
 }
 
-/** Rows as of one moment, or what changed up to it. */
+/** A snapshot of rows, or the changes up to it. */
 export interface TablePage {
   readonly rows: readonly TableRow[];
-  /** From where the feed goes on. */
+  /** Version from which the feed continues. */
   readonly version: number;
 }
 
 /**
- * What an answer says of the store's era, which rises by one each time that
- * the store comes back from an older copy.
+ * The store's era as reported in an answer. It rises by one each time the store
+ * is restored from an older copy.
  */
-export type EraWord = number | "missing" | "invalid";
+export type ReportedEra = number | "missing" | "invalid";
 
-/** A page, and the era in which the store gave it. */
+/** A page and the era in which the store answered. */
 export interface StoreAnswer extends TablePage {
-  readonly era: EraWord;
+  readonly era: ReportedEra;
 }
 
-/** How long a call waits and may take. */
+/** Wait and timeout of a call. */
 export interface CallTimes {
   /** How long the store may wait for a change, milliseconds. */
   readonly waitMilliseconds?: number;
-  /** How long the call may take beside that, milliseconds. */
+  /** Timeout of the call, in addition to that wait, milliseconds. */
   readonly limitMilliseconds?: number;
-  /** Ends the call: its answer isn't wanted any more. */
+  /** Aborts the call when its answer is no longer needed. */
   readonly signal?: AbortSignal;
 }
 
-/** What a feed answers. */
+/** Answer of a feed. */
 export type FeedAnswer =
   | { readonly type: "rows"; readonly page: StoreAnswer }
-  /** The history is gone; the table must be read again. */
-  | { readonly type: "history_gone"; readonly era: EraWord };
+  /** The store dropped the history; the table must be read again. */
+  | { readonly type: "history_gone"; readonly era: ReportedEra };
 
-/** The store, as a platform registers it. Each call throws when it fails. */
+/** The store as registered by a platform. Calls throw when they fail. */
 export interface TableStore {
-  /** Reads a whole table; `times` hold for each of its pages. */
+  /** Reads a whole table; `times` apply to each of its pages. */
   readTable(table: string, times?: CallTimes): Promise<StoreAnswer>;
-  /** What changed after `version`, as soon as there is something. */
+  /** Reads the changes after `version` as soon as there are any. */
   readFeed(
     table: string,
     version: number,
     times?: CallTimes,
   ): Promise<FeedAnswer>;
-  /** Writes or removes a row, whatever it was; gives the answer's era. */
-  write(table: string, key: string, text: string | undefined): Promise<EraWord>;
+  /** Writes or removes a row unconditionally; returns the answer's era. */
+  write(
+    table: string,
+    key: string,
+    text: string | undefined,
+  ): Promise<ReportedEra>;
 }
 
-/** A call that the store answered with a failure, or whose page is unusable. */
+/** The store answered with a failure, or with an unusable page. */
 export class StoreCallError extends Error {
-  readonly era: EraWord;
+  readonly era: ReportedEra;
 
-  constructor(message: string, era: EraWord) {
+  constructor(message: string, era: ReportedEra) {
     super(message);
     this.name = "StoreCallError";
     this.era = era;
--- a/packages/kelpspar-gateway/src/tables/until_aborted.ts
+++ b/packages/kelpspar-gateway/src/tables/until_aborted.ts
@@ -1,4 +1,4 @@
-/** A wait that was ended since what it waited for isn't wanted any more. */
+/** A wait was aborted because its result is no longer needed. */
 export class InterruptedError extends Error {
   constructor() {
     super("The wait was interrupted");
@@ -7,8 +7,8 @@
 }
 
 /**
- * Waits for `promise` until `signal`; rejects with `InterruptedError` then.
- * What the promise comes to later counts for nothing.
+ * Waits for `promise` until `signal` aborts; then rejects with
+ * `InterruptedError`. A later outcome of the promise is ignored.
  */
 export function untilAborted<Value>(
   promise: Promise<Value>,
--- a/packages/kelpspar-scenarios/src/guards/guards.ts
+++ b/packages/kelpspar-scenarios/src/guards/guards.ts
@@ -8,7 +8,7 @@
 export const GUARDS: readonly Guard[] = [
   {
     name: "a configuration never goes back",
-    file: `${GATEWAY}/configuration/configuration_keeper.ts`,
+    file: `${GATEWAY}/configuration/active_configuration.ts`,
     code: "if (configuration.version <= this.version) return false;",
     without: "",
     noticedBy: `${GATEWAY_TESTS}/route_table_test.ts`,
@@ -79,7 +79,7 @@
   {
     name: "an entry that can't be read names no endpoint",
     file: "platform/src/runner_list.ts",
-    code: "book.suspend(id);",
+    code: "registry.suspend(id);",
     without: "",
     noticedBy: `${PLATFORM_TESTS}/list_outage_test.ts`,
   },
@@ -93,7 +93,7 @@
   {
     name: "calls are short while they fail",
     file: `${GATEWAY}/tables/table_feed.ts`,
-    code: "isLong ? {} : { limitMilliseconds: PROBE_MILLISECONDS }",
+    code: "isLong ? {} : { limitMilliseconds: PROBE_TIMEOUT_MILLISECONDS }",
     without: "isLong ? {} : { waitMilliseconds }",
     noticedBy: `${PLATFORM_TESTS}/list_outage_test.ts`,
   },
@@ -261,7 +261,7 @@
   {
     name: "the own row is looked for after a return of the store",
     file: `${GATEWAY}/tables/own_row.ts`,
-    code: "const restored: EraListener = () => this.#checkSoon();",
+    code: "const restored: EraListener = () => this.#scheduleCheck();",
     without: "const restored: EraListener = () => {};",
     noticedBy: `${PLATFORM_TESTS}/store_restore_test.ts`,
   },
@@ -275,7 +275,7 @@
   {
     name: "an entry that a copy lost is held while the store is away",
     file: "platform/src/runner_list.ts",
-    code: "for (const id of this.#lost) daemon.book.hold(id, until);",
+    code: "for (const id of this.#lost) daemon.registry.hold(id, until);",
     without: "",
     noticedBy: `${PLATFORM_TESTS}/store_restore_test.ts`,
   },
@@ -310,8 +310,8 @@
   {
     name: "tables are shared only where that saves calls",
     file: `${GATEWAY}/tables/reading_plan.ts`,
-    code: "const isShared = paces !== undefined &&",
-    without: "const isShared = paces !== undefined ||",
+    code: "const isShared = intervals !== undefined &&",
+    without: "const isShared = intervals !== undefined ||",
     noticedBy: `${GATEWAY_TESTS}/reading_plan_test.ts`,
   },
 ];
--- a/packages/kelpspar-scenarios/src/guards/quarantine_guards.ts
+++ b/packages/kelpspar-scenarios/src/guards/quarantine_guards.ts
@@ -29,7 +29,7 @@
   },
   {
     name: "a cut answer alone is no crash",
-    file: `${GATEWAY}/quarantine/crash_watch.ts`,
+    file: `${GATEWAY}/quarantine/crash_detector.ts`,
     code: 'if (state !== "refused" && state !== "restarted") return;',
     without: "",
     noticedBy: `${GATEWAY_TESTS}/quarantined_request_test.ts`,
@@ -51,7 +51,7 @@
   {
     name: "rows that a restored store lost are written again",
     file: `${GATEWAY}/quarantine/quarantine_rows.ts`,
-    code: "this.#kept.clear();",
+    code: "this.#writtenRows.clear();",
     without: "",
     noticedBy: `${GATEWAY_TESTS}/quarantine_rows_test.ts`,
   },
