--- a/packages/kelpspar-gateway/src/__tests__/support/request_world.ts
+++ b/packages/kelpspar-gateway/src/__tests__/support/request_world.ts
@@ -19,7 +19,7 @@
 import { GatewayMetrics } from "../../metrics/gateway_metrics.ts";
 import { CrashWatch } from "../../quarantine/crash_watch.ts";
 import { Quarantine } from "../../quarantine/quarantine.ts";
-import { ExpectedTimes } from "../../requests/expected_times.ts";
+import { ExpectedTimes } from "../../requests/first_byte_estimates.ts";
 import { RequestService } from "../../requests/request_service.ts";
 import { ServiceRetryBudget } from "../../retries/service_retry_budget.ts";
 
--- a/packages/kelpspar-gateway/src/__tests__/unit/limited_trials_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/limited_endpoint_probes_test.ts
@@ -1,7 +1,7 @@
 import { expect } from "earl";
 import { test } from "node:test";
 import { EndpointBook } from "../../endpoints/endpoint_book.ts";
-import { LimitedTrials } from "../../requests/limited_trials.ts";
+import { LimitedTrials } from "../../requests/limited_endpoint_probes.ts";
 
 // Guards against an endpoint that stays unused long after its limit ended.
 test("a service with a limited endpoint is tried once a second", () => {
--- a/packages/kelpspar-gateway/src/gateway_daemon.ts
+++ b/packages/kelpspar-gateway/src/gateway_daemon.ts
@@ -30,7 +30,7 @@
 import { GatewayMetrics } from "./metrics/gateway_metrics.ts";
 import { PieceCoordinator } from "./pieces/piece_coordinator.ts";
 import { ChainClient } from "./requests/chain_client.ts";
-import { ExpectedTimes } from "./requests/expected_times.ts";
+import { ExpectedTimes } from "./requests/first_byte_estimates.ts";
 import { createQuarantineParts } from "./quarantine/quarantine_parts.ts";
 import { RequestService } from "./requests/request_service.ts";
 import { ServiceRetryBudget } from "./retries/service_retry_budget.ts";
--- a/packages/kelpspar-gateway/src/requests/choose_for_request.ts
+++ b/packages/kelpspar-gateway/src/requests/choose_request_endpoint.ts
@@ -2,7 +2,7 @@
 import type { EndpointChoice } from "../endpoints/choose_endpoint.ts";
 import type { RequestRun } from "./request_run.ts";
 import { chooseEndpoint } from "../endpoints/choose_endpoint.ts";
-import { readerOf } from "./chain_of_request.ts";
+import { readerOf } from "./create_chain_request.ts";
 import { promptAffinity } from "./prompt_affinity.ts";
 
 /** The endpoint at which the request was placed, while it may be used. */
--- a/packages/kelpspar-gateway/src/requests/endpoint_sender.ts
+++ b/packages/kelpspar-gateway/src/requests/endpoint_sender.ts
@@ -1,9 +1,9 @@
 import type { EndpointChoice } from "../endpoints/choose_endpoint.ts";
 import type { EndpointState } from "../endpoints/endpoint_state.ts";
 import type { RequestRun } from "./request_run.ts";
-import type { Sent } from "./sent.ts";
+import type { Sent } from "./send_result.ts";
 import type { StreamRelay } from "./stream_relay.ts";
-import { chooseForRequest } from "./choose_for_request.ts";
+import { chooseForRequest } from "./choose_request_endpoint.ts";
 import { firstGood, isOverdue } from "./hedge.ts";
 
 /** Endpoints that refuse or can't be reached, before the caller is told. */
--- a/packages/kelpspar-gateway/src/requests/hedge.ts
+++ b/packages/kelpspar-gateway/src/requests/hedge.ts
@@ -1,6 +1,6 @@
 import type { TimerService } from "kelpspar-shared";
-import type { Sent } from "./sent.ts";
-import { closeSent } from "./sent.ts";
+import type { Sent } from "./send_result.ts";
+import { closeSent } from "./send_result.ts";
 
 /** Whether a send has no answer after `wait` milliseconds. */
 export function isOverdue(
--- a/packages/kelpspar-gateway/src/requests/request_parts.ts
+++ b/packages/kelpspar-gateway/src/requests/request_dependencies.ts
@@ -9,7 +9,7 @@
 import type { ServiceRetryBudget } from "../retries/service_retry_budget.ts";
 import type { ChainRunner } from "./chain_runner.ts";
 import type { EndpointClient } from "./endpoint_call.ts";
-import type { ExpectedTimes } from "./expected_times.ts";
+import type { ExpectedTimes } from "./first_byte_estimates.ts";
 
 /** What requests are served with. */
 export interface RequestParts {
--- a/packages/kelpspar-gateway/src/requests/request_dispatch.ts
+++ b/packages/kelpspar-gateway/src/requests/request_dispatcher.ts
@@ -1,17 +1,17 @@
 import type { EndpointChoice } from "../endpoints/choose_endpoint.ts";
 import type { EndpointRefusal } from "./endpoint_call.ts";
 import type { RequestRun } from "./request_run.ts";
-import type { Answered, Sent } from "./sent.ts";
+import type { Answered, Sent } from "./send_result.ts";
 import { pauseOfAll } from "../endpoints/pause_of_all.ts";
 import { EndpointSender } from "./endpoint_sender.ts";
-import { findPlace } from "./find_place.ts";
+import { findPlace } from "./request_placement.ts";
 import { readBody } from "./read_body.ts";
 import {
   FULL_RETRY_MILLISECONDS,
   NO_ENDPOINT_RETRY_MILLISECONDS,
 } from "./retry_waits.ts";
-import { closeSent } from "./sent.ts";
-import { StreamForward } from "./stream_forward.ts";
+import { closeSent } from "./send_result.ts";
+import { StreamForward } from "./stream_forwarder.ts";
 import { StreamRelay } from "./stream_relay.ts";
 
 /** Why a dispatch ended without the request's final answer. */
--- a/packages/kelpspar-gateway/src/requests/find_place.ts
+++ b/packages/kelpspar-gateway/src/requests/request_placement.ts
@@ -1,5 +1,5 @@
 import type { RequestRun } from "./request_run.ts";
-import { chainOf, readerOf } from "./chain_of_request.ts";
+import { chainOf, readerOf } from "./create_chain_request.ts";
 
 /**
  * A request waits so long for its place, milliseconds: some times the way to
--- a/packages/kelpspar-gateway/src/requests/request_run.ts
+++ b/packages/kelpspar-gateway/src/requests/request_run.ts
@@ -3,7 +3,7 @@
 import type { ChainOutcome, PieceResult } from "../pieces/chain_outcome.ts";
 import type { ReaderPlace } from "../placement/reader_place.ts";
 import type { OwnAnswer, RequestReply } from "./request_reply.ts";
-import type { RequestParts } from "./request_parts.ts";
+import type { RequestParts } from "./request_dependencies.ts";
 import type { ServingRequest } from "./serving_request.ts";
 
 import { requestFingerprint } from "../quarantine/request_fingerprint.ts";
--- a/packages/kelpspar-gateway/src/requests/stream_forward.ts
+++ b/packages/kelpspar-gateway/src/requests/stream_forwarder.ts
@@ -1,6 +1,6 @@
 import type { EndpointState } from "../endpoints/endpoint_state.ts";
 import type { RequestRun } from "./request_run.ts";
-import type { Answered } from "./sent.ts";
+import type { Answered } from "./send_result.ts";
 import type { StreamRelay } from "./stream_relay.ts";
 
 /**
--- a/packages/kelpspar-scenarios/src/ablation/mechanisms.ts
+++ b/packages/kelpspar-scenarios/src/ablation/mechanisms.ts
@@ -6,7 +6,7 @@
 export const MECHANISMS: readonly Mechanism[] = [
   {
     name: "placement-by-coordinator",
-    file: `${GATEWAY}/requests/choose_for_request.ts`,
+    file: `${GATEWAY}/requests/choose_request_endpoint.ts`,
     code: "return placedEndpoint(run, tried) ?? chooseEndpoint({",
     without: "return chooseEndpoint({",
   },
--- a/packages/kelpspar-scenarios/src/guards/guards.ts
+++ b/packages/kelpspar-scenarios/src/guards/guards.ts
@@ -127,7 +127,7 @@
   },
   {
     name: "half an event is dropped before a stream goes on elsewhere",
-    file: `${GATEWAY}/requests/stream_forward.ts`,
+    file: `${GATEWAY}/requests/stream_forwarder.ts`,
     code: "this.#relay.dropRest();",
     without: "",
     noticedBy: `${PLATFORM_TESTS}/platform_path_test.ts`,
--- a/packages/kelpspar-scenarios/src/guards/notice_guards.ts
+++ b/packages/kelpspar-scenarios/src/guards/notice_guards.ts
@@ -49,7 +49,7 @@
   },
   {
     name: "a place that was given without the limit isn't used",
-    file: `${GATEWAY}/requests/choose_for_request.ts`,
+    file: `${GATEWAY}/requests/choose_request_endpoint.ts`,
     code: "if (!isWithin) return undefined;",
     without: "void isWithin;",
     noticedBy: `${TESTS}/limited_request_test.ts`,
--- a/packages/kelpspar-scenarios/src/guards/quarantine_guards.ts
+++ b/packages/kelpspar-scenarios/src/guards/quarantine_guards.ts
@@ -15,7 +15,7 @@
   },
   {
     name: "a request quarantined meanwhile isn't sent",
-    file: `${GATEWAY}/requests/request_dispatch.ts`,
+    file: `${GATEWAY}/requests/request_dispatcher.ts`,
     code: "if (run.isQuarantined) {",
     without: "if (run.isQuarantined && !run.isOpen) {",
     noticedBy: `${GATEWAY_TESTS}/quarantined_request_test.ts`,
