--- a/packages/kelpspar-gateway/src/__tests__/unit/service_retry_budget_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/service_retry_budget_test.ts
@@ -10,30 +10,30 @@
   });
 }
 
-function spendAll(budget: ServiceRetryBudget, sharers: number): number {
+function spendAll(budget: ServiceRetryBudget, senderCount: number): number {
   let spent = 0;
-  while (budget.trySpend("s", { count: 1, sharers, now: 1_000 })) spent++;
+  while (budget.trySpend("s", { count: 1, senderCount, now: 1_000 })) spent++;
   return spent;
 }
 
 test("six daemons together stay within the fleet's slack", () => {
   const daemons = Array.from({ length: 6 }, createBudget);
-  const spent = daemons.reduce((sum, one) => sum + spendAll(one, 6), 0);
+  const spent = daemons.reduce((sum, budget) => sum + spendAll(budget, 6), 0);
   expect(spent <= 50).toEqual(true);
   expect(spent >= 24).toEqual(true);
 });
 
-test("requests of the window allow their share", () => {
+test("each request in the window allows its share of retries", () => {
   const budget = createBudget();
   for (let count = 0; count < 100; count++) budget.recordRequest("s", 500);
   expect(spendAll(budget, 6)).toEqual(25);
 });
 
-test("repeats come back only when the window has passed", () => {
+test("spent retries are available again only after the window", () => {
   const budget = createBudget();
   const spent = spendAll(budget, 1);
-  expect(budget.trySpend("s", { count: 1, sharers: 1, now: 9_000 }))
+  expect(budget.trySpend("s", { count: 1, senderCount: 1, now: 9_000 }))
     .toEqual(false);
-  expect(budget.trySpend("s", { count: spent, sharers: 1, now: 13_000 }))
+  expect(budget.trySpend("s", { count: spent, senderCount: 1, now: 13_000 }))
     .toEqual(true);
 });
--- a/packages/kelpspar-gateway/src/pieces/piece_repeats.ts
+++ b/packages/kelpspar-gateway/src/pieces/piece_repeats.ts
@@ -72,6 +72,10 @@
 
   #spend(count: number): boolean {
     const { budget, service, timer } = this.#options;
-    return budget.trySpend(service, { count, sharers: 1, now: timer.now() });
+    return budget.trySpend(service, {
+      count,
+      senderCount: 1,
+      now: timer.now(),
+    });
   }
 }
--- a/packages/kelpspar-gateway/src/requests/endpoint_sender.ts
+++ b/packages/kelpspar-gateway/src/requests/endpoint_sender.ts
@@ -63,7 +63,11 @@
     if (this.#run.sends === 0) parts.budget.recordRequest(service, now);
     if (this.#run.arrivals === 0) return true;
     const sharers = parts.sharers();
-    return parts.budget.trySpend(service, { count: 1, sharers, now });
+    return parts.budget.trySpend(service, {
+      count: 1,
+      senderCount: sharers,
+      now,
+    });
   }
 
   /** Sends, and once more elsewhere when a short repeatable call is overdue. */
--- a/packages/kelpspar-gateway/src/retries/service_retry_budget.ts
+++ b/packages/kelpspar-gateway/src/retries/service_retry_budget.ts
@@ -1,34 +1,35 @@
 import { SlidingCounter } from "kelpspar-decisions/retries";
 
-/** What all daemons together may repeat. */
+/** Limits for the retries of all daemons together. */
 export interface ServiceRetryBudgetOptions {
-  /** Repeats allowed for each request of the window. */
+  /** Retries allowed for each request in the window. */
   readonly ratio: number;
-  /** Repeats that the fleet may make in a window beyond that. */
+  /** Additional retries that the fleet may make in a window. */
   readonly slack: number;
   readonly windowMilliseconds: number;
 }
 
 /**
- * Share of the fleet's slack that is given out. The rest covers daemons that
- * joined, or are taken for dead, while others still count by the old size.
+ * Share of the fleet's slack that daemons allocate. The rest covers daemons
+ * that joined, or are wrongly assumed dead, while other daemons still divide
+ * the slack by a different fleet size.
  */
-const SLACK_GIVEN_OUT = 0.7;
+const ALLOCATED_SLACK_SHARE = 0.7;
 
-interface Tally {
+interface ServiceCounters {
   readonly requests: SlidingCounter;
-  readonly repeats: SlidingCounter;
+  readonly retries: SlidingCounter;
 }
 
 /**
- * Repeats by service. The fleet shares one budget without talking about it:
- * each daemon repeats a share of its own requests and an even part of the
- * fleet's slack. Without it a service that begins to fail gets each call
- * several times over and can't recover.
+ * Retry budget by service, shared by the fleet without coordination: each
+ * daemon may retry a share of its own requests, plus an equal part of the
+ * fleet's slack. Without a budget, a failing service would receive each call
+ * several times and couldn't recover.
  */
 export class ServiceRetryBudget {
   readonly #options: ServiceRetryBudgetOptions;
-  readonly #tallies = new Map<string, Tally>();
+  readonly #countersByService = new Map<string, ServiceCounters>();
 
   constructor(options: ServiceRetryBudgetOptions) {
     this.#options = options;
@@ -36,44 +37,45 @@
 
   /** Counts the first send of a request or piece. */
   recordRequest(service: string, now: number): void {
-    this.#tallyOf(service).requests.add(1, now);
+    this.#countersOf(service).requests.add(1, now);
   }
 
   /**
-   * Takes `count` repeats; false when they are not there. `sharers` is how many
-   * daemons send to this service.
+   * Spends `count` retries; false if the budget doesn't allow all of them.
+   * `senderCount` is the number of daemons that send to this service.
    */
   trySpend(
     service: string,
     options: {
       readonly count: number;
-      readonly sharers: number;
+      readonly senderCount: number;
       readonly now: number;
     },
   ): boolean {
-    const { count, sharers, now } = options;
-    const { requests, repeats } = this.#tallyOf(service);
-    const slack = SLACK_GIVEN_OUT * this.#options.slack / Math.max(1, sharers);
+    const { count, senderCount, now } = options;
+    const { requests, retries } = this.#countersOf(service);
+    const slack = ALLOCATED_SLACK_SHARE * this.#options.slack /
+      Math.max(1, senderCount);
     const allowed = slack + this.#options.ratio * requests.sum(now);
-    if (repeats.sum(now) + count > allowed) return false;
-    repeats.add(count, now);
+    if (retries.sum(now) + count > allowed) return false;
+    retries.add(count, now);
     return true;
   }
 
-  #tallyOf(service: string): Tally {
-    const known = this.#tallies.get(service);
-    if (known !== undefined) return known;
-    // One slice more than the window, so that nothing is forgotten early.
+  #countersOf(service: string): ServiceCounters {
+    const existing = this.#countersByService.get(service);
+    if (existing !== undefined) return existing;
+    // One slice more than the window, so that no retry expires early.
     const { windowMilliseconds } = this.#options;
-    const counter = {
+    const counterOptions = {
       windowMilliseconds: windowMilliseconds * 1.1,
       slices: 11,
     };
-    const tally = {
-      requests: new SlidingCounter({ ...counter, windowMilliseconds }),
-      repeats: new SlidingCounter(counter),
+    const counters = {
+      requests: new SlidingCounter({ ...counterOptions, windowMilliseconds }),
+      retries: new SlidingCounter(counterOptions),
     };
-    this.#tallies.set(service, tally);
-    return tally;
+    this.#countersByService.set(service, counters);
+    return counters;
   }
 }
--- a/packages/kelpspar-scenarios/src/guards/guards.ts
+++ b/packages/kelpspar-scenarios/src/guards/guards.ts
@@ -142,7 +142,7 @@
   {
     name: "repeats come out of a budget",
     file: `${GATEWAY}/retries/service_retry_budget.ts`,
-    code: "if (repeats.sum(now) + count > allowed) return false;",
+    code: "if (retries.sum(now) + count > allowed) return false;",
     without: "",
     noticedBy: `${GATEWAY_TESTS}/service_retry_budget_test.ts`,
   },
