--- a/packages/kelpspar-gateway/src/__tests__/support/request_world.ts
+++ b/packages/kelpspar-gateway/src/__tests__/support/request_world.ts
@@ -8,7 +8,10 @@
   EndpointCall,
   EndpointClient,
 } from "../../requests/endpoint_call.ts";
-import type { OwnAnswer, RequestReply } from "../../requests/request_reply.ts";
+import type {
+  DaemonAnswer,
+  RequestReply,
+} from "../../requests/request_reply.ts";
 import type { ServingRequest } from "../../requests/serving_request.ts";
 import { ManualTimer, SeededRandom } from "kelpspar-shared";
 import { Readable } from "node:stream";
@@ -19,12 +22,12 @@
 import { GatewayMetrics } from "../../metrics/gateway_metrics.ts";
 import { CrashWatch } from "../../quarantine/crash_watch.ts";
 import { Quarantine } from "../../quarantine/quarantine.ts";
-import { ExpectedTimes } from "../../requests/first_byte_estimates.ts";
+import { FirstByteEstimates } from "../../requests/first_byte_estimates.ts";
 import { RequestService } from "../../requests/request_service.ts";
 import { ServiceRetryBudget } from "../../retries/service_retry_budget.ts";
 
-/** How an endpoint answers one call. */
-export type Script = (
+/** Answers one endpoint call. */
+export type ScriptedAnswer = (
   call: EndpointCall,
 ) => EndpointAnswer | Promise<EndpointAnswer>;
 
@@ -43,32 +46,32 @@
   stages: [{ service: "encode", after: [], resultBytes: 100 }],
 };
 
-/** What a caller got. */
+/** Records the answer that a caller received. */
 export class RecordedReply implements RequestReply {
-  readonly #gone = new AbortController();
+  readonly #disconnect = new AbortController();
   status: number | undefined;
-  refusal: OwnAnswer | undefined;
+  refusal: DaemonAnswer | undefined;
   text = "";
-  end_: "open" | "ended" | "broken" = "open";
+  endState: "open" | "ended" | "broken" = "open";
 
-  get gone(): AbortSignal {
-    return this.#gone.signal;
+  get disconnectSignal(): AbortSignal {
+    return this.#disconnect.signal;
   }
 
-  leave(): void {
-    this.#gone.abort();
+  disconnect(): void {
+    this.#disconnect.abort();
   }
 
-  refuse(answer: OwnAnswer): void {
+  refuse(answer: DaemonAnswer): void {
     this.status = answer.status;
     this.refusal = answer;
-    this.end_ = "ended";
+    this.endState = "ended";
   }
 
   answer(status: number, _: readonly string[], body: Uint8Array): void {
     this.status = status;
     this.text = Buffer.from(body).toString();
-    this.end_ = "ended";
+    this.endState = "ended";
   }
 
   begin(status: number): void {
@@ -81,45 +84,45 @@
   }
 
   end(): void {
-    this.end_ = "ended";
+    this.endState = "ended";
   }
 
-  breakOff(): void {
-    this.end_ = "broken";
+  abort(): void {
+    this.endState = "broken";
   }
 }
 
-/** One daemon's request path before three endpoints that are scripted. */
+/** The request path of one daemon with three scripted endpoints. */
 export interface World {
   readonly timer: ManualTimer;
   readonly service: RequestService;
   readonly reply: RecordedReply;
-  readonly book: EndpointBook;
-  readonly calls: EndpointCall[];
-  readonly released: string[];
+  readonly registry: EndpointBook;
+  readonly endpointCalls: EndpointCall[];
+  readonly releasedHandles: string[];
   readonly quarantine: Quarantine;
-  /** Times that stages were run. */
-  readonly chainsRun: () => number;
-  readonly lines: { readonly message: string; readonly fields: LogFields }[];
+  /** Number of chains that were run. */
+  readonly chainRunCount: () => number;
+  readonly logLines: { readonly message: string; readonly fields: LogFields }[];
 }
 
-/** Scripts answer in turn, whichever endpoint is called. */
+/** Answers endpoint endpointCalls in the order of `script`, at any endpoint. */
 export function createWorld(
-  script: readonly Script[],
+  script: readonly ScriptedAnswer[],
   options: {
     readonly route?: Partial<ServiceRoute>;
     readonly chain?: ChainOutcome | Promise<ChainOutcome>;
-    /** What endpoints named; nothing when left out. */
+    /** Limits of the endpoints; none by default. */
     readonly limits?: EndpointLimits;
-    /** False for a daemon that just started. */
+    /** False for a daemon that has no configuration yet. */
     readonly isConfigured?: boolean;
-    /** Whether endpoints take connections; all do when left out. */
+    /** Checks if an endpoint accepts connections; all do by default. */
     readonly check?: (endpoint: EndpointEntry) => ListeningState;
   } = {},
 ): World {
   const timer = new ManualTimer();
   const configuration = new ConfigurationKeeper();
-  const first = {
+  const initialConfiguration = {
     version: 1,
     routes: [{ ...ROUTE, ...options.route }],
     services: [],
@@ -131,10 +134,10 @@
     },
     accounts: [{ name: "acme", callerKeys: ["key"], priority: undefined }],
   };
-  if (options.isConfigured !== false) configuration.offer(first);
-  const book = new EndpointBook();
+  if (options.isConfigured !== false) configuration.offer(initialConfiguration);
+  const endpointRegistry = new EndpointBook();
   for (const id of ["i1", "i2", "i3"]) {
-    book.put({
+    endpointRegistry.put({
       id,
       bornAt: 0,
       service: "model",
@@ -144,20 +147,20 @@
       isDraining: false,
     }, 0);
   }
-  const calls: EndpointCall[] = [];
-  const released: string[] = [];
-  const lines: World["lines"] = [];
-  let chains = 0;
-  const note = (message: string, fields: LogFields = {}): void => {
-    lines.push({ message, fields });
+  const endpointCalls: EndpointCall[] = [];
+  const releasedHandles: string[] = [];
+  const logLines: World["logLines"] = [];
+  let chainRunCount = 0;
+  const recordLine = (message: string, fields: LogFields = {}): void => {
+    logLines.push({ message, fields });
   };
-  const log = { info: note, warn: note };
+  const log = { info: recordLine, warn: recordLine };
   const quarantine = new Quarantine({ timer, log });
   const endpoints: EndpointClient = {
     send: async (call) => {
-      calls.push(call);
-      const answer = script[calls.length - 1];
-      if (answer === undefined) throw new Error("No more answers scripted");
+      endpointCalls.push(call);
+      const answer = script[endpointCalls.length - 1];
+      if (answer === undefined) throw new Error("No scripted answer is left");
       return await answer(call);
     },
     check: (endpoint) =>
@@ -165,7 +168,7 @@
   };
   const service = new RequestService({
     configuration,
-    book,
+    endpointRegistry,
     endpoints,
     gate: new EndpointGate({
       chooser: "daemon",
@@ -176,14 +179,14 @@
     }),
     crashes: new CrashWatch({ endpoints, quarantine, timer, log }),
     quarantine,
-    chains: {
+    chainRunner: {
       run: () => {
-        chains++;
+        chainRunCount++;
         return Promise.resolve(
           options.chain ?? {
             type: "done",
             results: [{
-              handle: `h${chains}`,
+              handle: `h${chainRunCount}`,
               makerId: "m",
               makerAddress: "10.0.1.1:80",
               makerZone: "a",
@@ -192,7 +195,7 @@
         );
       },
       release: ({ results }) => {
-        released.push(...results.map(({ handle }) => handle));
+        releasedHandles.push(...results.map(({ handle }) => handle));
       },
     },
     budget: new ServiceRetryBudget({
@@ -200,24 +203,24 @@
       slack: 50,
       windowMilliseconds: 10_000,
     }),
-    times: new ExpectedTimes(),
+    firstByteEstimates: new FirstByteEstimates(),
     timer,
     random: new SeededRandom(1),
     log,
     metrics: new GatewayMetrics(),
     zone: "a",
-    sharers: () => 1,
+    senderCount: () => 1,
   });
   return {
     timer,
     service,
     reply: new RecordedReply(),
-    book,
-    calls,
-    released,
+    registry: endpointRegistry,
+    endpointCalls,
+    releasedHandles,
     quarantine,
-    chainsRun: () => chains,
-    lines,
+    chainRunCount: () => chainRunCount,
+    logLines,
   };
 }
 
@@ -244,7 +247,9 @@
   return { type: "answered", status, headers: [], body, close };
 }
 
-export function stream(...parts: readonly (string | Error)[]): EndpointAnswer {
+export function stream(
+  ...parts: readonly (string | Error)[]
+): EndpointAnswer {
   async function* read(): AsyncGenerator<Buffer> {
     for (const part of parts) {
       await Promise.resolve();
@@ -255,12 +260,15 @@
   return answered(200, Readable.from(read()));
 }
 
-export function whole(status: number, text: string): EndpointAnswer {
+export function wholeAnswer(status: number, text: string): EndpointAnswer {
   return answered(status, Readable.from([Buffer.from(text)]));
 }
 
-export async function serve(world: World, one = request()): Promise<void> {
-  const served = world.service.serve(one, world.reply);
+export async function serve(
+  world: World,
+  callerRequest = request(),
+): Promise<void> {
+  const served = world.service.serve(callerRequest, world.reply);
   await world.timer.settle();
   await served;
 }
--- a/packages/kelpspar-gateway/src/__tests__/unit/chain_client_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/chain_client_test.ts
@@ -18,27 +18,27 @@
   priority: 0,
 };
 
-interface World {
+interface TestWorld {
   readonly timer: ManualTimer;
   readonly client: ChainClient;
-  /** Who ran chains, in turn. */
-  readonly ranAt: string[];
-  /** Others that are heard. */
-  readonly heard: string[];
+  /** Daemons that ran chains, in order. */
+  readonly ranByDaemon: string[];
+  /** Other daemons with a recent heartbeat. */
+  readonly heardDaemons: string[];
 }
 
-function createWorld(): World {
+function createWorld(): TestWorld {
   const timer = new ManualTimer();
-  const ranAt: string[] = [];
-  const heard: string[] = [];
+  const ranByDaemon: string[] = [];
+  const heardDaemons: string[] = [];
   const run = (daemon: string): Promise<{ type: "done"; results: [] }> => {
-    ranAt.push(daemon);
+    ranByDaemon.push(daemon);
     return Promise.resolve({ type: "done", results: [] });
   };
   const address = { peer: "10.0.0.2:1" };
   const membership = {
-    ranked: () => [...heard, "self"],
-    heardLately: () => heard,
+    ranked: () => [...heardDaemons, "self"],
+    heardLately: () => heardDaemons,
     find: () => address,
     silenceOf: () => 0,
     isStalled: () => false,
@@ -47,37 +47,36 @@
     daemonId: "self",
     membership,
     peers: { runChain: () => run("other") } as unknown as PeerClient,
-    local: { run: () => run("self") } as unknown as PieceCoordinator,
+    localCoordinator: { run: () => run("self") } as unknown as PieceCoordinator,
     timer,
     log: { info: () => {}, warn: () => {} },
     ownState: () => ({ isLeaving: false, isReady: true, isStoreFresh: true }),
     probe: () => {},
   });
-  return { timer, client, ranAt, heard };
+  return { timer, client, ranByDaemon, heardDaemons };
 }
 
-test("a daemon that just started hears others before it gathers pieces", async () => {
-  // Symptom: after all daemons were killed at once, seven of eight sent pieces
-  // for the next seconds, 2,000 of which were turned away for want of room.
-  // Sequence: each got its first callers some milliseconds before it heard the
-  // others, took itself for the only one and ran their stages.
-  // Cause: who had heard nobody yet was alone at once.
-  const { timer, client, ranAt, heard } = createWorld();
-  const asked = client.run(REQUEST, new AbortController().signal);
+test("a starting daemon waits for a heartbeat before it runs chains itself", async () => {
+  // Guards against several coordinators after all daemons restart together. Each
+  // got its first callers some milliseconds before the first heartbeat, assumed
+  // that it was alone and ran their stages. Seven of eight daemons sent pieces
+  // for the next seconds, 2,000 of which were refused for lack of room.
+  const { timer, client, ranByDaemon, heardDaemons } = createWorld();
+  const outcome = client.run(REQUEST, new AbortController().signal);
   await timer.advance(50);
-  expect(ranAt).toEqual([]);
-  heard.push("other");
+  expect(ranByDaemon).toEqual([]);
+  heardDaemons.push("other");
   await timer.advance(50);
-  await asked;
-  expect(ranAt).toEqual(["other"]);
+  await outcome;
+  expect(ranByDaemon).toEqual(["other"]);
 });
 
-test("a daemon that hears nobody serves alone after a moment", async () => {
-  const { timer, client, ranAt } = createWorld();
-  const asked = client.run(REQUEST, new AbortController().signal);
+test("a daemon without heartbeats runs chains itself after the grace period", async () => {
+  const { timer, client, ranByDaemon } = createWorld();
+  const outcome = client.run(REQUEST, new AbortController().signal);
   await timer.advance(400);
-  await asked;
-  expect(ranAt).toEqual(["self"]);
+  await outcome;
+  expect(ranByDaemon).toEqual(["self"]);
   await client.run(REQUEST, new AbortController().signal);
-  expect(ranAt).toEqual(["self", "self"]);
+  expect(ranByDaemon).toEqual(["self", "self"]);
 });
--- a/packages/kelpspar-gateway/src/__tests__/unit/evacuated_zone_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/evacuated_zone_test.ts
@@ -6,7 +6,7 @@
   createWorld,
   request,
   serve,
-  whole,
+  wholeAnswer,
 } from "../support/request_world.ts";
 
 const NOBODY: ReadonlySet<string> = new Set();
@@ -69,10 +69,10 @@
 // Guards against callers that wait for a service whose zones are all evacuated.
 test("a request whose service is evacuated is refused at once", async () => {
   const world = createWorld([]);
-  world.book.setEvacuated(new Set(["a"]), 0);
+  world.registry.setEvacuated(new Set(["a"]), 0);
   await serve(world, request());
   expect(world.reply.status).toEqual(503);
-  expect(world.chainsRun()).toEqual(0);
+  expect(world.chainRunCount()).toEqual(0);
 });
 
 // Guards against a place that was chosen before the zone was evacuated.
@@ -82,16 +82,16 @@
     results: [],
     place: { endpointId: "i2", promptSourceId: "i3" },
   } as const;
-  const world = createWorld([() => whole(200, "done")], {
+  const world = createWorld([() => wholeAnswer(200, "done")], {
     chain,
     route: { kind: "idempotent" },
   });
   for (const id of ["i2", "i3"]) {
-    const known = world.book.find(id)?.entry;
-    if (known !== undefined) world.book.put({ ...known, zone: "b" }, 0);
+    const known = world.registry.find(id)?.entry;
+    if (known !== undefined) world.registry.put({ ...known, zone: "b" }, 0);
   }
-  world.book.setEvacuated(new Set(["b"]), 0);
+  world.registry.setEvacuated(new Set(["b"]), 0);
   await serve(world);
-  expect(world.calls.map((call) => call.endpoint.id)).toEqual(["i1"]);
-  expect(world.calls[0]?.promptSource).toEqual(undefined);
+  expect(world.endpointCalls.map((call) => call.endpoint.id)).toEqual(["i1"]);
+  expect(world.endpointCalls[0]?.promptSource).toEqual(undefined);
 });
--- a/packages/kelpspar-gateway/src/__tests__/unit/limited_endpoint_probes_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/limited_endpoint_probes_test.ts
@@ -1,13 +1,13 @@
 import { expect } from "earl";
 import { test } from "node:test";
 import { EndpointBook } from "../../endpoints/endpoint_book.ts";
-import { LimitedTrials } from "../../requests/limited_endpoint_probes.ts";
+import { LimitedEndpointProbes } from "../../requests/limited_endpoint_probes.ts";
 
 // Guards against an endpoint that stays unused long after its limit ended.
-test("a service with a limited endpoint is tried once a second", () => {
-  const book = new EndpointBook();
+test("a service with a limited endpoint is probed once a second", () => {
+  const endpointRegistry = new EndpointBook();
   for (const id of ["i1", "i2"]) {
-    book.put({
+    endpointRegistry.put({
       id,
       bornAt: 1,
       service: "plain",
@@ -17,16 +17,16 @@
       isDraining: false,
     }, 0);
   }
-  let limited = "none";
-  const trials = new LimitedTrials({
-    book,
-    gate: { limitOf: ({ entry }) => entry.id === limited ? 1 : undefined },
+  let limitedId = "none";
+  const probes = new LimitedEndpointProbes({
+    endpointRegistry,
+    gate: { limitOf: ({ entry }) => entry.id === limitedId ? 1 : undefined },
   });
-  expect(trials.take("plain", 0)).toEqual(false);
-  limited = "i2";
-  const taken = [0, 10, 990, 1_000, 1_500, 2_000].filter((now) =>
-    trials.take("plain", now)
+  expect(probes.tryStartProbe("plain", 0)).toEqual(false);
+  limitedId = "i2";
+  const probeTimes = [0, 10, 990, 1_000, 1_500, 2_000].filter((now) =>
+    probes.tryStartProbe("plain", now)
   );
-  expect(taken).toEqual([0, 1_000, 2_000]);
-  expect(trials.take("other", 0)).toEqual(false);
+  expect(probeTimes).toEqual([0, 1_000, 2_000]);
+  expect(probes.tryStartProbe("other", 0)).toEqual(false);
 });
--- a/packages/kelpspar-gateway/src/__tests__/unit/limited_request_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/limited_request_test.ts
@@ -2,9 +2,9 @@
 import { expect } from "earl";
 import { test } from "node:test";
 import { EndpointLimits } from "../../endpoints/endpoint_limits.ts";
-import { createWorld, request, whole } from "../support/request_world.ts";
+import { createWorld, request, wholeAnswer } from "../support/request_world.ts";
 
-/** So low that this daemon's own share is not due when a request comes. */
+/** So low that this daemon's own share doesn't allow a request yet. */
 const LIMIT = 0.2;
 const ROUTE = { stages: [], kind: "non_idempotent" } as const;
 
@@ -18,11 +18,11 @@
   return { type: "done", results: [], place: { endpointId, limitPerSecond } };
 }
 
-// Guards against a coordinator that doesn't know of a limit and is obeyed.
-test("a place that was given without the limit is not used", async () => {
+// Guards against using the place of a coordinator that doesn't have the limit.
+test("a place that the coordinator chose without the limit is not used", async () => {
   for (const limit of [undefined, LIMIT * 2]) {
-    const { service, reply, calls } = createWorld(
-      [() => whole(200, "served")],
+    const { service, reply, endpointCalls: calls } = createWorld(
+      [() => wholeAnswer(200, "served")],
       {
         route: ROUTE,
         limits: limitsOf("i1"),
@@ -36,9 +36,11 @@
   }
 });
 
-// Guards against shares of the coordinator that daemons don't make use of.
-test("a place within the limit is used whatever this daemon's share", async () => {
-  const { service, reply, calls } = createWorld([() => whole(200, "served")], {
+// Guards against daemons that leave the coordinator's share of a limit unused.
+test("a place within the limit is used regardless of this daemon's share", async () => {
+  const { service, reply, endpointCalls: calls } = createWorld([
+    () => wholeAnswer(200, "served"),
+  ], {
     route: ROUTE,
     limits: limitsOf("i1", "i2", "i3"),
     chain: placedAt("i2", LIMIT),
@@ -48,9 +50,9 @@
   expect(reply.status).toEqual(200);
 });
 
-// Guards against callers who wait, or are sent back too early, over a limit.
-test("a request over all limits is refused with the coordinator's wait", async () => {
-  const { service, reply, calls } = createWorld([], {
+// Guards against callers that wait at a limit or are invited back too early.
+test("a request over all limits is refused with the coordinator's retry delay", async () => {
+  const { service, reply, endpointCalls: calls } = createWorld([], {
     route: ROUTE,
     limits: limitsOf("i1", "i2", "i3"),
     chain: {
--- a/packages/kelpspar-gateway/src/__tests__/unit/prompt_home_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/prompt_home_test.ts
@@ -24,7 +24,7 @@
   };
 }
 
-/** A coordinator that was just started: it knows of no prompt. */
+/** Placement of a coordinator that just started and knows no cached prompts. */
 function createPlacement(): ReaderPlacement {
   const book = new EndpointBook();
   for (let index = 0; index < ENDPOINTS; index++) book.put(entry(index), 0);
@@ -43,7 +43,7 @@
   });
 }
 
-/** Where each prompt is read that one request after the other has. */
+/** Places one request for each prompt; returns their endpoints in order. */
 function placeAll(
   placement: ReaderPlacement,
   name: string,
@@ -63,15 +63,15 @@
   });
 }
 
-// Guards against prompts that are read again as the coordinator changes.
-test("the next coordinator finds prompts where the one before had them read", () => {
+// Guards against reading prompts again after a change of the coordinator.
+test("a new coordinator places prompts at the same endpoints as its predecessor", () => {
   const first = placeAll(createPlacement(), "first");
   const second = placeAll(createPlacement(), "second");
   expect(second).toEqual(first);
 });
 
-// Guards against one endpoint that is the home of all.
-test("prompts are spread over the endpoints", () => {
+// Guards against a single endpoint that is the home of all prompts.
+test("prompts are distributed over the endpoints", () => {
   const counts = new Map<string | undefined, number>();
   for (const id of placeAll(createPlacement(), "one")) {
     counts.set(id, (counts.get(id) ?? 0) + 1);
@@ -80,8 +80,8 @@
     .toEqual(true);
 });
 
-// Guards against results that are made far from where their prompt is read.
-test("a prompt's home gives the zone for results while nobody keeps it", () => {
+// Guards against results that are made in another zone than their reader's.
+test("the home of an uncached prompt determines the zone of its results", () => {
   const placement = createPlacement();
   const reader = {
     service: "model",
--- a/packages/kelpspar-gateway/src/__tests__/unit/quarantined_request_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/quarantined_request_test.ts
@@ -8,13 +8,13 @@
   request,
   serve,
   stream,
-  whole,
+  wholeAnswer,
 } from "../support/request_world.ts";
 
 const CUT = new Error("connection reset");
 const FINGERPRINT = requestFingerprint({ caller: "acme", ...request() });
 
-/** Reports three crashes of the request, as other daemons would. */
+/** Records three crashes of the request, as reported by other daemons. */
 function quarantine(world: World): void {
   for (const crash of ["1", "2", "3"]) {
     world.quarantine.crashed({
@@ -25,27 +25,27 @@
   }
 }
 
-// Guards against stages that are made for a request that won't be sent.
-test("a quarantined request fails before its stages are made", async () => {
+// Guards against running stages for a request that won't be sent.
+test("a quarantined request fails before its stages run", async () => {
   const world = createWorld([]);
   quarantine(world);
   await serve(world);
-  expect(world.chainsRun()).toEqual(0);
+  expect(world.chainRunCount()).toEqual(0);
   expect(world.reply.refusal?.status).toEqual(502);
   expect(world.reply.refusal?.retryAfterMilliseconds).toEqual(undefined);
 });
 
-// Guards against a verdict that comes while the stages run.
-test("a request that is quarantined meanwhile isn't sent, and frees its results", async () => {
-  let settleChain = (_: ChainOutcome): void => {};
+// Guards against ignoring a quarantine that begins while the stages run.
+test("a request quarantined during its stages isn't sent, and frees its results", async () => {
+  let resolveChain = (_: ChainOutcome): void => {};
   const chain = new Promise<ChainOutcome>((resolve) => {
-    settleChain = resolve;
+    resolveChain = resolve;
   });
   const world = createWorld([], { chain });
   const served = world.service.serve(request(), world.reply);
   await world.timer.settle();
   quarantine(world);
-  settleChain({
+  resolveChain({
     type: "done",
     results: [{
       handle: "h1",
@@ -55,40 +55,42 @@
     }],
   });
   await served;
-  expect(world.calls.length).toEqual(0);
-  expect(world.released).toEqual(["h1"]);
+  expect(world.endpointCalls.length).toEqual(0);
+  expect(world.releasedHandles).toEqual(["h1"]);
   expect(world.reply.refusal?.status).toEqual(502);
 });
 
-// Guards against a stream that crashes one endpoint after the other by itself.
-test("a crash under a request is reported once nothing listens any more", async () => {
+// Guards against a single stream that crashes one endpoint after another.
+test("a crash is reported once the endpoint refuses connections", async () => {
   const world = createWorld(
     [() => stream(CUT), () => stream(CUT)],
     { check: ({ id }) => id === "i1" ? "listening" : "refused" },
   );
   await serve(world);
   await world.timer.settle();
-  const crashed = world.calls.filter(({ endpoint }) => endpoint.id !== "i1");
+  const crashed = world.endpointCalls.filter(({ endpoint }) =>
+    endpoint.id !== "i1"
+  );
   expect(world.quarantine.page(FINGERPRINT).reports.length)
     .toEqual(crashed.length);
 });
 
-// Guards against a second copy that is sent although the first is known.
+// Guards against hedging a request after it was quarantined.
 test("a quarantined request isn't hedged", async () => {
   const world = createWorld(
-    [() => new Promise(() => {}), () => whole(200, "b")],
+    [() => new Promise(() => {}), () => wholeAnswer(200, "b")],
     { route: { kind: "idempotent", stages: [] } },
   );
   void world.service.serve(request(), world.reply);
   await world.timer.settle();
-  expect(world.calls.length).toEqual(1);
+  expect(world.endpointCalls.length).toEqual(1);
   quarantine(world);
   await world.timer.advance(5_000);
-  expect(world.calls.length).toEqual(1);
+  expect(world.endpointCalls.length).toEqual(1);
 });
 
-// Guards against a request that is held although it is served.
-test("a request that was served is not held for later crashes", async () => {
+// Guards against quarantining a request that can be served.
+test("a request that was served isn't quarantined for later crashes", async () => {
   const world = createWorld([() => stream("id: 1\ndata: a\n\n")]);
   await serve(world);
   quarantine(world);
--- a/packages/kelpspar-gateway/src/front/http_reply.ts
+++ b/packages/kelpspar-gateway/src/front/http_reply.ts
@@ -1,5 +1,5 @@
 import type { ServerResponse } from "node:http";
-import type { OwnAnswer, RequestReply } from "../requests/request_reply.ts";
+import type { DaemonAnswer, RequestReply } from "../requests/request_reply.ts";
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
@@ -18,11 +18,11 @@
     });
   }
 
-  get gone(): AbortSignal {
+  get disconnectSignal(): AbortSignal {
     return this.#gone.signal;
   }
 
-  refuse(answer: OwnAnswer): void {
+  refuse(answer: DaemonAnswer): void {
     const body = Buffer.from(JSON.stringify({ message: answer.message }));
     const headers = ["Content-Type", "application/json"];
     if (answer.retryAfterMilliseconds !== undefined) {
@@ -63,7 +63,7 @@
     if (!this.#response.destroyed) this.#response.end();
   }
 
-  breakOff(): void {
+  abort(): void {
     this.#response.destroy();
   }
 
--- a/packages/kelpspar-gateway/src/gateway_daemon.ts
+++ b/packages/kelpspar-gateway/src/gateway_daemon.ts
@@ -30,7 +30,7 @@
 import { GatewayMetrics } from "./metrics/gateway_metrics.ts";
 import { PieceCoordinator } from "./pieces/piece_coordinator.ts";
 import { ChainClient } from "./requests/chain_client.ts";
-import { ExpectedTimes } from "./requests/first_byte_estimates.ts";
+import { FirstByteEstimates } from "./requests/first_byte_estimates.ts";
 import { createQuarantineParts } from "./quarantine/quarantine_parts.ts";
 import { RequestService } from "./requests/request_service.ts";
 import { ServiceRetryBudget } from "./retries/service_retry_budget.ts";
@@ -166,7 +166,7 @@
       daemonId: self.daemonId,
       membership,
       peers,
-      local: coordinator,
+      localCoordinator: coordinator,
       timer,
       log,
       ownState: () => fleet.ownState,
@@ -174,20 +174,20 @@
     });
     const service = new RequestService({
       configuration,
-      book,
+      endpointRegistry: book,
       endpoints: options.endpoints,
       gate: gate("daemon"),
-      chains,
+      chainRunner: chains,
       budget,
       crashes: crashes.watch,
       quarantine: crashes.quarantine,
-      times: new ExpectedTimes(),
+      firstByteEstimates: new FirstByteEstimates(),
       timer,
       random: options.random,
       log,
       metrics: this.metrics,
       zone: self.zone,
-      sharers: () => this.fleetSize(),
+      senderCount: () => this.fleetSize(),
     });
     this.quarantine = crashes.quarantine;
     this.#crashes = crashes;
@@ -365,7 +365,7 @@
           this.#coordinator.openChains === 0;
         if (!isDone && now < endsAt) return;
         stopChecks();
-        this.#service.endOpen();
+        this.#service.failOpenRequests();
         resolve();
       }, STOP_CHECK_MILLISECONDS);
     });
--- a/packages/kelpspar-gateway/src/requests/chain_client.ts
+++ b/packages/kelpspar-gateway/src/requests/chain_client.ts
@@ -9,44 +9,45 @@
 import type { PieceCoordinator } from "../pieces/piece_coordinator.ts";
 import { isRefused } from "../fleet/is_refused.ts";
 
-/** The one key by which all daemons rank the coordinators of stages. */
-const COORDINATOR_KEY = "stages";
-/** Other daemons that are asked before this one runs a chain itself. */
-const MOST_REMOTE_TRIES = 2;
+/** Ranking key of the coordinator of stages, the same at every daemon. */
+const COORDINATOR_RANKING_KEY = "stages";
+/** Number of other daemons to try before this daemon runs a chain itself. */
+const MAXIMUM_REMOTE_ATTEMPTS = 2;
 /**
- * Silence after which a coordinator is asked for a sign of life, milliseconds.
- * In a large fleet word of it arrives later than that when nobody asks.
+ * Silence after which the coordinator is probed. In a large fleet, gossip alone
+ * delivers its heartbeats less often than that.
  */
 const PROBE_MILLISECONDS = 1_000;
-/** How often a chain looks whether its coordinator fell silent. */
-const WATCH_MILLISECONDS = 150;
+/** Interval at which a running chain checks that its coordinator is alive. */
+const COORDINATOR_CHECK_INTERVAL_MILLISECONDS = 150;
 
 /**
- * A daemon that just started hears others within so long, milliseconds: a read
- * of the store and an exchange, beside a start of all.
+ * Time that a daemon needs after its start to receive a first heartbeat: one
+ * read of the store and one exchange, also while all daemons start at once.
  */
-const SETTLE_MILLISECONDS = 300;
-/** How often it looks whether it heard one, milliseconds. */
-const SETTLE_CHECK_MILLISECONDS = 15;
+const STARTUP_GRACE_MILLISECONDS = 300;
+/** Interval at which a starting daemon checks for a first heartbeat. */
+const STARTUP_CHECK_INTERVAL_MILLISECONDS = 15;
 
-/** What chains are sent with. */
+/** Options of a `ChainClient`. */
 export interface ChainClientOptions {
   readonly daemonId: string;
   readonly membership: FleetMembership;
   readonly peers: PeerClient;
-  readonly local: PieceCoordinator;
+  readonly localCoordinator: PieceCoordinator;
   readonly timer: TimerService;
   readonly log: GatewayLog;
   readonly ownState: () => OwnState;
-  /** Asks a daemon for a sign of life. */
+  /** Requests a heartbeat from the daemon at address `peer`. */
   readonly probe: (peer: string) => void;
 }
 
 /**
- * Gets chains run by the daemon that gathers pieces for all. A coordinator that
- * dies, stands still or is cut off is noticed by its connection or its silence;
- * the next in rank, and in the end this daemon, runs the chain again. Pieces
- * may be made twice, so that this is safe.
+ * Runs chains at the coordinator, the daemon that batches the pieces of all
+ * daemons. A coordinator that crashed, stalled or is partitioned is detected by
+ * a failed connection or missing heartbeats. The chain is then run again by the
+ * daemon next in rank, and finally by this daemon. This is safe because pieces
+ * may be executed more than once.
  */
 export class ChainClient implements ChainRunner {
   readonly #options: ChainClientOptions;
@@ -58,10 +59,13 @@
     this.#startedAt = options.timer.now();
   }
 
-  async run(request: ChainRequest, gone: AbortSignal): Promise<ChainOutcome> {
+  async run(
+    request: ChainRequest,
+    signal: AbortSignal,
+  ): Promise<ChainOutcome> {
     const { timer, log } = this.#options;
     const startedAt = timer.now();
-    const outcome = await this.#runSomewhere(request, gone);
+    const outcome = await this.#runWithFailover(request, signal);
     log.info("stages ended", {
       attempt: request.attemptId,
       outcome: outcome.type === "done" ? "done" : outcome.reason,
@@ -74,103 +78,117 @@
     return outcome;
   }
 
-  async #runSomewhere(
+  async #runWithFailover(
     request: ChainRequest,
-    gone: AbortSignal,
+    signal: AbortSignal,
   ): Promise<ChainOutcome> {
-    const { local, timer } = this.#options;
+    const { localCoordinator: local, timer } = this.#options;
     const startedAt = timer.now();
-    await this.#settle();
+    await this.#waitForMembership();
     for (const daemonId of this.#candidates()) {
-      const spent = timer.now() - startedAt;
+      const elapsed = timer.now() - startedAt;
       const rest = {
         ...request,
-        remainingMilliseconds: request.remainingMilliseconds - spent,
-        objectiveMilliseconds: request.objectiveMilliseconds - spent,
+        remainingMilliseconds: request.remainingMilliseconds - elapsed,
+        objectiveMilliseconds: request.objectiveMilliseconds - elapsed,
       };
-      if (daemonId === this.#options.daemonId) return local.run(rest, gone);
-      const outcome = await this.#runRemote(daemonId, rest, gone);
-      if (outcome !== undefined || gone.aborted) {
+      if (daemonId === this.#options.daemonId) return local.run(rest, signal);
+      const outcome = await this.#runRemote(
+        daemonId,
+        rest,
+        signal,
+      );
+      if (outcome !== undefined || signal.aborted) {
         return outcome ??
           { type: "refused", reason: "too_late", retryAfterMilliseconds: 0 };
       }
     }
-    return local.run(request, gone);
+    return local.run(request, signal);
   }
 
-  /** Frees results by the coordinator, which counts the room that they take. */
+  /** Frees results through the coordinator, which accounts for their room. */
   release(release: ChainRelease): void {
-    const { daemonId, local, membership, peers } = this.#options;
-    const first = this.#candidates()[0];
-    const address = first === undefined ? undefined : membership.find(first);
-    if (first === daemonId || address === undefined) {
-      local.release(release);
+    const { daemonId, localCoordinator, membership, peers } = this.#options;
+    const coordinatorId = this.#candidates()[0];
+    const address = coordinatorId === undefined
+      ? undefined
+      : membership.find(coordinatorId);
+    if (coordinatorId === daemonId || address === undefined) {
+      localCoordinator.release(release);
       return;
     }
     peers.release(address.peer, release).catch((error: unknown) => {
-      this.#options.log.warn("release by coordinator failed", {
-        daemon: first,
-        reason: String(error),
-      });
-      local.release(release);
+      this.#options.log.warn(
+        "failed to release results through the coordinator",
+        {
+          daemon: coordinatorId,
+          reason: String(error),
+        },
+      );
+      localCoordinator.release(release);
     });
   }
 
-  /** The daemon that runs the stages of all, as this one sees it. */
+  /** The current coordinator in this daemon's membership view. */
   get coordinator(): string | undefined {
     return this.#candidates()[0];
   }
 
   /**
-   * Waits until this daemon has heard another one or can't expect to any more.
-   * What goes wrong otherwise: after all daemons were killed at once each runs
-   * the stages of its first callers itself, and for the seconds that those take
-   * eight of them fill the endpoints' room with results that wait for room.
+   * Waits for a first heartbeat of another daemon, or until the grace period
+   * after the start has passed. Without the wait, daemons that restart together
+   * each run the stages of their first callers themselves. For the seconds that
+   * those stages take, eight daemons fill the endpoints' room with results of
+   * chains that can't complete because they wait for room too.
    */
-  async #settle(): Promise<void> {
+  async #waitForMembership(): Promise<void> {
     const { membership, timer } = this.#options;
     const isSettled = (): boolean =>
-      timer.now() - this.#startedAt >= SETTLE_MILLISECONDS ||
+      timer.now() - this.#startedAt >= STARTUP_GRACE_MILLISECONDS ||
       membership.heardLately(timer.now()).length > 0;
     while (!isSettled()) {
       await new Promise<void>((resolve) =>
-        timer.registerTimeout(resolve, SETTLE_CHECK_MILLISECONDS)
+        timer.registerTimeout(resolve, STARTUP_CHECK_INTERVAL_MILLISECONDS)
       );
     }
   }
 
   #candidates(): readonly string[] {
     const { daemonId, membership, timer, ownState } = this.#options;
-    const ranked = membership.ranked(COORDINATOR_KEY, {
+    const ranked = membership.ranked(COORDINATOR_RANKING_KEY, {
       now: timer.now(),
       own: ownState(),
     });
-    const remote = ranked.filter((one) => one !== daemonId)
-      .slice(0, MOST_REMOTE_TRIES);
+    const remote = ranked.filter((id) => id !== daemonId)
+      .slice(0, MAXIMUM_REMOTE_ATTEMPTS);
     return ranked[0] === daemonId ? [daemonId] : [...remote, daemonId];
   }
 
   async #runRemote(
     daemonId: string,
     request: ChainRequest,
-    gone: AbortSignal,
+    signal: AbortSignal,
   ): Promise<ChainOutcome | undefined> {
     const { membership, peers, timer, log } = this.#options;
     const address = membership.find(daemonId);
     if (address === undefined) return undefined;
-    const abort = new AbortController();
-    const stop = (): void => abort.abort();
-    gone.addEventListener("abort", stop, { once: true });
-    const stopWatch = timer.registerInterval(() => {
+    const abortController = new AbortController();
+    const stop = (): void => abortController.abort();
+    signal.addEventListener("abort", stop, { once: true });
+    const stopSilenceCheck = timer.registerInterval(() => {
       const now = timer.now();
       const silence = membership.silenceOf(daemonId, now);
       if (membership.isStalled(daemonId, now)) stop();
       else if (silence > PROBE_MILLISECONDS) this.#options.probe(address.peer);
-    }, WATCH_MILLISECONDS);
+    }, COORDINATOR_CHECK_INTERVAL_MILLISECONDS);
     try {
-      return await peers.runChain(address.peer, request, abort.signal);
+      return await peers.runChain(
+        address.peer,
+        request,
+        abortController.signal,
+      );
     } catch (error) {
-      if (!gone.aborted) {
+      if (!signal.aborted) {
         membership.doubt(address.peer, {
           isRefused: isRefused(error),
           now: timer.now(),
@@ -183,8 +201,8 @@
       }
       return undefined;
     } finally {
-      stopWatch();
-      gone.removeEventListener("abort", stop);
+      stopSilenceCheck();
+      signal.removeEventListener("abort", stop);
     }
   }
 }
--- a/packages/kelpspar-gateway/src/requests/choose_request_endpoint.ts
+++ b/packages/kelpspar-gateway/src/requests/choose_request_endpoint.ts
@@ -2,30 +2,30 @@
 import type { EndpointChoice } from "../endpoints/choose_endpoint.ts";
 import type { RequestRun } from "./request_run.ts";
 import { chooseEndpoint } from "../endpoints/choose_endpoint.ts";
-import { readerOf } from "./create_chain_request.ts";
+import { createChainReader } from "./create_chain_request.ts";
 import { promptAffinity } from "./prompt_affinity.ts";
 
-/** The endpoint at which the request was placed, while it may be used. */
+/** The endpoint that the coordinator chose, if it is usable. */
 function placedEndpoint(
   run: RequestRun,
   tried: ReadonlySet<string>,
 ): EndpointChoice | undefined {
   const { place, options } = run;
   if (place === undefined || tried.has(place.endpointId)) return undefined;
-  const { book, gate, timer } = options.parts;
+  const { endpointRegistry, gate, timer } = options.dependencies;
   const find = (id: string | undefined): EndpointState | undefined => {
-    const found = id === undefined ? undefined : book.find(id);
+    const found = id === undefined ? undefined : endpointRegistry.find(id);
     return found?.isSound(timer.now()) === true ? found : undefined;
   };
   const endpoint = find(place.endpointId);
   if (endpoint === undefined) return undefined;
-  // The coordinator may not know yet what the endpoint names, or may have less
-  // recent word of it than this daemon.
+  // The coordinator may not have read the endpoint's limit yet, or may have an
+  // older one than this daemon.
   const limit = gate.limitOf(endpoint, timer.now());
-  const isWithin = limit === undefined ||
+  const isWithinLimit = limit === undefined ||
     (place.limitPerSecond !== undefined && place.limitPerSecond <= limit);
-  if (!isWithin) return undefined;
-  // A source that fails here would hold the request until the fetch gives up.
+  if (!isWithinLimit) return undefined;
+  // A failing prompt source would delay the request until its fetch times out.
   return {
     endpoint,
     home: find(place.promptSourceId),
@@ -33,33 +33,33 @@
   };
 }
 
-/** What requests with the same prompt share, where endpoints keep prompts. */
+/** Affinity key of the prompt, for services whose endpoints cache prompts. */
 function affinityOf(run: RequestRun): string | undefined {
-  const reader = readerOf(run);
+  const reader = createChainReader(run);
   return reader === undefined ? undefined : promptAffinity(reader.promptParts);
 }
 
-/** The endpoint for a request now; undefined when none is left to try. */
-export function chooseForRequest(
+/** Chooses an untried endpoint for a request; undefined when none is left. */
+export function chooseRequestEndpoint(
   run: RequestRun,
   tried: ReadonlySet<string>,
 ): EndpointChoice | undefined {
-  return placedEndpoint(run, tried) ?? ownChoice(run, tried);
+  return placedEndpoint(run, tried) ?? chooseLocally(run, tried);
 }
 
-function ownChoice(
+function chooseLocally(
   run: RequestRun,
   tried: ReadonlySet<string>,
 ): EndpointChoice | undefined {
-  const { parts, service } = run.options;
-  const { book, gate } = parts;
-  const now = parts.timer.now();
+  const { dependencies, service } = run.options;
+  const { endpointRegistry, gate } = dependencies;
+  const now = dependencies.timer.now();
   const choice = chooseEndpoint({
-    endpoints: book.ofService(service),
+    endpoints: endpointRegistry.ofService(service),
     tried,
-    zone: parts.zone,
+    zone: dependencies.zone,
     affinity: affinityOf(run),
-    random: parts.random,
+    random: dependencies.random,
     now,
     isOpen: (endpoint) => gate.isOpen(endpoint, now),
   });
--- a/packages/kelpspar-gateway/src/requests/create_chain_request.ts
+++ b/packages/kelpspar-gateway/src/requests/create_chain_request.ts
@@ -2,43 +2,46 @@
 import type { ChainRequest, ChainStage } from "../pieces/chain_request.ts";
 import type { RequestRun } from "./request_run.ts";
 
-/** What a model endpoint will read; undefined for plain services. */
-export function readerOf(run: RequestRun): ChainReader | undefined {
-  const { parts, service, request } = run.options;
-  const { table } = parts.configuration;
+/** The prompt that a model endpoint reads; undefined for plain services. */
+export function createChainReader(run: RequestRun): ChainReader | undefined {
+  const { dependencies, service, request } = run.options;
+  const { table } = dependencies.configuration;
   const isModel = table?.findService(service)?.engineSlots !== undefined;
   return isModel ? { service, promptParts: request.promptParts } : undefined;
 }
 
-/** The stages of a request's route with the pieces that it has. */
-export function stagesOf(run: RequestRun): readonly ChainStage[] {
+/** The stages of the request's route, each with its number of pieces. */
+export function createChainStages(run: RequestRun): readonly ChainStage[] {
   const { request, route } = run.options;
-  return route.stages.map((stage, number) => ({
+  return route.stages.map((stage, index) => ({
     service: stage.service,
     after: stage.after,
     resultBytes: stage.resultBytes,
-    pieces: request.pieceCounts[number] ?? 0,
+    pieces: request.pieceCounts[index] ?? 0,
   }));
 }
 
-/** What the coordinator is asked for a request. */
-export function chainOf(
+/** The chain that the coordinator runs for a request. */
+export function createChainRequest(
   run: RequestRun,
   options: {
     readonly stages: readonly ChainStage[];
     readonly reader: ChainReader | undefined;
   },
 ): ChainRequest {
-  const { request, route, parts } = run.options;
+  const { request, route, dependencies } = run.options;
   return {
     attemptId: request.attemptId ?? "",
     kind: route.name,
     pieceKey: request.pieceKey,
     stages: options.stages,
     remainingMilliseconds: run.remaining(),
-    objectiveMilliseconds: run.objectiveLeft(),
+    objectiveMilliseconds: run.remainingObjective(),
     reader: options.reader,
-    tailMilliseconds: parts.times.of(route.name, route.kind === "stream"),
+    tailMilliseconds: dependencies.firstByteEstimates.estimate(
+      route.name,
+      route.kind === "stream",
+    ),
     priority: run.priority,
   };
 }
--- a/packages/kelpspar-gateway/src/requests/endpoint_call.ts
+++ b/packages/kelpspar-gateway/src/requests/endpoint_call.ts
@@ -3,56 +3,56 @@
 import type { ListeningState } from "../exchange/check_listening.ts";
 import type { ServingRequest } from "./serving_request.ts";
 
-/** A request on its way to an endpoint. */
+/** One call of an endpoint. */
 export interface EndpointCall {
   readonly endpoint: EndpointEntry;
   readonly request: ServingRequest;
-  /** Time that the endpoint may work. */
+  /** Time left for the endpoint to answer. */
   readonly remainingMilliseconds: number;
-  /** Name of the caller's client account, if the caller proved one. */
+  /** Name of the caller's client account; undefined without a valid key. */
   readonly account: string | undefined;
   /** 0 is the most urgent. */
   readonly priority: number;
   /** Handles of the results that the request reads; undefined without stages. */
   readonly inputs: readonly string[] | undefined;
-  /** The last event that the caller has. */
+  /** Id of the last event that the caller received; a stream resumes there. */
   readonly lastEventId: string | undefined;
-  /** `address:port` of an endpoint that has read this prompt. */
+  /** `address:port` of an endpoint that has this prompt cached. */
   readonly promptSource: string | undefined;
   readonly signal: AbortSignal;
 }
 
-/** How an endpoint answered. */
+/** Outcome of an endpoint call. */
 export type EndpointAnswer =
-  /** Status and body are the endpoint's own and proved to be so. */
+  /** Status and body were verified to come from the endpoint that was called. */
   | {
     readonly type: "answered";
     readonly status: number;
-    /** Names and values in turn, without those of one connection only. */
+    /** Alternating names and values, without hop-by-hop headers. */
     readonly headers: readonly string[];
-    /** Ends with an error when the body was cut. */
+    /** Emits an error when the body is truncated. */
     readonly body: Readable;
-    /** Closes the connection, whatever is still under way. */
+    /** Closes the connection, even while the body is still arriving. */
     readonly close: () => void;
   }
-  /** The endpoint says that it didn't run the request. */
+  /** The endpoint declared that it didn't run the request. */
   | { readonly type: "not_run"; readonly refusal: EndpointRefusal }
-  /** Nothing was sent: no connection came about. */
+  /** Nothing was sent because no connection could be established. */
   | {
     readonly type: "unreachable";
     readonly reason: string;
-    /** Nothing listens there; else no connection came about in time. */
+    /** True if nothing listens at the address, false if connecting timed out. */
     readonly isRefused: boolean;
   }
-  /** It was sent, and may have run or not. */
+  /** The request was sent and may or may not have run. */
   | { readonly type: "unknown"; readonly reason: string };
 
 /** Why an endpoint didn't run a request. */
 export type EndpointRefusal =
   | "full"
-  /** Another endpoint has the address now. */
+  /** Another endpoint now uses the address. */
   | "replaced"
-  /** A result that the request reads doesn't exist any more. */
+  /** A stage result that the request reads no longer exists. */
   | "input_gone"
   | "rejected";
 
@@ -60,6 +60,6 @@
 export interface EndpointClient {
   /** Never throws. */
   send(call: EndpointCall): Promise<EndpointAnswer>;
-  /** Whether an endpoint takes connections; never throws. */
+  /** Checks whether the endpoint accepts connections; never throws. */
   check(endpoint: EndpointEntry): Promise<ListeningState>;
 }
--- a/packages/kelpspar-gateway/src/requests/endpoint_sender.ts
+++ b/packages/kelpspar-gateway/src/requests/endpoint_sender.ts
@@ -1,136 +1,158 @@
 import type { EndpointChoice } from "../endpoints/choose_endpoint.ts";
 import type { EndpointState } from "../endpoints/endpoint_state.ts";
 import type { RequestRun } from "./request_run.ts";
-import type { Sent } from "./send_result.ts";
+import type { SendResult } from "./send_result.ts";
 import type { StreamRelay } from "./stream_relay.ts";
-import { chooseForRequest } from "./choose_request_endpoint.ts";
-import { firstGood, isOverdue } from "./hedge.ts";
+import { chooseRequestEndpoint } from "./choose_request_endpoint.ts";
+import { firstSuccessful, isOverdue } from "./hedge.ts";
 
-/** Endpoints that refuse or can't be reached, before the caller is told. */
-const MOST_SENDS = 6;
+/** Maximum number of endpoints that a request is sent to. */
+const MAXIMUM_SENDS = 6;
 /**
- * A repeatable call that takes so many times what it should is sent to a
- * second endpoint while there is time to be on time.
+ * A repeatable call is hedged after this multiple of the expected first byte
+ * time, early enough for the second endpoint to answer on time.
  */
-const HEDGE_FACTOR = 2;
-const LEAST_HEDGE_MILLISECONDS = 40;
-/** An answer is overdue after so many times what it should take, */
+const HEDGE_DELAY_FACTOR = 2;
+const MINIMUM_HEDGE_DELAY_MILLISECONDS = 40;
+/** An answer is overdue after this multiple of its expected time, */
 const OVERDUE_FACTOR = 3;
-/** and this much more, milliseconds. */
-const OVERDUE_MILLISECONDS = 250;
+/** plus this margin. */
+const OVERDUE_MARGIN_MILLISECONDS = 250;
 /**
- * A stream that may go on elsewhere does when no answer begins so long after
- * it should have, milliseconds.
+ * A resumable stream fails over when its answer hasn't begun this long after
+ * `HEDGE_DELAY_FACTOR` times its expected time.
  */
-const FIRST_EVENT_SILENCE_MILLISECONDS = 1_500;
+const FIRST_EVENT_MARGIN_MILLISECONDS = 1_500;
 
-/** Sends one request to endpoints and counts what that tells of them. */
+/** Sends one request to endpoints and records their health and latency. */
 export class EndpointSender {
   /** Handles of the results that the request reads. */
   inputs: readonly string[] | undefined;
   readonly #run: RequestRun;
   readonly #relay: StreamRelay;
-  readonly #tried = new Set<string>();
+  readonly #triedEndpointIds = new Set<string>();
 
   constructor(run: RequestRun, relay: StreamRelay) {
     this.#run = run;
     this.#relay = relay;
   }
 
-  get hasTried(): boolean {
-    return this.#tried.size > 0;
+  get hasTriedEndpoint(): boolean {
+    return this.#triedEndpointIds.size > 0;
   }
 
-  /** True when an endpoint is left that takes only so many requests. */
-  get hasLimited(): boolean {
-    const { parts, service } = this.#run.options;
-    const now = parts.timer.now();
-    return parts.book.ofService(service).some((one) =>
-      !this.#tried.has(one.entry.id) && one.pauseLeft(now) === 0 &&
-      parts.gate.limitOf(one, now) !== undefined
+  /** True if an untried endpoint with a rate limit is left. */
+  get hasLimitedEndpoint(): boolean {
+    const { dependencies, service } = this.#run.options;
+    const now = dependencies.timer.now();
+    return dependencies.endpointRegistry.ofService(service).some((endpoint) =>
+      !this.#triedEndpointIds.has(endpoint.entry.id) &&
+      endpoint.pauseLeft(now) === 0 &&
+      dependencies.gate.limitOf(endpoint, now) !== undefined
     );
   }
 
-  choose(): EndpointChoice | undefined {
-    return chooseForRequest(this.#run, this.#tried);
+  chooseEndpoint(): EndpointChoice | undefined {
+    return chooseRequestEndpoint(this.#run, this.#triedEndpointIds);
   }
 
-  /** Takes a repeat from the budget of the fleet; first sends are free. */
-  mayRepeat(): boolean {
-    const { parts, service } = this.#run.options;
-    const now = parts.timer.now();
-    if (this.#run.sends >= MOST_SENDS) return false;
-    if (this.#run.sends === 0) parts.budget.recordRequest(service, now);
-    if (this.#run.arrivals === 0) return true;
-    const sharers = parts.sharers();
-    return parts.budget.trySpend(service, {
+  /**
+   * Reserves one send; false if the retry budget or the maximum number of sends
+   * is used up. Sends are free until one was delivered to an endpoint.
+   */
+  tryReserveSend(): boolean {
+    const { dependencies, service } = this.#run.options;
+    const now = dependencies.timer.now();
+    if (this.#run.sends >= MAXIMUM_SENDS) return false;
+    if (this.#run.sends === 0) dependencies.budget.recordRequest(service, now);
+    if (this.#run.deliveries === 0) return true;
+    const senderCount = dependencies.senderCount();
+    return dependencies.budget.trySpend(service, {
       count: 1,
-      senderCount: sharers,
+      senderCount,
       now,
     });
   }
 
-  /** Sends, and once more elsewhere when a short repeatable call is overdue. */
-  async send(choice: EndpointChoice): Promise<Sent> {
-    const { parts, route } = this.#run.options;
+  /** Sends the request; a repeatable call that is slow is hedged once. */
+  async send(choice: EndpointChoice): Promise<SendResult> {
+    const { dependencies, route } = this.#run.options;
     const first = this.#sendTo(choice);
     if (route.kind !== "idempotent") return await first;
-    const expected = parts.times.of(route.name, false);
-    const wait = Math.max(LEAST_HEDGE_MILLISECONDS, expected * HEDGE_FACTOR);
-    const isLate = await isOverdue(first, wait, parts.timer);
+    const expected = dependencies.firstByteEstimates.estimate(
+      route.name,
+      false,
+    );
+    const wait = Math.max(
+      MINIMUM_HEDGE_DELAY_MILLISECONDS,
+      expected * HEDGE_DELAY_FACTOR,
+    );
+    const isLate = await isOverdue(first, wait, dependencies.timer);
     const run = this.#run;
     const mayHedge = isLate && run.isOpen && run.hasAttemptsLeft &&
       !run.isQuarantined;
     if (!mayHedge) return await first;
-    const second = this.choose();
-    if (second === undefined || !this.mayRepeat()) return await first;
-    return await firstGood([first, this.#sendTo(second)]);
+    const second = this.chooseEndpoint();
+    if (second === undefined || !this.tryReserveSend()) return await first;
+    return await firstSuccessful([first, this.#sendTo(second)]);
   }
 
-  /** Takes in how long an endpoint took until its answer began. */
-  recordFirstByte(sent: Sent): void {
-    const { parts, route } = this.#run.options;
-    const now = parts.timer.now();
+  /** Records a success of the endpoint and its time to first byte. */
+  recordFirstByte(result: SendResult): void {
+    const { dependencies, route } = this.#run.options;
+    const now = dependencies.timer.now();
     const isStream = route.kind === "stream";
-    const took = now - sent.sentAt;
-    const expected = parts.times.of(route.name, isStream);
-    sent.endpoint.succeeded(took / Math.max(1, expected), now);
-    parts.times.record(route.name, took, isStream);
+    const firstByteMilliseconds = now - result.sentAt;
+    const expected = dependencies.firstByteEstimates.estimate(
+      route.name,
+      isStream,
+    );
+    result.endpoint.succeeded(
+      firstByteMilliseconds / Math.max(1, expected),
+      now,
+    );
+    dependencies.firstByteEstimates.record(
+      route.name,
+      firstByteMilliseconds,
+      isStream,
+    );
   }
 
-  logFailure(sent: Sent, reason: string): void {
-    const { parts, request, service } = this.#run.options;
-    const now = parts.timer.now();
-    parts.log.warn("endpoint call failed", {
+  logFailure(result: SendResult, reason: string): void {
+    const { dependencies, request, service } = this.#run.options;
+    const now = dependencies.timer.now();
+    dependencies.log.warn("endpoint call failed", {
       attempt: request.attemptId,
       fingerprint: this.#run.fingerprint,
       service,
-      endpoint: sent.endpoint.entry.id,
+      endpoint: result.endpoint.entry.id,
       reason,
-      tookMilliseconds: Math.round(now - sent.sentAt),
+      tookMilliseconds: Math.round(now - result.sentAt),
       runs: this.#run.runs,
-      isSetAside: sent.endpoint.isSetAside(now),
+      isSetAside: result.endpoint.isSetAside(now),
     });
   }
 
-  async #sendTo(choice: EndpointChoice): Promise<Sent> {
+  async #sendTo(choice: EndpointChoice): Promise<SendResult> {
     const run = this.#run;
-    const { parts, request, service, account } = run.options;
+    const { dependencies, request, service, account } = run.options;
     const { endpoint, home } = choice;
-    const sentAt = parts.timer.now();
-    this.#tried.add(endpoint.entry.id);
+    const sentAt = dependencies.timer.now();
+    this.#triedEndpointIds.add(endpoint.entry.id);
     this.#logSend(choice);
     run.sends++;
-    run.arrivals++;
+    run.deliveries++;
     run.runs++;
     endpoint.inFlight++;
-    const stop = new AbortController();
-    const onStop = (): void => stop.abort();
+    const abortController = new AbortController();
+    const onStop = (): void => abortController.abort();
     run.stop.signal.addEventListener("abort", onStop, { once: true });
     endpoint.ended.addEventListener("abort", onStop, { once: true });
-    const stopSilence = this.#watchFirstEvent(stop);
-    const stopOverdue = this.#watchOverdue(endpoint);
-    const answer = await parts.endpoints.send({
+    const stopFirstEventTimeout = this.#registerFirstEventTimeout(
+      abortController,
+    );
+    const stopOverdueTimeout = this.#registerOverdueTimeout(endpoint);
+    const answer = await dependencies.endpoints.send({
       endpoint: endpoint.entry,
       request,
       remainingMilliseconds: Math.max(1, Math.floor(run.remaining())),
@@ -139,69 +161,73 @@
       inputs: this.inputs,
       lastEventId: this.#relay.lastEventId,
       promptSource: home?.entry.address,
-      signal: stop.signal,
+      signal: abortController.signal,
     });
-    stopSilence();
-    stopOverdue();
+    stopFirstEventTimeout();
+    stopOverdueTimeout();
     endpoint.ended.removeEventListener("abort", onStop);
     endpoint.inFlight--;
     const didNotRun = answer.type === "not_run" ||
       answer.type === "unreachable";
     if (didNotRun) run.runs--;
-    if (answer.type === "unreachable") run.arrivals--;
-    parts.metrics.countCall(service, answer.type);
+    if (answer.type === "unreachable") run.deliveries--;
+    dependencies.metrics.countCall(service, answer.type);
     const answeredAt = answer.type === "answered"
-      ? parts.timer.now()
+      ? dependencies.timer.now()
       : undefined;
     return { endpoint, answer, sentAt, answeredAt };
   }
 
   /**
-   * Counts an answer that is long overdue as a failure while it is still
-   * waited for. An endpoint that takes requests and says nothing would
-   * otherwise get more of them until the first one's deadline.
+   * Counts a long overdue answer as a failure while the call goes on. Otherwise
+   * an endpoint that accepts requests without answering would get more of them
+   * until the deadline of the first.
    */
-  #watchOverdue(endpoint: EndpointState): () => void {
-    const { parts, route, request } = this.#run.options;
-    const expected = parts.times.of(route.name, route.kind === "stream");
-    const after = expected * OVERDUE_FACTOR + OVERDUE_MILLISECONDS;
-    return parts.timer.registerTimeout(() => {
-      endpoint.failed(false, parts.timer.now());
-      parts.log.warn("endpoint answer overdue", {
+  #registerOverdueTimeout(endpoint: EndpointState): () => void {
+    const { dependencies, route, request } = this.#run.options;
+    const expected = dependencies.firstByteEstimates.estimate(
+      route.name,
+      route.kind === "stream",
+    );
+    const after = expected * OVERDUE_FACTOR +
+      OVERDUE_MARGIN_MILLISECONDS;
+    return dependencies.timer.registerTimeout(() => {
+      endpoint.failed(false, dependencies.timer.now());
+      dependencies.log.warn("endpoint answer overdue", {
         attempt: request.attemptId,
         endpoint: endpoint.entry.id,
         afterMilliseconds: Math.round(after),
-        isSetAside: endpoint.isSetAside(parts.timer.now()),
+        isSetAside: endpoint.isSetAside(dependencies.timer.now()),
       });
     }, after);
   }
 
-  /** Ends a stream that may go on elsewhere when no answer begins. */
-  #watchFirstEvent(stop: AbortController): () => void {
-    const { parts, route } = this.#run.options;
+  /** Aborts the call of a resumable stream when no answer begins. */
+  #registerFirstEventTimeout(abortController: AbortController): () => void {
+    const { dependencies, route } = this.#run.options;
     if (route.kind !== "stream" || !this.#run.hasAttemptsLeft) return () => {};
-    const expected = parts.times.of(route.name, true);
-    return parts.timer.registerTimeout(
-      () => stop.abort(),
-      expected * HEDGE_FACTOR + FIRST_EVENT_SILENCE_MILLISECONDS,
+    const expected = dependencies.firstByteEstimates.estimate(route.name, true);
+    return dependencies.timer.registerTimeout(
+      () => abortController.abort(),
+      expected * HEDGE_DELAY_FACTOR + FIRST_EVENT_MARGIN_MILLISECONDS,
     );
   }
 
   #logSend({ endpoint, home, isPlaced }: EndpointChoice): void {
-    const { parts, request, service } = this.#run.options;
-    const now = parts.timer.now();
-    parts.log.info("request sent", {
+    const { dependencies, request, service } = this.#run.options;
+    const now = dependencies.timer.now();
+    dependencies.log.info("request sent", {
       attempt: request.attemptId,
       fingerprint: this.#run.fingerprint,
       service,
       endpoint: endpoint.entry.id,
       home: home?.entry.id,
       isPlaced: isPlaced === true,
-      limitPerSecond: parts.gate.limitOf(endpoint, now),
+      limitPerSecond: dependencies.gate.limitOf(endpoint, now),
       inFlight: endpoint.inFlight,
       slowness: Number(endpoint.slowness(now).toFixed(2)),
       isSetAside: endpoint.isSetAside(now),
-      tried: this.#tried.size,
+      tried: this.#triedEndpointIds.size,
       remainingMilliseconds: Math.round(this.#run.remaining()),
       lastEventId: this.#relay.lastEventId,
     });
--- a/packages/kelpspar-gateway/src/requests/hedge.ts
+++ b/packages/kelpspar-gateway/src/requests/hedge.ts
@@ -1,40 +1,45 @@
 import type { TimerService } from "kelpspar-shared";
-import type { Sent } from "./send_result.ts";
-import { closeSent } from "./send_result.ts";
+import type { SendResult } from "./send_result.ts";
+import { closeAnswer } from "./send_result.ts";
 
-/** Whether a send has no answer after `wait` milliseconds. */
+/** Resolves to true if a send has no result after `wait` milliseconds. */
 export function isOverdue(
-  sent: Promise<Sent>,
+  send: Promise<SendResult>,
   wait: number,
   timer: TimerService,
 ): Promise<boolean> {
   return new Promise((resolve) => {
     const stop = timer.registerTimeout(() => resolve(true), wait);
-    void sent.then(() => {
+    void send.then(() => {
       stop();
       resolve(false);
     });
   });
 }
 
-/** The first good answer of several sends; the others are closed. */
-export function firstGood(sends: readonly Promise<Sent>[]): Promise<Sent> {
+/**
+ * Resolves to the first successful result of several sends, or to the last one
+ * if none succeeds. Answers that arrive later are closed.
+ */
+export function firstSuccessful(
+  sends: readonly Promise<SendResult>[],
+): Promise<SendResult> {
   return new Promise((resolve) => {
     let open = sends.length;
-    let isDone = false;
+    let isResolved = false;
     for (const send of sends) {
-      void send.then((sent) => {
+      void send.then((result) => {
         open--;
-        if (isDone) closeSent(sent);
-        else if (isGood(sent) || open === 0) {
-          isDone = true;
-          resolve(sent);
+        if (isResolved) closeAnswer(result);
+        else if (isSuccessful(result) || open === 0) {
+          isResolved = true;
+          resolve(result);
         }
       });
     }
   });
 }
 
-function isGood({ answer }: Sent): boolean {
+function isSuccessful({ answer }: SendResult): boolean {
   return answer.type === "answered" && answer.status < 500;
 }
--- a/packages/kelpspar-gateway/src/requests/limited_endpoint_probes.ts
+++ b/packages/kelpspar-gateway/src/requests/limited_endpoint_probes.ts
@@ -1,36 +1,37 @@
 import type { EndpointBook } from "../endpoints/endpoint_book.ts";
 import type { EndpointGate } from "../endpoints/endpoint_gate.ts";
 
-/** How often a daemon asks for a service, milliseconds. */
-const TRIAL_MILLISECONDS = 1_000;
+/** Minimum time between two probes of a service by one daemon. */
+const PROBE_INTERVAL_MILLISECONDS = 1_000;
 
-/** What trials are decided from. */
-export interface LimitedTrialsOptions {
-  readonly book: Pick<EndpointBook, "ofService">;
+/** Options of `LimitedEndpointProbes`. */
+export interface LimitedEndpointProbesOptions {
+  readonly endpointRegistry: Pick<EndpointBook, "ofService">;
   readonly gate: Pick<EndpointGate, "limitOf">;
 }
 
 /**
- * Decides which plain requests the coordinator is asked to place although
- * endpoints without limits are left. Their daemons' own shares are so small
- * that the end of a limit would go unnoticed for long, and the endpoint unused.
+ * Selects the plain requests that the coordinator places although endpoints
+ * without a limit are left. A daemon's own share of a limited endpoint is so
+ * small that it would detect the end of the limit late, and the endpoint would
+ * stay unused.
  */
-export class LimitedTrials {
-  readonly #options: LimitedTrialsOptions;
-  readonly #triedAt = new Map<string, number>();
+export class LimitedEndpointProbes {
+  readonly #options: LimitedEndpointProbesOptions;
+  readonly #probedAt = new Map<string, number>();
 
-  constructor(options: LimitedTrialsOptions) {
+  constructor(options: LimitedEndpointProbesOptions) {
     this.#options = options;
   }
 
-  /** True now and then while the service has endpoints with limits. */
-  take(service: string, now: number): boolean {
-    const triedAt = this.#triedAt.get(service) ?? Number.NEGATIVE_INFINITY;
-    if (now - triedAt < TRIAL_MILLISECONDS) return false;
-    const { book, gate } = this.#options;
-    const hasLimited = book.ofService(service)
+  /** True at most once per interval while the service has limited endpoints. */
+  tryStartProbe(service: string, now: number): boolean {
+    const probedAt = this.#probedAt.get(service) ?? Number.NEGATIVE_INFINITY;
+    if (now - probedAt < PROBE_INTERVAL_MILLISECONDS) return false;
+    const { endpointRegistry, gate } = this.#options;
+    const hasLimited = endpointRegistry.ofService(service)
       .some((endpoint) => gate.limitOf(endpoint, now) !== undefined);
-    if (hasLimited) this.#triedAt.set(service, now);
+    if (hasLimited) this.#probedAt.set(service, now);
     return hasLimited;
   }
 }
--- a/packages/kelpspar-gateway/src/requests/read_body.ts
+++ b/packages/kelpspar-gateway/src/requests/read_body.ts
@@ -1,9 +1,9 @@
 import type { Readable } from "node:stream";
 
-/** The largest answer that is read whole, bytes. */
+/** Largest answer that is buffered whole. */
 const MAXIMUM_ANSWER_BYTES = 16 * 1024 * 1024;
 
-/** Reads a whole body; throws when it was cut or is too large. */
+/** Reads a whole body; throws if it is truncated or too large. */
 export async function readBody(body: Readable): Promise<Buffer> {
   const chunks: Buffer[] = [];
   let length = 0;
@@ -12,7 +12,7 @@
     length += bytes.length;
     if (length > MAXIMUM_ANSWER_BYTES) {
       throw new Error(
-        `The answer is larger than ${MAXIMUM_ANSWER_BYTES} bytes`,
+        `Answer body exceeds the maximum of ${MAXIMUM_ANSWER_BYTES} bytes`,
       );
     }
     chunks.push(bytes);
--- a/packages/kelpspar-gateway/src/requests/request_dependencies.ts
+++ b/packages/kelpspar-gateway/src/requests/request_dependencies.ts
@@ -9,26 +9,26 @@
 import type { ServiceRetryBudget } from "../retries/service_retry_budget.ts";
 import type { ChainRunner } from "./chain_runner.ts";
 import type { EndpointClient } from "./endpoint_call.ts";
-import type { ExpectedTimes } from "./first_byte_estimates.ts";
+import type { FirstByteEstimates } from "./first_byte_estimates.ts";
 
-/** What requests are served with. */
-export interface RequestParts {
+/** Services that the request path depends on. */
+export interface RequestDependencies {
   readonly configuration: ConfigurationKeeper;
-  readonly book: EndpointBook;
+  readonly endpointRegistry: EndpointBook;
   readonly endpoints: EndpointClient;
-  /** For the endpoints that this daemon chooses itself. */
+  /** Rate limits of the endpoints that this daemon chooses itself. */
   readonly gate: EndpointGate;
-  readonly chains: ChainRunner;
+  readonly chainRunner: ChainRunner;
   readonly budget: ServiceRetryBudget;
   readonly crashes: Pick<CrashWatch, "cut">;
   readonly quarantine: Pick<Quarantine, "holds" | "served">;
-  readonly times: ExpectedTimes;
+  readonly firstByteEstimates: FirstByteEstimates;
   readonly timer: TimerService;
   readonly random: RandomSource;
   readonly log: GatewayLog;
   readonly metrics: GatewayMetrics;
   /** Availability zone of this daemon. */
   readonly zone: string;
-  /** Daemons that share the fleet's budget of repeats. */
-  readonly sharers: () => number;
+  /** Number of daemons that share the fleet's retry budget. */
+  readonly senderCount: () => number;
 }
--- a/packages/kelpspar-gateway/src/requests/request_dispatcher.ts
+++ b/packages/kelpspar-gateway/src/requests/request_dispatcher.ts
@@ -1,241 +1,251 @@
 import type { EndpointChoice } from "../endpoints/choose_endpoint.ts";
 import type { EndpointRefusal } from "./endpoint_call.ts";
 import type { RequestRun } from "./request_run.ts";
-import type { Answered, Sent } from "./send_result.ts";
+import type { ReceivedAnswer, SendResult } from "./send_result.ts";
 import { pauseOfAll } from "../endpoints/pause_of_all.ts";
 import { EndpointSender } from "./endpoint_sender.ts";
-import { findPlace } from "./request_placement.ts";
+import { requestPlacement } from "./request_placement.ts";
 import { readBody } from "./read_body.ts";
 import {
   FULL_RETRY_MILLISECONDS,
   NO_ENDPOINT_RETRY_MILLISECONDS,
 } from "./retry_waits.ts";
-import { closeSent } from "./send_result.ts";
-import { StreamForward } from "./stream_forwarder.ts";
+import { closeAnswer } from "./send_result.ts";
+import { StreamForwarder } from "./stream_forwarder.ts";
 import { StreamRelay } from "./stream_relay.ts";
 
-/** Why a dispatch ended without the request's final answer. */
-export type DispatchEnd = "ended" | "input_gone";
+/** How a dispatch ended; `input_gone` if stage results must be made again. */
+export type DispatchOutcome = "ended" | "input_gone";
 
-interface WholeAnswer {
+interface BufferedAnswer {
   readonly status: number;
   readonly headers: readonly string[];
   readonly body: Uint8Array;
 }
 
 /**
- * Sends a request to endpoints until it is answered or can't be. It is run
- * again when the results that the request reads were lost and made anew, and
- * then goes on where a stream stopped.
+ * Sends a request to endpoints until it is answered or fails. After the stage
+ * results that the request reads were lost and made again, `run` is called
+ * again and resumes a stream where it stopped.
  */
-export class RequestDispatch {
+export class RequestDispatcher {
   readonly #run: RequestRun;
   readonly #hasStages: boolean;
   readonly #sender: EndpointSender;
-  readonly #stream: StreamForward;
-  /** The last failure of an endpoint's own, if nothing better comes. */
-  #fallback: WholeAnswer | undefined;
+  readonly #streamForwarder: StreamForwarder;
+  /** Last error answer of an endpoint, returned if all retries fail too. */
+  #fallback: BufferedAnswer | undefined;
 
   constructor(run: RequestRun, hasStages: boolean) {
     const relay = new StreamRelay(run.options.request.lastEventId);
     this.#run = run;
     this.#hasStages = hasStages;
     this.#sender = new EndpointSender(run, relay);
-    this.#stream = new StreamForward(run, relay);
+    this.#streamForwarder = new StreamForwarder(run, relay);
   }
 
-  async run(): Promise<DispatchEnd> {
+  async run(): Promise<DispatchOutcome> {
     const run = this.#run;
     const sender = this.#sender;
-    if (this.#hasStages) sender.inputs = run.heldHandles;
+    if (this.#hasStages) sender.inputs = run.resultHandles;
     while (run.isOpen) {
-      // Results are freed at a stream's first event. An endpoint that goes on
-      // with it reads them too, so that sending it there would be in vain.
+      // Results are freed at the first event of a stream. An endpoint that
+      // resumes the stream needs them too, so they must be made again first.
       if (this.#areInputsFreed) return "input_gone";
       if (run.isQuarantined) {
         run.rejectQuarantined();
         return "ended";
       }
-      const choice = sender.choose() ?? await this.#choosePlaced();
+      const choice = sender.chooseEndpoint() ??
+        await this.#choosePlacedEndpoint();
       if (!run.isOpen) return "ended";
-      if (choice === undefined) return this.#noEndpoint();
-      if (!sender.mayRepeat()) return this.#fail("repeats used up");
-      const sent = await sender.send(choice);
-      if (!run.isOpen) closeSent(sent);
+      if (choice === undefined) return this.#failWithoutEndpoint();
+      if (!sender.tryReserveSend()) return this.#failAndEnd("repeats used up");
+      const result = await sender.send(choice);
+      if (!run.isOpen) closeAnswer(result);
       else {
-        const end = await this.#take(sent);
+        const end = await this.#handleResult(result);
         if (end !== "again") return end;
       }
     }
     return "ended";
   }
 
-  /** Ends the request with the best that there is. */
-  giveUp(
+  /** Fails the request, or returns the fallback answer if there is one. */
+  fail(
     reason: string,
     retryAfterMilliseconds = FULL_RETRY_MILLISECONDS,
   ): void {
     const run = this.#run;
-    if (run.firstByteAt !== undefined) run.breakOff(reason);
-    else if (this.#fallback !== undefined) this.#pass(this.#fallback);
-    else run.giveUp(reason, retryAfterMilliseconds);
+    if (run.firstByteAt !== undefined) run.abort(reason);
+    else if (this.#fallback !== undefined) this.#sendAnswer(this.#fallback);
+    else run.fail(reason, retryAfterMilliseconds);
   }
 
   get #areInputsFreed(): boolean {
     return (this.#sender.inputs?.length ?? 0) > 0 &&
-      this.#run.heldHandles.length === 0;
+      this.#run.resultHandles.length === 0;
   }
 
-  #fail(reason: string): DispatchEnd {
-    this.giveUp(reason);
+  #failAndEnd(reason: string): DispatchOutcome {
+    this.fail(reason);
     return "ended";
   }
 
   /**
-   * Asks the coordinator when endpoints with limits are left that this daemon
-   * may not choose itself now; once for each send.
+   * Asks the coordinator for an endpoint, at most once for each send, when only
+   * endpoints are left whose limit doesn't allow this daemon a call now.
    */
-  async #choosePlaced(): Promise<EndpointChoice | undefined> {
+  async #choosePlacedEndpoint(): Promise<EndpointChoice | undefined> {
     const run = this.#run;
-    const isAsked = run.placeAskedAt === run.sends;
-    if (isAsked || !this.#sender.hasLimited) return undefined;
-    await findPlace(run);
-    return run.isOpen ? this.#sender.choose() : undefined;
+    const hasAsked = run.sendsAtPlacementRequest === run.sends;
+    if (hasAsked || !this.#sender.hasLimitedEndpoint) return undefined;
+    await requestPlacement(run);
+    return run.isOpen ? this.#sender.chooseEndpoint() : undefined;
   }
 
-  #noEndpoint(): DispatchEnd {
-    const { parts, service } = this.#run.options;
-    const pause = pauseOfAll(parts.book.ofService(service), this.#run.now());
-    if (pause === 0 && this.#sender.hasLimited) {
-      const wait = this.#run.placeWait ?? 0;
-      this.giveUp(
+  #failWithoutEndpoint(): DispatchOutcome {
+    const { dependencies, service } = this.#run.options;
+    const pause = pauseOfAll(
+      dependencies.endpointRegistry.ofService(service),
+      this.#run.now(),
+    );
+    if (pause === 0 && this.#sender.hasLimitedEndpoint) {
+      const wait = this.#run.placementRetryMilliseconds ?? 0;
+      this.fail(
         "over the endpoints' limits",
         Math.max(wait, FULL_RETRY_MILLISECONDS),
       );
       return "ended";
     }
-    const wait = this.#sender.hasTried
+    const wait = this.#sender.hasTriedEndpoint
       ? FULL_RETRY_MILLISECONDS
       : NO_ENDPOINT_RETRY_MILLISECONDS;
-    this.giveUp("no endpoint left", pause > 0 ? pause : wait);
+    this.fail("no endpoint left", pause > 0 ? pause : wait);
     return "ended";
   }
 
-  async #take(sent: Sent): Promise<DispatchEnd | "again"> {
-    const { answer } = sent;
+  async #handleResult(result: SendResult): Promise<DispatchOutcome | "again"> {
+    const { answer } = result;
     switch (answer.type) {
       case "answered":
-        return await this.#takeAnswer(sent, answer);
+        return await this.#handleAnswer(result, answer);
       case "unreachable":
-        this.#countFailure(sent, answer.reason, answer.isRefused);
+        this.#recordFailure(result, answer.reason, answer.isRefused);
         return "again";
       case "not_run":
-        return this.#takeRefusal(sent, answer.refusal);
+        return this.#handleRefusal(result, answer.refusal);
       case "unknown":
-        this.#countFailure(sent, answer.reason);
-        this.#watchCrash(sent);
-        return this.#againOrFail(answer.reason);
+        this.#recordFailure(result, answer.reason);
+        this.#reportPossibleCrash(result);
+        return this.#retryOrFail(answer.reason);
     }
   }
 
-  #takeRefusal(sent: Sent, refusal: EndpointRefusal): DispatchEnd | "again" {
-    this.#sender.logFailure(sent, refusal);
-    const { book } = this.#run.options.parts;
+  #handleRefusal(
+    result: SendResult,
+    refusal: EndpointRefusal,
+  ): DispatchOutcome | "again" {
+    this.#sender.logFailure(result, refusal);
+    const { endpointRegistry } = this.#run.options.dependencies;
     const handlers: Readonly<
-      Record<EndpointRefusal, () => DispatchEnd | "again">
+      Record<EndpointRefusal, () => DispatchOutcome | "again">
     > = {
       full: () => "again",
       replaced: () => {
-        book.leave(sent.endpoint.entry);
+        endpointRegistry.leave(result.endpoint.entry);
         return "again";
       },
       input_gone: () => "input_gone",
-      rejected: () => this.#fail("rejected by endpoint"),
+      rejected: () => this.#failAndEnd("rejected by endpoint"),
     };
     return handlers[refusal]();
   }
 
-  async #takeAnswer(
-    sent: Sent,
-    answer: Answered,
-  ): Promise<DispatchEnd | "again"> {
+  async #handleAnswer(
+    result: SendResult,
+    answer: ReceivedAnswer,
+  ): Promise<DispatchOutcome | "again"> {
     const { route } = this.#run.options;
     const isStream = route.kind === "stream" && answer.status < 300;
     return isStream
-      ? await this.#forwardStream(sent, answer)
-      : await this.#passWhole(sent, answer);
+      ? await this.#forwardStream(result, answer)
+      : await this.#forwardBuffered(result, answer);
   }
 
-  async #passWhole(
-    sent: Sent,
-    answer: Answered,
-  ): Promise<DispatchEnd | "again"> {
+  async #forwardBuffered(
+    result: SendResult,
+    answer: ReceivedAnswer,
+  ): Promise<DispatchOutcome | "again"> {
     const run = this.#run;
     let body: Buffer;
     try {
       body = await readBody(answer.body);
     } catch (error) {
-      return this.#cut(sent, error);
+      return this.#handleCutAnswer(result, error);
     } finally {
       answer.close();
     }
     if (!run.isOpen) return "ended";
     const { status, headers } = answer;
-    if (status >= 500) sent.endpoint.failed(false, run.now());
-    else this.#sender.recordFirstByte(sent);
-    // An endpoint's own failure of a repeatable request may be mended by
-    // another one; otherwise it is passed on as it is.
+    if (status >= 500) result.endpoint.failed(false, run.now());
+    else this.#sender.recordFirstByte(result);
+    // A repeatable request that an endpoint failed is retried at another one.
+    // Otherwise the error answer is returned unchanged.
     if (status >= 500 && run.hasAttemptsLeft) {
-      this.#sender.logFailure(sent, `status ${status}`);
+      this.#sender.logFailure(result, `status ${status}`);
       this.#fallback = { status, headers, body };
       return "again";
     }
-    this.#pass({ status, headers, body });
+    this.#sendAnswer({ status, headers, body });
     return "ended";
   }
 
-  #pass({ status, headers, body }: WholeAnswer): void {
-    const { parts } = this.#run.options;
-    parts.quarantine.served(this.#run.fingerprint);
+  #sendAnswer({ status, headers, body }: BufferedAnswer): void {
+    const { dependencies } = this.#run.options;
+    dependencies.quarantine.served(this.#run.fingerprint);
     this.#run.firstByteAt = this.#run.now();
     this.#run.options.reply.answer(status, headers, body);
     this.#run.finish(status < 500 ? "served" : "failed", { status });
   }
 
   async #forwardStream(
-    sent: Sent,
-    answer: Answered,
-  ): Promise<DispatchEnd | "again"> {
+    result: SendResult,
+    answer: ReceivedAnswer,
+  ): Promise<DispatchOutcome | "again"> {
     const run = this.#run;
-    const { endpoint } = sent;
+    const { endpoint } = result;
     endpoint.inFlight++;
     try {
-      await this.#stream.forward({ answer, endpoint }, () => {
-        this.#sender.recordFirstByte(sent);
-        // The endpoint has read its inputs once it writes.
+      await this.#streamForwarder.forward({ answer, endpoint }, () => {
+        this.#sender.recordFirstByte(result);
+        // An endpoint that writes events has read its inputs.
         run.releaseResults();
       });
     } catch (error) {
-      return run.isOpen ? this.#cut(sent, error) : "ended";
+      return run.isOpen ? this.#handleCutAnswer(result, error) : "ended";
     } finally {
       endpoint.inFlight--;
     }
-    if (run.isOpen) run.options.parts.quarantine.served(run.fingerprint);
-    // An end that came before, such as the caller's, stays the one.
+    if (run.isOpen) run.options.dependencies.quarantine.served(run.fingerprint);
+    // No effect if the run has ended already, e.g. by a caller's disconnect.
     run.finish("served", { endpoint: endpoint.entry.id, status: 200 });
     return "ended";
   }
 
-  #cut(sent: Sent, error: unknown): DispatchEnd | "again" {
+  #handleCutAnswer(
+    result: SendResult,
+    error: unknown,
+  ): DispatchOutcome | "again" {
     const reason = error instanceof Error ? error.message : String(error);
-    this.#countFailure(sent, `answer cut: ${reason}`);
-    this.#watchCrash(sent);
-    return this.#againOrFail("answer cut");
+    this.#recordFailure(result, `answer cut: ${reason}`);
+    this.#reportPossibleCrash(result);
+    return this.#retryOrFail("answer cut");
   }
 
-  #watchCrash({ endpoint, sentAt, answeredAt }: Sent): void {
+  #reportPossibleCrash({ endpoint, sentAt, answeredAt }: SendResult): void {
     const { fingerprint, options } = this.#run;
-    void options.parts.crashes.cut({
+    void options.dependencies.crashes.cut({
       attemptId: options.request.attemptId,
       fingerprint,
       endpoint: endpoint.entry,
@@ -245,14 +255,14 @@
     });
   }
 
-  #countFailure(sent: Sent, reason: string, isCertain = false): void {
-    sent.endpoint.failed(isCertain, this.#run.now());
-    this.#sender.logFailure(sent, reason);
+  #recordFailure(result: SendResult, reason: string, isCertain = false): void {
+    result.endpoint.failed(isCertain, this.#run.now());
+    this.#sender.logFailure(result, reason);
   }
 
-  #againOrFail(reason: string): DispatchEnd | "again" {
+  #retryOrFail(reason: string): DispatchOutcome | "again" {
     const run = this.#run;
     if (run.hasAttemptsLeft && run.remaining() > 0) return "again";
-    return this.#fail(reason);
+    return this.#failAndEnd(reason);
   }
 }
--- a/packages/kelpspar-gateway/src/requests/request_placement.ts
+++ b/packages/kelpspar-gateway/src/requests/request_placement.ts
@@ -1,30 +1,32 @@
 import type { RequestRun } from "./request_run.ts";
-import { chainOf, readerOf } from "./create_chain_request.ts";
+import {
+  createChainReader,
+  createChainRequest,
+} from "./create_chain_request.ts";
 
 /**
- * A request waits so long for its place, milliseconds: some times the way to
- * another daemon and back. It goes where this daemon thinks best if that takes
- * longer.
+ * Time that a request waits for its placement: several round trips to another
+ * daemon. After that this daemon chooses the endpoint itself.
  */
-const PLACE_MILLISECONDS = 60;
+const PLACEMENT_TIMEOUT_MILLISECONDS = 60;
 
 /**
- * Asks the coordinator where a request goes whose stages are done, or that has
- * none. For plain services too: where all endpoints name limits, the larger
- * part of what they take is the coordinator's to give out.
+ * Asks the coordinator for the endpoint of a request without stages to run.
+ * This includes plain services: where all endpoints have rate limits, the
+ * coordinator assigns the larger share of them.
  */
-export async function findPlace(run: RequestRun): Promise<void> {
-  const { parts, service } = run.options;
-  const { chains, timer } = parts;
-  run.placeAskedAt = run.sends;
-  const abort = new AbortController();
-  const stop = (): void => abort.abort();
-  const stopTimer = timer.registerTimeout(stop, PLACE_MILLISECONDS);
+export async function requestPlacement(run: RequestRun): Promise<void> {
+  const { dependencies, service } = run.options;
+  const { chainRunner, timer } = dependencies;
+  run.sendsAtPlacementRequest = run.sends;
+  const abortController = new AbortController();
+  const stop = (): void => abortController.abort();
+  const stopTimer = timer.registerTimeout(stop, PLACEMENT_TIMEOUT_MILLISECONDS);
   run.stop.signal.addEventListener("abort", stop, { once: true });
-  const reader = readerOf(run) ?? { service, promptParts: [] };
-  const chain = chainOf(run, { stages: [], reader });
-  const outcome = await chains.run(chain, abort.signal);
+  const reader = createChainReader(run) ?? { service, promptParts: [] };
+  const chain = createChainRequest(run, { stages: [], reader });
+  const outcome = await chainRunner.run(chain, abortController.signal);
   stopTimer();
   run.stop.signal.removeEventListener("abort", stop);
-  run.takePlacing(outcome);
+  run.applyPlacement(outcome);
 }
--- a/packages/kelpspar-gateway/src/requests/request_priority.ts
+++ b/packages/kelpspar-gateway/src/requests/request_priority.ts
@@ -1,17 +1,20 @@
-/** Priorities of routes that are told apart among accounts of one priority. */
-const ROUTE_LEVELS = 10;
+/** Number of distinct route priorities within one account priority. */
+const ROUTE_PRIORITY_LEVELS = 10;
 
 /**
- * The priority of a request; 0 is the most urgent, and whole steps are those
- * of the account. Where an account has one it goes before the route's, which
- * then is a fraction: accounts that all have the same would otherwise make all
- * their requests alike, and a burst of what may wait delays what may not.
+ * Returns the priority of a request; 0 is the most urgent. The integer part is
+ * the account's priority, or the route's if the account has none. The fraction
+ * is the route's priority: among accounts of equal priority, a burst of less
+ * urgent requests would otherwise delay urgent ones.
  */
 export function requestPriority(
   accountPriority: number | undefined,
   routePriority: number,
 ): number {
   const level = accountPriority ?? routePriority;
-  const route = Math.min(Math.max(0, routePriority), ROUTE_LEVELS - 1);
-  return level + route / ROUTE_LEVELS;
+  const route = Math.min(
+    Math.max(0, routePriority),
+    ROUTE_PRIORITY_LEVELS - 1,
+  );
+  return level + route / ROUTE_PRIORITY_LEVELS;
 }
--- a/packages/kelpspar-gateway/src/requests/request_reply.ts
+++ b/packages/kelpspar-gateway/src/requests/request_reply.ts
@@ -1,18 +1,21 @@
-/** A refusal or failure of the daemon's own. */
-export interface OwnAnswer {
+/** A refusal or failure that the daemon itself answers. */
+export interface DaemonAnswer {
   readonly status: number;
-  /** When the caller may come back, milliseconds; with 429 and 503. */
+  /** Time after which the caller may retry; with 429 and 503. */
   readonly retryAfterMilliseconds?: number;
-  /** Says what happened; no text of callers. */
+  /** Reason for the caller; contains no text from callers. */
   readonly message: string;
 }
 
-/** Where the answer to one request goes. Only one of the first three once. */
+/**
+ * Writes the answer to one request. Only one of `refuse`, `answer` and `begin`
+ * may be called, and only once.
+ */
 export interface RequestReply {
-  /** Aborted when the caller is gone. */
-  readonly gone: AbortSignal;
-  refuse(answer: OwnAnswer): void;
-  /** A whole answer of an endpoint. */
+  /** Aborted when the caller disconnects. */
+  readonly disconnectSignal: AbortSignal;
+  refuse(answer: DaemonAnswer): void;
+  /** Sends a whole answer of an endpoint. */
   answer(
     status: number,
     headers: readonly string[],
@@ -20,9 +23,9 @@
   ): void;
   /** Begins an answer whose body follows. */
   begin(status: number, headers: readonly string[]): void;
-  /** Resolves once more may be written. */
+  /** Resolves when more may be written (backpressure). */
   write(chunk: Uint8Array): Promise<void>;
   end(): void;
-  /** Breaks the answer off so that it can't look complete. */
-  breakOff(): void;
+  /** Aborts the answer in a way that the caller can't take it for complete. */
+  abort(): void;
 }
--- a/packages/kelpspar-gateway/src/requests/request_run.ts
+++ b/packages/kelpspar-gateway/src/requests/request_run.ts
@@ -2,25 +2,25 @@
 import type { ClientAccount } from "../configuration/serving_configuration.ts";
 import type { ChainOutcome, PieceResult } from "../pieces/chain_outcome.ts";
 import type { ReaderPlace } from "../placement/reader_place.ts";
-import type { OwnAnswer, RequestReply } from "./request_reply.ts";
-import type { RequestParts } from "./request_dependencies.ts";
+import type { DaemonAnswer, RequestReply } from "./request_reply.ts";
+import type { RequestDependencies } from "./request_dependencies.ts";
 import type { ServingRequest } from "./serving_request.ts";
 
 import { requestFingerprint } from "../quarantine/request_fingerprint.ts";
 import { requestPriority } from "./request_priority.ts";
 
-/** A timed-out caller has no time left; any wait is as good, milliseconds. */
+/** Retry delay after a timeout; arbitrary, since the caller has no time left. */
 const TIMED_OUT_RETRY_MILLISECONDS = 1_000;
 const MILLISECONDS_PER_SECOND = 1_000;
-/** Callers take 503 for a promise that a later attempt may be served. */
-const REJECTED_STATUS = 502;
+/** Not 503, which tells callers that a later attempt may succeed. */
+const QUARANTINED_STATUS = 502;
 
-/** How a request ended, for the log and metrics. */
-export type RequestEnd = "served" | "refused" | "failed" | "abandoned";
+/** Final outcome of a request, for the log and metrics. */
+export type RequestOutcome = "served" | "refused" | "failed" | "abandoned";
 
-/** What a run begins with. */
+/** Options of a `RequestRun`. */
 export interface RequestRunOptions {
-  readonly parts: RequestParts;
+  readonly dependencies: RequestDependencies;
   readonly request: ServingRequest;
   readonly reply: RequestReply;
   readonly route: ServiceRoute;
@@ -30,54 +30,64 @@
 }
 
 /**
- * One request from its acceptance to its end: what is known of whether it ran,
- * and the one final answer.
+ * State of one accepted request until its end. Tracks whether the request may
+ * have run, and gives exactly one final answer.
  */
 export class RequestRun {
   readonly options: RequestRunOptions;
   readonly deadlineAt: number;
-  /** The same for each repeat of the request, whoever takes it. */
+  /** Identical for all attempts of the request, at any daemon. */
   readonly fingerprint: string;
-  /** Ends all work for the request: its caller is gone or it has its answer. */
+  /** Aborted when the caller disconnects or has its answer; stops all work. */
   readonly stop = new AbortController();
-  /** Endpoints that may have run it. */
+  /** Number of endpoints that may have run the request. */
   runs = 0;
-  /** Times that it was sent, refusals included. */
+  /** Number of sends, including refused ones. */
   sends = 0;
-  /** Sends that came to an endpoint, refusals included. */
-  arrivals = 0;
-  /** Sends that had been made when the coordinator was asked for a place. */
-  placeAskedAt: number | undefined;
+  /** Number of sends that reached an endpoint, including refused ones. */
+  deliveries = 0;
+  /** Value of `sends` when the coordinator was last asked for a place. */
+  sendsAtPlacementRequest: number | undefined;
   firstByteAt: number | undefined;
-  #end: RequestEnd | undefined;
+  #outcome: RequestOutcome | undefined;
   #results: readonly PieceResult[] = [];
   #place: ReaderPlace | undefined;
-  #placeWait: number | undefined;
-  /** The place was given and its reading not reported yet. */
-  #isPlaceOpen = false;
+  #placementRetryMilliseconds: number | undefined;
+  /** True while the place must still be released at the coordinator. */
+  #hasUnreleasedPlace = false;
   readonly #teardowns: (() => void)[] = [];
 
   constructor(options: RequestRunOptions) {
     this.options = options;
-    const { request, route, arrivedAt, parts, reply, account } = options;
+    const { request, route, arrivedAt, dependencies, reply, account } = options;
     this.fingerprint = requestFingerprint({
       caller: account?.name ?? request.callerKey ?? "",
       ...request,
     });
     const { timeoutMilliseconds: timeout } = route;
-    const wait = Math.min(request.deadlineMilliseconds ?? timeout, timeout);
+    const wait = Math.min(
+      request.deadlineMilliseconds ?? timeout,
+      timeout,
+    );
     this.deadlineAt = arrivedAt + wait;
-    const left = this.remaining();
+    const remainingMilliseconds = this.remaining();
     this.#teardowns.push(
-      parts.timer.registerTimeout(() => this.#timedOut(), left),
+      dependencies.timer.registerTimeout(
+        () => this.#handleTimeout(),
+        remainingMilliseconds,
+      ),
+    );
+    const onDisconnect = (): void => this.finish("abandoned", {});
+    reply.disconnectSignal.addEventListener("abort", onDisconnect, {
+      once: true,
+    });
+    this.#teardowns.push(() =>
+      reply.disconnectSignal.removeEventListener("abort", onDisconnect)
     );
-    const onGone = (): void => this.finish("abandoned", {});
-    reply.gone.addEventListener("abort", onGone, { once: true });
-    this.#teardowns.push(() => reply.gone.removeEventListener("abort", onGone));
   }
 
   get isOpen(): boolean {
-    return this.#end === undefined;
+    return this.#outcome === undefined;
   }
 
   get priority(): number {
@@ -85,7 +95,7 @@
     return requestPriority(account?.priority, route.priority);
   }
 
-  /** True while it may be sent to one more endpoint after this one ran it. */
+  /** True if the request may run at one more endpoint. */
   get hasAttemptsLeft(): boolean {
     const { kind, isResumable, attempts } = this.options.route;
     const isRepeatable = kind === "idempotent" ||
@@ -93,14 +103,14 @@
     return isRepeatable && this.runs < attempts;
   }
 
-  /** True when it crashed endpoints and must not be sent to any other. */
+  /** True if the request crashed endpoints and must not be sent again. */
   get isQuarantined(): boolean {
-    return this.options.parts.quarantine.holds(this.fingerprint);
+    return this.options.dependencies.quarantine.holds(this.fingerprint);
   }
 
-  /** Monotonic milliseconds. */
+  /** Current monotonic time, milliseconds. */
   now(): number {
-    return this.options.parts.timer.now();
+    return this.options.dependencies.timer.now();
   }
 
   /** Milliseconds until the request's deadline or its route's timeout. */
@@ -109,68 +119,68 @@
   }
 
   /**
-   * Milliseconds until the answer is late, counted from this attempt; below 0
-   * when it is late.
+   * Milliseconds left of the route's latency objective, counted from the
+   * arrival of this attempt; negative when the answer is late.
    */
-  objectiveLeft(): number {
+  remainingObjective(): number {
     const { route, arrivedAt } = this.options;
     return route.objectiveMilliseconds - (this.now() - arrivedAt);
   }
 
-  /** Results to be freed once the request has read them or ended. */
+  /** Stores results that are freed after the request has read them or ended. */
   holdResults(results: readonly PieceResult[], place?: ReaderPlace): void {
     this.releaseResults();
     this.#results = results;
-    this.#putPlace(place);
+    this.#setPlace(place);
   }
 
-  /** Takes in where it goes, or when it may come back. */
-  takePlacing(outcome: ChainOutcome): void {
-    this.#placeWait = undefined;
-    if (outcome.type === "done") this.#putPlace(outcome.place);
+  /** Stores the coordinator's place, or its retry delay. */
+  applyPlacement(outcome: ChainOutcome): void {
+    this.#placementRetryMilliseconds = undefined;
+    if (outcome.type === "done") this.#setPlace(outcome.place);
     else if (outcome.reason === "over_limit") {
-      this.#placeWait = outcome.retryAfterMilliseconds;
+      this.#placementRetryMilliseconds = outcome.retryAfterMilliseconds;
     }
   }
 
   /**
-   * Milliseconds until the endpoints take more, by the coordinator's last word;
-   * undefined unless they had got what they take.
+   * Milliseconds until the endpoints' limits allow more requests, according to
+   * the coordinator; undefined if its last answer wasn't `over_limit`.
    */
-  get placeWait(): number | undefined {
-    return this.#placeWait;
+  get placementRetryMilliseconds(): number | undefined {
+    return this.#placementRetryMilliseconds;
   }
 
-  /** Where the request is best read; undefined when that isn't known. */
+  /** Endpoint chosen by the coordinator; undefined if there is none. */
   get place(): ReaderPlace | undefined {
     return this.#place;
   }
 
   /** Handles of the results that the request reads. */
-  get heldHandles(): readonly string[] {
+  get resultHandles(): readonly string[] {
     return this.#results.map(({ handle }) => handle);
   }
 
   releaseResults(): void {
     const results = this.#results;
-    if (results.length === 0 && !this.#isPlaceOpen) return;
+    if (results.length === 0 && !this.#hasUnreleasedPlace) return;
     this.#results = [];
-    this.#isPlaceOpen = false;
+    this.#hasUnreleasedPlace = false;
     const attemptId = this.options.request.attemptId ?? "";
-    this.options.parts.chains.release({ attemptId, results });
+    this.options.dependencies.chainRunner.release({ attemptId, results });
   }
 
   /**
-   * Gives a final answer of the daemon's own. Statuses that promise that the
-   * request didn't run are only given while that is certain.
+   * Fails the request with an answer of the daemon. A status that declares that
+   * the request didn't run is only sent while that is certain.
    */
-  giveUp(
+  fail(
     reason: string,
     retryAfterMilliseconds: number,
     unknownStatus: 502 | 504 = 502,
   ): void {
     if (!this.isOpen) return;
-    const answer: OwnAnswer = this.runs === 0
+    const answer: DaemonAnswer = this.runs === 0
       ? { status: 503, retryAfterMilliseconds, message: reason }
       : { status: unknownStatus, message: reason };
     this.options.reply.refuse(answer);
@@ -182,69 +192,70 @@
   }
 
   /**
-   * Fails a quarantined request for good. Says nothing of whether it ran, since
-   * earlier attempts did, and doesn't invite the caller back.
+   * Fails a quarantined request permanently. The status neither declares that
+   * the request didn't run, since earlier attempts did, nor invites a retry.
    */
   rejectQuarantined(): void {
     if (!this.isOpen) return;
     const reason = "quarantined: it crashed the endpoints that ran it";
     if (this.firstByteAt !== undefined) {
-      this.breakOff(reason);
+      this.abort(reason);
       return;
     }
-    const status = REJECTED_STATUS;
+    const status = QUARANTINED_STATUS;
     this.options.reply.refuse({ status, message: reason });
     this.finish("refused", { reason, status });
   }
 
-  /** Ends an answer that has begun and can't be completed. */
-  breakOff(reason: string): void {
+  /** Aborts an answer that has begun and can't be completed. */
+  abort(reason: string): void {
     if (!this.isOpen) return;
-    this.options.reply.breakOff();
+    this.options.reply.abort();
     this.finish("failed", { reason });
   }
 
-  /** Ends the run; all work for it stops. Later ends are ignored. */
+  /** Ends the run and stops all work for it. Later calls are ignored. */
   finish(
-    end: RequestEnd,
+    end: RequestOutcome,
     fields: Readonly<Record<string, string | number | undefined>>,
   ): void {
     if (!this.isOpen) return;
-    this.#end = end;
+    this.#outcome = end;
     for (const teardown of this.#teardowns) teardown();
     this.stop.abort();
     this.releaseResults();
-    this.#record(end, fields);
+    this.#recordOutcome(end, fields);
   }
 
-  #putPlace(place: ReaderPlace | undefined): void {
+  #setPlace(place: ReaderPlace | undefined): void {
     this.#place = place;
-    this.#isPlaceOpen = place !== undefined;
+    this.#hasUnreleasedPlace = place !== undefined;
     if (!this.isOpen) this.releaseResults();
   }
 
-  #timedOut(): void {
+  #handleTimeout(): void {
     if (this.firstByteAt !== undefined) {
-      this.breakOff("timed out midway");
+      this.abort("timed out midway");
       return;
     }
-    this.giveUp("timed out", TIMED_OUT_RETRY_MILLISECONDS, 504);
+    this.fail("timed out", TIMED_OUT_RETRY_MILLISECONDS, 504);
   }
 
-  #record(
-    end: RequestEnd,
+  #recordOutcome(
+    end: RequestOutcome,
     fields: Readonly<Record<string, string | number | undefined>>,
   ): void {
-    const { parts, request, route, service, account, arrivedAt } = this.options;
+    const { dependencies, request, route, service, account, arrivedAt } =
+      this.options;
     const now = this.now();
-    parts.log.info("request ended", {
+    dependencies.log.info("request ended", {
       attempt: request.attemptId,
       fingerprint: this.fingerprint,
       outcome: end,
       route: route.name,
       service,
       account: account?.name,
-      configuration: parts.configuration.version,
+      configuration: dependencies.configuration.version,
       tookMilliseconds: Math.round(now - arrivedAt),
       firstByteMilliseconds: this.firstByteAt === undefined
         ? undefined
@@ -253,7 +264,7 @@
       sends: this.sends,
       ...fields,
     });
-    parts.metrics.countRequest({
+    dependencies.metrics.countRequest({
       account: account?.name ?? "",
       route: route.name,
       outcome: end,
--- a/packages/kelpspar-gateway/src/requests/request_service.ts
+++ b/packages/kelpspar-gateway/src/requests/request_service.ts
@@ -2,50 +2,54 @@
 import type { ClientAccount } from "../configuration/serving_configuration.ts";
 import type { ChainOutcome } from "../pieces/chain_outcome.ts";
 import type { ChainStage } from "../pieces/chain_request.ts";
-import type { RequestParts } from "./request_dependencies.ts";
-import type { OwnAnswer, RequestReply } from "./request_reply.ts";
+import type { RequestDependencies } from "./request_dependencies.ts";
+import type { DaemonAnswer, RequestReply } from "./request_reply.ts";
 import type { ServingRequest } from "./serving_request.ts";
 import { pauseOfAll } from "../endpoints/pause_of_all.ts";
-import { chainOf, readerOf, stagesOf } from "./create_chain_request.ts";
+import {
+  createChainReader,
+  createChainRequest,
+  createChainStages,
+} from "./create_chain_request.ts";
 import { chooseTarget } from "./choose_target.ts";
-import { findPlace } from "./request_placement.ts";
-import { LimitedTrials } from "./limited_endpoint_probes.ts";
-import { RequestDispatch } from "./request_dispatcher.ts";
+import { requestPlacement } from "./request_placement.ts";
+import { LimitedEndpointProbes } from "./limited_endpoint_probes.ts";
+import { RequestDispatcher } from "./request_dispatcher.ts";
 import { RequestRun } from "./request_run.ts";
 import { NO_ENDPOINT_RETRY_MILLISECONDS } from "./retry_waits.ts";
 
-/** Time in which a daemon that just started learns its configuration, ms. */
+/** Retry delay while a starting daemon has not read its configuration. */
 const NO_CONFIGURATION_RETRY_MILLISECONDS = 500;
-/** A caller comes back to another daemon this long after one ended, ms. */
-const ENDED_RETRY_MILLISECONDS = 250;
-/** Chains are run again at most so often when their results were lost. */
-const MOST_CHAIN_RUNS = 2;
+/** Retry delay of open requests at shutdown; another daemon serves them. */
+const SHUTDOWN_RETRY_MILLISECONDS = 250;
+/** Maximum number of chain runs for a request whose results were lost. */
+const MAXIMUM_CHAIN_RUNS = 2;
 
-/** Serves requests: route, key, stages, then the request itself. */
+/** Serves requests: checks route and key, runs the stages, then dispatches. */
 export class RequestService {
-  readonly #parts: RequestParts;
-  readonly #trials: LimitedTrials;
-  readonly #open = new Set<RequestRun>();
+  readonly #dependencies: RequestDependencies;
+  readonly #limitedEndpointProbes: LimitedEndpointProbes;
+  readonly #openRuns = new Set<RequestRun>();
 
-  constructor(parts: RequestParts) {
-    this.#parts = parts;
-    this.#trials = new LimitedTrials(parts);
+  constructor(dependencies: RequestDependencies) {
+    this.#dependencies = dependencies;
+    this.#limitedEndpointProbes = new LimitedEndpointProbes(dependencies);
   }
 
-  /** Requests that have no final answer yet. */
+  /** Number of requests without a final answer. */
   get open(): number {
-    return this.#open.size;
+    return this.#openRuns.size;
   }
 
   /**
-   * Gives every open request its final answer, since this daemon ends. Left to
-   * the end of the process their connections close without one: a caller whose
-   * request waits for its stages can't know that it didn't run.
+   * Fails all open requests at shutdown. If their connections closed without an
+   * answer when the process exits, a caller whose request still waits for its
+   * stages couldn't know that it didn't run.
    */
-  endOpen(): void {
-    for (const run of [...this.#open]) {
-      if (run.firstByteAt !== undefined) run.breakOff("daemon ends");
-      else run.giveUp("daemon ends", ENDED_RETRY_MILLISECONDS);
+  failOpenRequests(): void {
+    for (const run of [...this.#openRuns]) {
+      if (run.firstByteAt !== undefined) run.abort("daemon ends");
+      else run.fail("daemon ends", SHUTDOWN_RETRY_MILLISECONDS);
     }
   }
 
@@ -56,22 +60,22 @@
       run.rejectQuarantined();
       return;
     }
-    const unservable = findUnservable(run);
+    const unservable = findUnservableReason(run);
     if (unservable !== undefined) {
-      run.giveUp(unservable.reason, unservable.retryAfterMilliseconds);
+      run.fail(unservable.reason, unservable.retryAfterMilliseconds);
       return;
     }
-    this.#open.add(run);
+    this.#openRuns.add(run);
     try {
       await this.#run(run);
     } catch (error) {
-      this.#parts.log.warn("request broke", {
+      this.#dependencies.log.warn("request failed with an unexpected error", {
         attempt: request.attemptId,
         reason: error instanceof Error ? error.stack : String(error),
       });
-      run.giveUp("internal error", NO_CONFIGURATION_RETRY_MILLISECONDS);
+      run.fail("internal error", NO_CONFIGURATION_RETRY_MILLISECONDS);
     } finally {
-      this.#open.delete(run);
+      this.#openRuns.delete(run);
     }
   }
 
@@ -79,7 +83,7 @@
     request: ServingRequest,
     reply: RequestReply,
   ): RequestRun | undefined {
-    const { configuration, random, timer } = this.#parts;
+    const { configuration, random, timer } = this.#dependencies;
     const table = configuration.table;
     if (table === undefined) {
       return this.#refuse(request, reply, {
@@ -112,7 +116,7 @@
       });
     }
     return new RequestRun({
-      parts: this.#parts,
+      dependencies: this.#dependencies,
       request,
       reply,
       route,
@@ -126,7 +130,7 @@
     request: ServingRequest,
     route: ServiceRoute,
   ): ClientAccount | undefined | "unknown" {
-    const { table } = this.#parts.configuration;
+    const { table } = this.#dependencies.configuration;
     if (table?.configuration.accounts === undefined) return undefined;
     const { callerKey } = request;
     const account = callerKey === undefined
@@ -138,16 +142,16 @@
   #refuse(
     request: ServingRequest,
     reply: RequestReply,
-    answer: OwnAnswer,
+    answer: DaemonAnswer,
   ): undefined {
     reply.refuse(answer);
-    this.#parts.log.info("request refused", {
+    this.#dependencies.log.info("request refused", {
       attempt: request.attemptId,
       status: answer.status,
       reason: answer.message,
-      configuration: this.#parts.configuration.version,
+      configuration: this.#dependencies.configuration.version,
     });
-    this.#parts.metrics.countRequest({
+    this.#dependencies.metrics.countRequest({
       account: "",
       route: "",
       outcome: "refused",
@@ -159,54 +163,60 @@
 
   async #run(run: RequestRun): Promise<void> {
     const { route } = run.options;
-    const stages = stagesOf(run);
+    const stages = createChainStages(run);
     const hasPieces = stages.some(({ pieces }) => pieces > 0);
-    // One for all runs of the chain: it knows how far a stream has come.
-    const dispatch = new RequestDispatch(run, route.stages.length > 0);
+    // Shared by all runs of the chain, since it tracks a stream's position.
+    const dispatcher = new RequestDispatcher(run, route.stages.length > 0);
     for (let chainRuns = 1; run.isOpen; chainRuns++) {
       if (hasPieces) {
         if (!await this.#runChain(run, stages)) return;
-      } else if (this.#isPlaced(run)) {
-        await findPlace(run);
+      } else if (this.#needsPlacement(run)) {
+        await requestPlacement(run);
       }
-      const end = await dispatch.run();
+      const end = await dispatcher.run();
       if (end !== "input_gone" || !run.isOpen) return;
-      if (!hasPieces || chainRuns >= MOST_CHAIN_RUNS) {
-        dispatch.giveUp("stage results were lost");
+      if (!hasPieces || chainRuns >= MAXIMUM_CHAIN_RUNS) {
+        dispatcher.fail("stage results were lost");
       }
     }
   }
 
-  /** Whether the coordinator is asked where a request without pieces goes. */
-  #isPlaced(run: RequestRun): boolean {
-    return readerOf(run) !== undefined ||
-      this.#trials.take(run.options.service, run.now());
+  /** Whether the coordinator places a request that has no pieces. */
+  #needsPlacement(run: RequestRun): boolean {
+    return createChainReader(run) !== undefined ||
+      this.#limitedEndpointProbes.tryStartProbe(run.options.service, run.now());
   }
 
   async #runChain(
     run: RequestRun,
     stages: readonly ChainStage[],
   ): Promise<boolean> {
-    const request = chainOf(run, { stages, reader: readerOf(run) });
-    const outcome = await this.#parts.chains.run(request, run.stop.signal);
-    return this.#takeOutcome(run, outcome);
+    const request = createChainRequest(run, {
+      stages,
+      reader: createChainReader(run),
+    });
+    const outcome = await this.#dependencies.chainRunner.run(
+      request,
+      run.stop.signal,
+    );
+    return this.#applyOutcome(run, outcome);
   }
 
-  #refuseStages(
+  #failStages(
     run: RequestRun,
     { reason, retryAfterMilliseconds }: Extract<
       ChainOutcome,
       { type: "refused" }
     >,
   ): void {
-    run.giveUp(`stages: ${reason}`, retryAfterMilliseconds);
+    run.fail(`stages: ${reason}`, retryAfterMilliseconds);
   }
 
-  #takeOutcome(run: RequestRun, outcome: ChainOutcome): boolean {
+  #applyOutcome(run: RequestRun, outcome: ChainOutcome): boolean {
     if (outcome.type === "refused") {
-      // A stream that went on elsewhere has begun; it can only be broken off.
-      if (run.firstByteAt !== undefined) run.breakOff(outcome.reason);
-      else this.#refuseStages(run, outcome);
+      // The answer of a resumed stream has begun, so it can only be aborted.
+      if (run.firstByteAt !== undefined) run.abort(outcome.reason);
+      else this.#failStages(run, outcome);
       return false;
     }
     run.holdResults(outcome.results, outcome.place);
@@ -215,25 +225,25 @@
 }
 
 /**
- * Why no endpoint could take the request once its stages are done, if that is
- * known now: stages would be made in vain and the caller told late.
+ * Returns the reason if it is known in advance that no endpoint can run the
+ * request. Running its stages would be wasted, and the caller refused late.
  */
-function findUnservable(
+function findUnservableReason(
   run: RequestRun,
 ): { reason: string; retryAfterMilliseconds: number } | undefined {
-  const { parts, service, route } = run.options;
-  const { book } = parts;
-  const endpoints = book.ofService(service);
-  // A book without any endpoint is one that hasn't been read yet.
-  if (endpoints.length === 0 && book.size > 0) {
+  const { dependencies, service, route } = run.options;
+  const { endpointRegistry } = dependencies;
+  const endpoints = endpointRegistry.ofService(service);
+  // An empty registry hasn't been read yet.
+  if (endpoints.length === 0 && endpointRegistry.size > 0) {
     return {
       reason: "no endpoint",
       retryAfterMilliseconds: NO_ENDPOINT_RETRY_MILLISECONDS,
     };
   }
   const pause = pauseOfAll(endpoints, run.now());
-  const hasPieces = stagesOf(run).some(({ pieces }) => pieces > 0);
-  const mayWait = hasPieces ? route.objectiveMilliseconds : 0;
-  if (pause <= mayWait) return undefined;
+  const hasPieces = createChainStages(run).some(({ pieces }) => pieces > 0);
+  const maximumPause = hasPieces ? route.objectiveMilliseconds : 0;
+  if (pause <= maximumPause) return undefined;
   return { reason: "all endpoints pause", retryAfterMilliseconds: pause };
 }
--- a/packages/kelpspar-gateway/src/requests/retry_waits.ts
+++ b/packages/kelpspar-gateway/src/requests/retry_waits.ts
@@ -1,4 +1,4 @@
-/** A caller comes back this long after all endpoints were full, ms. */
+/** Retry delay for callers when all endpoints are full. */
 export const FULL_RETRY_MILLISECONDS = 300;
-/** The same when no endpoint is known or could be reached. */
+/** Retry delay for callers when no endpoint is known or reachable. */
 export const NO_ENDPOINT_RETRY_MILLISECONDS = 700;
--- a/packages/kelpspar-gateway/src/requests/send_result.ts
+++ b/packages/kelpspar-gateway/src/requests/send_result.ts
@@ -1,19 +1,19 @@
 import type { EndpointState } from "../endpoints/endpoint_state.ts";
 import type { EndpointAnswer } from "./endpoint_call.ts";
 
-/** An answer whose status and body are the endpoint's own. */
-export type Answered = Extract<EndpointAnswer, { type: "answered" }>;
+/** An answer with status and body from the endpoint. */
+export type ReceivedAnswer = Extract<EndpointAnswer, { type: "answered" }>;
 
-/** What came of one send. */
-export interface Sent {
+/** Result of one send to an endpoint. Times are monotonic milliseconds. */
+export interface SendResult {
   readonly endpoint: EndpointState;
   readonly answer: EndpointAnswer;
   readonly sentAt: number;
-  /** When the answer began; undefined when none did. Monotonic ms. */
+  /** Time at which the answer began; undefined if there was none. */
   readonly answeredAt: number | undefined;
 }
 
-/** Closes the connection of an answer that nobody reads. */
-export function closeSent({ answer }: Sent): void {
+/** Closes the connection of an answer that won't be read. */
+export function closeAnswer({ answer }: SendResult): void {
   if (answer.type === "answered") answer.close();
 }
--- a/packages/kelpspar-gateway/src/requests/serving_request.ts
+++ b/packages/kelpspar-gateway/src/requests/serving_request.ts
@@ -1,28 +1,30 @@
-/** A part of a prompt; requests share all but the last. */
+/** A part of a prompt. Requests may share all parts except the last. */
 export interface PromptPart {
   readonly id: string;
   readonly tokens: number;
 }
 
-/** A caller's request, decoded. */
+/** A decoded request of a caller. */
 export interface ServingRequest {
-  /** Names this attempt of the caller; undefined when it sent none. */
+  /** Id of this attempt of the caller; undefined if the caller sent none. */
   readonly attemptId: string | undefined;
   readonly method: string;
   readonly host: string;
   /** Path and query as the caller sent them. */
   readonly target: string;
-  /** Names and values in turn, without those of this connection only, the
-   * caller's key and what only daemons may set. */
+  /**
+   * Alternating names and values, without hop-by-hop headers, the caller's key
+   * and headers that only daemons may set.
+   */
   readonly headers: readonly string[];
   readonly callerKey: string | undefined;
-  /** How long the caller will wait; undefined when it doesn't say. */
+  /** Time that the caller waits for the answer; undefined if not given. */
   readonly deadlineMilliseconds: number | undefined;
   readonly promptParts: readonly PromptPart[];
-  /** Pieces by stage; 0 leaves a stage out. */
+  /** Number of pieces by stage; 0 skips the stage. */
   readonly pieceCounts: readonly number[];
   readonly pieceKey: string;
-  /** The last event that the caller has of a stream it resumes. */
+  /** Id of the last event received of a stream that the caller resumes. */
   readonly lastEventId: string | undefined;
   readonly body: Uint8Array;
 }
--- a/packages/kelpspar-gateway/src/requests/stream_forwarder.ts
+++ b/packages/kelpspar-gateway/src/requests/stream_forwarder.ts
@@ -1,16 +1,16 @@
 import type { EndpointState } from "../endpoints/endpoint_state.ts";
 import type { RequestRun } from "./request_run.ts";
-import type { Answered } from "./send_result.ts";
+import type { ReceivedAnswer } from "./send_result.ts";
 import type { StreamRelay } from "./stream_relay.ts";
 
 /**
- * A stream that may go on elsewhere does after such a silence: some times the
- * longest pause of a sound endpoint, so that slow ones aren't given up.
+ * Silence after which a resumable stream fails over. It is several times the
+ * longest pause of a healthy endpoint, so that slow endpoints are kept.
  */
-const STREAM_SILENCE_MILLISECONDS = 1_500;
+const STREAM_IDLE_TIMEOUT_MILLISECONDS = 1_500;
 
-/** Passes the streams of endpoints on as one to the caller. */
-export class StreamForward {
+/** Forwards the streams of successive endpoints to the caller as one stream. */
+export class StreamForwarder {
   readonly #run: RequestRun;
   readonly #relay: StreamRelay;
   #hasBegun = false;
@@ -21,77 +21,77 @@
   }
 
   /**
-   * Passes one endpoint's stream on. Throws when it is cut; the caller's is
-   * then open, and what was left of an event is dropped.
+   * Forwards the stream of one endpoint. If it is cut, drops the partial event
+   * at its end and throws; the caller's stream stays open.
    */
   async forward(
-    { answer, endpoint }: { answer: Answered; endpoint: EndpointState },
+    { answer, endpoint }: { answer: ReceivedAnswer; endpoint: EndpointState },
     onFirstEvent: () => void,
   ): Promise<void> {
-    const stops = [this.#run.stop.signal, endpoint.ended];
+    const signals = [this.#run.stop.signal, endpoint.ended];
     const onStop = (): void => answer.close();
-    for (const one of stops) {
-      one.addEventListener("abort", onStop, { once: true });
+    for (const signal of signals) {
+      signal.addEventListener("abort", onStop, { once: true });
     }
     try {
       await this.#forwardEvents(answer, onFirstEvent);
     } catch (error) {
-      this.#relay.dropRest();
+      this.#relay.dropPartialEvent();
       throw error;
     } finally {
-      for (const one of stops) one.removeEventListener("abort", onStop);
+      for (const signal of signals) signal.removeEventListener("abort", onStop);
       answer.close();
     }
-    if (this.#run.isOpen) await this.#end(answer);
+    if (this.#run.isOpen) await this.#endReply(answer);
   }
 
   async #forwardEvents(
-    answer: Answered,
+    answer: ReceivedAnswer,
     onFirstEvent: () => void,
   ): Promise<void> {
     const run = this.#run;
-    const { reply, parts } = run.options;
-    let stopWatch = this.#watchSilence(answer);
+    const { reply, dependencies } = run.options;
+    let stopIdleTimeout = this.#registerIdleTimeout(answer);
     try {
       for await (const chunk of answer.body) {
         if (!run.isOpen) return;
-        stopWatch();
-        const events = this.#relay.take(chunk as Buffer);
+        stopIdleTimeout();
+        const events = this.#relay.push(chunk as Buffer);
         if (events.length > 0) {
           if (run.firstByteAt === undefined) {
-            run.firstByteAt = parts.timer.now();
+            run.firstByteAt = dependencies.timer.now();
             onFirstEvent();
           }
-          this.#begin(answer);
+          this.#beginReply(answer);
           await reply.write(events);
         }
-        stopWatch = this.#watchSilence(answer);
+        stopIdleTimeout = this.#registerIdleTimeout(answer);
       }
     } finally {
-      stopWatch();
+      stopIdleTimeout();
     }
   }
 
-  async #end(answer: Answered): Promise<void> {
+  async #endReply(answer: ReceivedAnswer): Promise<void> {
     const { reply } = this.#run.options;
-    this.#begin(answer);
-    const rest = this.#relay.takeRest();
+    this.#beginReply(answer);
+    const rest = this.#relay.flush();
     if (rest.length > 0) await reply.write(rest);
     reply.end();
   }
 
-  /** Headers are those of the first endpoint, whoever goes on. */
-  #begin(answer: Answered): void {
+  /** Sends the headers of the first endpoint; those of later ones are ignored. */
+  #beginReply(answer: ReceivedAnswer): void {
     if (this.#hasBegun) return;
     this.#hasBegun = true;
     this.#run.options.reply.begin(answer.status, answer.headers);
   }
 
-  #watchSilence(answer: Answered): () => void {
+  #registerIdleTimeout(answer: ReceivedAnswer): () => void {
     if (!this.#run.hasAttemptsLeft) return () => {};
-    return this.#run.options.parts.timer.registerTimeout(
+    return this.#run.options.dependencies.timer.registerTimeout(
       () => answer.close(),
-      STREAM_SILENCE_MILLISECONDS,
+      STREAM_IDLE_TIMEOUT_MILLISECONDS,
     );
   }
 }
--- a/packages/kelpspar-scenarios/src/ablation/mechanisms.ts
+++ b/packages/kelpspar-scenarios/src/ablation/mechanisms.ts
@@ -31,7 +31,7 @@
   {
     name: "route-priority-within-accounts",
     file: `${GATEWAY}/requests/request_priority.ts`,
-    code: "return level + route / ROUTE_LEVELS;",
+    code: "return level + route / ROUTE_PRIORITY_LEVELS;",
     without: "return level + 0 * route;",
   },
   {
--- a/packages/kelpspar-scenarios/src/guards/guards.ts
+++ b/packages/kelpspar-scenarios/src/guards/guards.ts
@@ -121,14 +121,14 @@
   {
     name: "a refusal says not run only while nothing ran",
     file: `${GATEWAY}/requests/request_run.ts`,
-    code: "const answer: OwnAnswer = this.runs === 0",
-    without: "const answer: OwnAnswer = this.runs >= 0",
+    code: "const answer: DaemonAnswer = this.runs === 0",
+    without: "const answer: DaemonAnswer = this.runs >= 0",
     noticedBy: `${GATEWAY_TESTS}/request_service_test.ts`,
   },
   {
     name: "half an event is dropped before a stream goes on elsewhere",
     file: `${GATEWAY}/requests/stream_forwarder.ts`,
-    code: "this.#relay.dropRest();",
+    code: "this.#relay.dropPartialEvent();",
     without: "",
     noticedBy: `${PLATFORM_TESTS}/platform_path_test.ts`,
   },
--- a/packages/kelpspar-scenarios/src/guards/notice_guards.ts
+++ b/packages/kelpspar-scenarios/src/guards/notice_guards.ts
@@ -50,8 +50,8 @@
   {
     name: "a place that was given without the limit isn't used",
     file: `${GATEWAY}/requests/choose_request_endpoint.ts`,
-    code: "if (!isWithin) return undefined;",
-    without: "void isWithin;",
+    code: "if (!isWithinLimit) return undefined;",
+    without: "void isWithinLimit;",
     noticedBy: `${TESTS}/limited_request_test.ts`,
   },
   {
