--- a/packages/kelpspar-gateway/src/__tests__/support/request_world.ts
+++ b/packages/kelpspar-gateway/src/__tests__/support/request_world.ts
@@ -134,7 +134,9 @@
     },
     accounts: [{ name: "acme", callerKeys: ["key"], priority: undefined }],
   };
-  if (options.isConfigured !== false) configuration.applyIfNewer(initialConfiguration);
+  if (options.isConfigured !== false) {
+    configuration.applyIfNewer(initialConfiguration);
+  }
   const endpointRegistry = new EndpointBook();
   for (const id of ["i1", "i2", "i3"]) {
     endpointRegistry.put({
