--- a/packages/kelpspar-gateway/src/__tests__/support/booking_load.ts
+++ b/packages/kelpspar-gateway/src/__tests__/support/booking_load.ts
@@ -6,7 +6,7 @@
 const CALL_MILLISECONDS = 150;
 const terms = createTermsFactory(CALL_MILLISECONDS);
 
-/** Three stage services of the size that a booking site has. */
+/** Three stage services with the size of a booking site. */
 export const BOOKING_SERVICES: readonly SimulatedService[] = [
   { name: "encode", zones: ["a", "b", "c"], terms: terms(6, 21.3, 27) },
   {
@@ -23,7 +23,7 @@
   { service: "rerank", after: [1], resultBytes: 6_000, pieces: 16 },
 ];
 
-/** An urgent kind and one of small worth that need the same stages. */
+/** An urgent kind and one of low worth with the same stages. */
 export const BOOKING_KINDS: readonly LoadKind[] = [
   {
     name: "review",
--- a/packages/kelpspar-gateway/src/__tests__/support/mixed_load.ts
+++ b/packages/kelpspar-gateway/src/__tests__/support/mixed_load.ts
@@ -12,7 +12,7 @@
 
 /**
  * Stage services with some ten endpoints each. The first one makes large
- * results, fourteen of which fill an endpoint, beside the small ones.
+ * results, fourteen of which fill an endpoint, as well as small ones.
  */
 export const MIXED_SERVICES: readonly SimulatedService[] = [
   { name: "encode", zones: zonesOf(9), terms: terms(8, 16, 42) },
@@ -23,13 +23,13 @@
 const LARGE = { service: "encode", after: [], resultBytes: 3_000_000 };
 const SMALL = { service: "encode", after: [], resultBytes: 8_000, pieces: 1 };
 
-/** Pieces of a stage that `share` of the requests have, of some mean number. */
+/** Draws a piece count: 0 except for `share` of requests, else of a given mean. */
 function drawCount(random: RandomSource, share: number, mean: number): number {
   if (random.next() >= share) return 0;
   return 1 + Math.floor(random.next() * 2 * (mean - 0.5));
 }
 
-/** A valuable kind, an urgent one and one of small worth that may wait. */
+/** A valuable kind, an urgent one and one of low worth that may wait. */
 export const MIXED_KINDS: readonly LoadKind[] = [
   {
     name: "plan",
--- a/packages/kelpspar-gateway/src/__tests__/support/piece_terms.ts
+++ b/packages/kelpspar-gateway/src/__tests__/support/piece_terms.ts
@@ -1,6 +1,6 @@
 import type { PieceTerms } from "../../configuration/service_definition.ts";
 
-/** Creates the terms of simulated stage services whose calls cost the same. */
+/** Creates a factory of terms for simulated stage services with equal call times. */
 export function createTermsFactory(
   callMilliseconds: number,
 ): (
--- a/packages/kelpspar-gateway/src/__tests__/support/play_limited_load.ts
+++ b/packages/kelpspar-gateway/src/__tests__/support/play_limited_load.ts
@@ -9,37 +9,37 @@
 const SERVICE = "service";
 const STEP_MILLISECONDS = 10;
 const MILLISECONDS_PER_SECOND = 1_000;
-/** The rule counts requests in each span of this length, milliseconds. */
+/** Limits apply to the requests in any span of this length. */
 const SPAN_MILLISECONDS = 4_000;
 
-/** A fleet before endpoints that name limits. */
+/** Load of a fleet on endpoints with limits. */
 export interface LimitedLoad {
   readonly daemons: number;
   readonly endpoints: number;
-  /** What each endpoint names at a moment, requests a second. */
+  /** Limit of each endpoint at a time, requests per second. */
   readonly limitAt: (now: number) => number;
-  /** Requests that come to the fleet at a moment, a second. */
+  /** Arrival rate at the fleet at a time, requests per second. */
   readonly perSecondAt: (now: number) => number;
   readonly milliseconds: number;
   readonly seed: number;
-  /** Whether the endpoints are of a model; of a plain service if left out. */
+  /** Whether the endpoints serve a model; default: a plain service. */
   readonly isModel?: boolean;
-  /** Daemons that take themselves for the coordinator; one if left out. */
+  /** Daemons that act as coordinator; default: one. */
   readonly coordinators?: number;
-  /** A daemon is started anew each so often; never if left out. */
+  /** Interval at which a daemon restarts; default: never. */
   readonly restartEveryMilliseconds?: number;
-  /** Daemons that each takes the fleet for; all if left out. */
-  readonly believedDaemons?: number;
+  /** Fleet size as seen by each daemon; default: all daemons. */
+  readonly visibleDaemons?: number;
 }
 
-/** What a load came to. */
+/** Result of a played load. */
 export interface LimitedPlay {
-  /** Sends by endpoint, milliseconds. */
+  /** Times of sends by endpoint, milliseconds. */
   readonly sentAt: readonly (readonly number[])[];
   readonly asked: number;
 }
 
-/** Plays requests that only endpoints with limits could take. */
+/** Plays requests that can only be sent to endpoints with limits. */
 export function playLimitedLoad(load: LimitedLoad): LimitedPlay {
   const random = new SeededRandom(load.seed);
   const limits = new EndpointLimits();
@@ -58,7 +58,7 @@
       limits,
       random,
       sharers: () =>
-        chooser === "daemon" ? load.believedDaemons ?? load.daemons : 1,
+        chooser === "daemon" ? load.visibleDaemons ?? load.daemons : 1,
     });
   const daemons = Array.from(
     { length: load.daemons },
@@ -87,16 +87,16 @@
       const sent = send(endpoints, gates, now);
       if (sent !== undefined) sentAt[sent]?.push(now);
     }
-    // Each daemon looks at every endpoint, whether it needs it or not.
+    // Each daemon checks every endpoint, whether it uses it or not.
     for (const gate of daemons) {
-      for (const one of endpoints) gate.isOpen(one, now);
+      for (const endpoint of endpoints) gate.isOpen(endpoint, now);
     }
   }
   return { sentAt, asked };
 }
 
-/** Most sends to one endpoint in a span, from a moment on. */
-export function mostInSpan(sentAt: readonly number[], from = 0): number {
+/** Most sends to one endpoint in any span that starts at `from` or later. */
+export function maxInSpan(sentAt: readonly number[], from = 0): number {
   const late = sentAt.filter((at) => at >= from);
   return Math.max(
     0,
@@ -112,7 +112,7 @@
   now: number,
 ): number | undefined {
   for (const gate of gates) {
-    const index = endpoints.findIndex((one) => gate.isOpen(one, now));
+    const index = endpoints.findIndex((endpoint) => gate.isOpen(endpoint, now));
     const chosen = endpoints[index];
     if (chosen === undefined) continue;
     gate.chosen(chosen, now);
--- a/packages/kelpspar-gateway/src/__tests__/support/play_loads.ts
+++ b/packages/kelpspar-gateway/src/__tests__/support/play_loads.ts
@@ -7,7 +7,7 @@
 const LENGTH_MILLISECONDS = 16_000;
 const BURST = { from: 5_000, until: 10_000 };
 
-/** The bursts and faults that each site's load is played with. */
+/** Bursts and faults played with each site's load. */
 const SITUATIONS: Readonly<Record<string, Partial<StageLoad>>> = {
   calm: {},
   "burst of all, 1.7": { bursts: [{ ...BURST, factor: 1.7 }] },
@@ -35,7 +35,7 @@
   booking: { services: BOOKING_SERVICES, kinds: BOOKING_KINDS },
 };
 
-/** The worth of each site's load in each situation, and its 95% interval. */
+/** Worth of a site's load in a situation, with its 95% confidence interval. */
 export interface LoadResult {
   readonly site: string;
   readonly situation: string;
@@ -47,17 +47,17 @@
 async function playAll(): Promise<readonly LoadResult[]> {
   const results: LoadResult[] = [];
   for (const [site, load] of Object.entries(SITES)) {
-    for (const [situation, trouble] of Object.entries(SITUATIONS)) {
+    for (const [situation, conditions] of Object.entries(SITUATIONS)) {
       const played: LoadFigures[] = [];
       for (let seed = 1; seed <= SEEDS; seed++) {
         played.push(
           await playStageLoad({
             seed,
             milliseconds: LENGTH_MILLISECONDS,
-            clump: 3,
+            groupSize: 3,
             bursts: [],
             ...load,
-            ...trouble,
+            ...conditions,
           }),
         );
       }
@@ -71,10 +71,10 @@
   played: readonly LoadFigures[],
 ): Pick<LoadResult, "worth" | "interval" | "turnedAway"> {
   const mean = (values: readonly number[]): number =>
-    values.reduce((sum, one) => sum + one, 0) / values.length;
+    values.reduce((sum, value) => sum + value, 0) / values.length;
   const worths = played.map(({ worth }) => worth);
   const worth = mean(worths);
-  const variance = mean(worths.map((one) => (one - worth) ** 2));
+  const variance = mean(worths.map((value) => (value - worth) ** 2));
   return {
     worth,
     interval: 1.96 * Math.sqrt(variance / (played.length - 1)),
--- a/packages/kelpspar-gateway/src/__tests__/support/play_stage_load.ts
+++ b/packages/kelpspar-gateway/src/__tests__/support/play_stage_load.ts
@@ -31,7 +31,7 @@
   readonly tailMilliseconds: number;
 }
 
-/** A time in which a kind, or all, come more often. */
+/** A period in which one kind or all kinds arrive more often. */
 export interface LoadBurst {
   readonly from: number;
   readonly until: number;
@@ -39,32 +39,32 @@
   readonly kind?: string;
 }
 
-/** What is played. */
+/** Options of `playStageLoad`. */
 export interface StageLoad {
   readonly seed: number;
   readonly milliseconds: number;
   readonly services: readonly SimulatedService[];
   readonly kinds: readonly LoadKind[];
   readonly bursts: readonly LoadBurst[];
-  /** Requests of a kind that come together, on the mean; 1 if absent. */
-  readonly clump?: number;
+  /** Requests of a kind that arrive together; default: 1. */
+  readonly groupSize?: number;
   readonly faults?: readonly SimulatedFault[];
-  /** How old an endpoint's word of its room is. */
+  /** Age of an endpoint's room report. */
   readonly roomLagMilliseconds?: number;
   readonly foreignResults?: ForeignResults;
 }
 
-/** What became of a kind's requests. */
+/** Outcomes of a kind's requests. */
 export interface KindFigures {
   asked: number;
   onTime: number;
   late: number;
   refused: number;
-  /** Share of the worth that was asked for. */
+  /** Share of the requests' total worth that was earned. */
   worth: number;
 }
 
-/** What a load came to. */
+/** Result of a played load. */
 export interface LoadFigures {
   readonly worth: number;
   readonly kinds: Readonly<Record<string, KindFigures>>;
@@ -72,12 +72,12 @@
 }
 
 const STEP_MILLISECONDS = 5;
-/** After a refusal a caller waits at most this share of its time. */
-const MOST_WAIT_SHARE = 1 / 3;
+/** Share of its remaining time that a refused caller waits at most. */
+const MAX_WAIT_SHARE = 1 / 3;
 
 /**
- * Plays a seeded load on a coordinator and simulated endpoints. Callers come
- * back once after a refusal, when they were told to.
+ * Plays a seeded load on a coordinator and simulated endpoints. Callers retry
+ * once after a refusal, after the given delay.
  */
 export async function playStageLoad(load: StageLoad): Promise<LoadFigures> {
   const timer = new ManualTimer();
@@ -181,7 +181,7 @@
       if (outcome.type === "refused") {
         const wait = Math.min(
           outcome.retryAfterMilliseconds,
-          left * MOST_WAIT_SHARE,
+          left * MAX_WAIT_SHARE,
         );
         await new Promise<void>((resolve) =>
           timer.registerTimeout(resolve, wait)
@@ -205,11 +205,11 @@
         burst.from <= timer.now() && timer.now() < burst.until &&
         (burst.kind === undefined || burst.kind === kind.name)
       ).reduce((product, burst) => product * burst.factor, 1);
-      const clump = load.clump ?? 1;
+      const groupSize = load.groupSize ?? 1;
       const chance = kind.perSecond * factor * STEP_MILLISECONDS /
-        (1_000 * clump);
+        (1_000 * groupSize);
       if (random.next() >= chance) continue;
-      for (let asked = 0; asked < clump; asked++) void ask(kind);
+      for (let asked = 0; asked < groupSize; asked++) void ask(kind);
     }
     await timer.advance(STEP_MILLISECONDS);
   }
@@ -224,14 +224,14 @@
   stages: StageFigures,
 ): LoadFigures {
   let earned = 0;
-  let owed = 0;
+  let possible = 0;
   for (const kind of kinds) {
     const own = figures[kind.name];
     if (own === undefined) continue;
     const credit = own.onTime * kind.worth + own.late * kind.lateWorth;
     own.worth = credit / (own.asked * kind.worth);
     earned += credit;
-    owed += own.asked * kind.worth;
+    possible += own.asked * kind.worth;
   }
-  return { worth: earned / owed, kinds: figures, stages };
+  return { worth: earned / possible, kinds: figures, stages };
 }
--- a/packages/kelpspar-gateway/src/__tests__/support/simulated_stages.ts
+++ b/packages/kelpspar-gateway/src/__tests__/support/simulated_stages.ts
@@ -10,7 +10,7 @@
   RoomReport,
 } from "../../pieces/piece_call.ts";
 
-/** A stage service of a load. */
+/** A simulated stage service. */
 export interface SimulatedService {
   readonly name: string;
   /** Zone of each endpoint. */
@@ -18,16 +18,16 @@
   readonly terms: PieceTerms;
 }
 
-/** An endpoint that is slow or silent for a while, milliseconds. */
+/** A period in which an endpoint is slow or silent, milliseconds. */
 export interface SimulatedFault {
   readonly endpointId: string;
   readonly from: number;
   readonly until: number;
-  /** Times as long; infinite is silent. */
+  /** Factor on call times; infinite when silent. */
   readonly slowness: number;
 }
 
-/** Room that another daemon's results take at every endpoint for a while. */
+/** A period in which another daemon's results take room at every endpoint. */
 export interface ForeignResults {
   readonly from: number;
   readonly until: number;
@@ -38,12 +38,12 @@
 interface Maker {
   readonly terms: PieceTerms;
   readonly kept: Map<string, number>;
-  /** Times and the room from then on, others' results not counted. */
+  /** Times and the free room from then on, excluding foreign results. */
   readonly history: [number, number][];
   freeAt: number;
 }
 
-/** What the endpoints worked on. */
+/** Totals over all endpoints. */
 export interface StageFigures {
   calls: number;
   pieces: number;
@@ -51,7 +51,7 @@
   turnedAway: number;
 }
 
-/** Endpoints of stage services in simulated time: one call after the other. */
+/** Stage endpoints in simulated time; each runs one call after the other. */
 export class SimulatedStages implements PieceClient {
   readonly figures: StageFigures = {
     calls: 0,
@@ -96,7 +96,7 @@
     }
   }
 
-  /** The room as it was some time ago. */
+  /** Reports the room as of `roomLagMilliseconds` ago. */
   readRoom(endpoint: EndpointEntry): Promise<RoomReport | undefined> {
     const maker = this.#makers.get(endpoint.id);
     if (maker === undefined) return Promise.resolve(undefined);
@@ -113,7 +113,7 @@
   ): Promise<boolean> {
     const kept = this.#makers.get(maker.id)?.kept;
     for (const handle of handles) kept?.delete(handle);
-    this.#noteRoom(maker.id);
+    this.#recordRoom(maker.id);
     return Promise.resolve(true);
   }
 
@@ -143,7 +143,7 @@
         }
         const handle = `${call.endpoint.id}/${++this.#made}`;
         maker.kept.set(handle, bytes);
-        this.#noteRoom(call.endpoint.id);
+        this.#recordRoom(call.endpoint.id);
         return { type: "made", handle };
       });
       this.#timer.registerTimeout(
@@ -153,7 +153,7 @@
     });
   }
 
-  #noteRoom(endpointId: string): void {
+  #recordRoom(endpointId: string): void {
     const maker = this.#makers.get(endpointId);
     maker?.history.push([this.#timer.now(), this.#unusedOf(maker)]);
   }
@@ -163,7 +163,10 @@
   }
 
   #unusedOf(maker: Maker): number {
-    const used = [...maker.kept.values()].reduce((sum, one) => sum + one, 0);
+    const used = [...maker.kept.values()].reduce(
+      (sum, bytes) => sum + bytes,
+      0,
+    );
     return maker.terms.resultBytes - used;
   }
 
--- a/packages/kelpspar-gateway/src/__tests__/support/survey_load.ts
+++ b/packages/kelpspar-gateway/src/__tests__/support/survey_load.ts
@@ -8,7 +8,7 @@
 
 /**
  * Stage services of a site whose first one makes large results, nine of which
- * fill an endpoint, beside the small ones of other kinds.
+ * fill an endpoint, as well as the small ones of other kinds.
  */
 export const SURVEY_SERVICES: readonly SimulatedService[] = [
   { name: "encode", zones: ["a", "b", "c"], terms: terms(6, 28, 13.5) },
@@ -23,7 +23,7 @@
 const LARGE = { service: "encode", after: [], resultBytes: 1_500_000 };
 const SMALL = { service: "encode", after: [], resultBytes: 8_000, pieces: 1 };
 
-/** Pieces of a stage that `share` of the requests have, of some mean number. */
+/** Draws a piece count: 0 except for `share` of requests, else of a given mean. */
 function drawCount(random: RandomSource, share: number, mean: number): number {
   if (random.next() >= share) return 0;
   return 1 + Math.floor(random.next() * 2 * (mean - 0.5));
--- a/packages/kelpspar-gateway/src/__tests__/unit/admit_chain_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/admit_chain_test.ts
@@ -25,26 +25,25 @@
   });
 }
 
-test("stages that follow each other add up, others run side by side", () => {
+test("sequential stages add up, others run in parallel", () => {
   expect(expectedTime({ stages: CHAIN, tail: 300 })).toEqual(980);
-  const beside = [...CHAIN, { backlog: 0, work: 400, after: [] }];
-  expect(expectedTime({ stages: beside, tail: 300 })).toEqual(980);
+  const withParallel = [...CHAIN, { backlog: 0, work: 400, after: [] }];
+  expect(expectedTime({ stages: withParallel, tail: 300 })).toEqual(980);
 });
 
-test("work before a later stage drains while earlier stages run", () => {
+test("the backlog of a later stage drains while earlier stages run", () => {
   expect(admit({ backlog: 170 })).toEqual({ type: "admitted", expected: 980 });
 });
 
-test("a chain that would be late is refused at its arrival", () => {
-  // Symptom: in a burst of 2.4 times the load everything was late.
-  // Sequence: all chains were queued, the queue reached two seconds, and each
-  // chain was served after its objective.
-  // Cause: nothing compared the queue with what the objective leaves.
+test("a chain that would be late is refused on arrival", () => {
+  // Guards against queueing every chain without comparing the backlog with the
+  // objective: in a burst of 2.4 times the load, the queue reaches two seconds
+  // and every chain is served after its objective.
   const refused = admit({ backlog: 2_500 });
   expect(refused.type).toEqual("refused");
 });
 
-test("the less urgent goes first when there is no room for both", () => {
+test("less urgent chains are refused first when there is no capacity for all", () => {
   const urgent = admit({ backlog: 1_000, priority: 0 });
   const otherAccount = admit({ backlog: 1_000, priority: 3 });
   const otherRoute = admit({ backlog: 1_000, priority: 0.1 });
@@ -52,20 +51,19 @@
     .toEqual(["admitted", "refused", "refused"]);
 });
 
-test("a long chain of little urgency is served while nothing waits", () => {
-  // Symptom: a kind whose stages take most of its objective was always refused.
-  // Sequence: its route had a low priority, which left two fifths of the
-  // objective; its calls alone took more than that.
-  // Cause: what may not be waited was taken from the work as well.
+test("a long chain of low priority is admitted while queues are empty", () => {
+  // Guards against applying the priority share to the work as well as the wait:
+  // a low route priority leaves two fifths of the objective, and a kind whose
+  // calls alone take longer is always refused.
   expect(admit({ objective: 1_300, priority: 1.9 }).type).toEqual("admitted");
 });
 
-test("what is late already is served while the queue is short", () => {
+test("a chain that is already late is admitted while the queue is short", () => {
   expect(admit({ objective: -200 }).type).toEqual("admitted");
   expect(admit({ objective: -200, backlog: 6_000 }).type).toEqual("refused");
 });
 
-test("who comes back finds the queue worked off, within bounds", () => {
+test("the retry delay covers the backlog, within bounds", () => {
   const soon = admit({ backlog: 1_300 });
   const late = admit({ backlog: 60_000 });
   expect(soon.type === "refused" && soon.retryAfterMilliseconds < 500)
--- a/packages/kelpspar-gateway/src/__tests__/unit/chain_run_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/chain_run_test.ts
@@ -38,7 +38,7 @@
       makerAddress: "10.0.0.1:1",
       makerZone: "a",
     };
-    chain.put(task, result);
+    chain.recordResult(task, result);
     return result;
   });
 }
@@ -47,7 +47,7 @@
   return tasks.map((task) => `${task.stage}.${task.piece}`);
 }
 
-test("a stage starts once all it reads is made, and only once", () => {
+test("a stage starts once all its inputs are made, and only once", () => {
   const chain = createChain();
   const first = chain.startReady();
   expect(numbers(first)).toEqual(["0.0"]);
@@ -56,19 +56,18 @@
   expect(numbers(chain.startReady())).toEqual(["1.0", "1.1"]);
 });
 
-test("a stage that the request leaves out holds nothing up", () => {
+test("a skipped stage doesn't block later stages", () => {
   const chain = createChain([0, 2, 0]);
   expect(numbers(chain.startReady())).toEqual(["1.0", "1.1"]);
   expect(chain.inputResults(1)).toEqual([]);
   expect(chain.isFinal(1)).toEqual(true);
 });
 
-test("a large result that the request reads is made beside the last stage", () => {
-  // Symptom: requests were answered that inputs were gone, five seconds after
-  // their arrival, and ran all their stages again.
-  // Sequence: a result of three megabytes was made first; the three stages
-  // beside it waited for room, which such results took, until it expired.
-  // Cause: every stage started as early as it could.
+test("a large final result is made at the same time as the last stage", () => {
+  // Guards against starting every stage as early as possible: results of three
+  // megabytes take the room that the request's three other stages wait for until
+  // they expire. Five seconds after arrival the inputs are gone, and all stages
+  // run again.
   const chain = new ChainRun({
     request: {
       ...createChain().request,
@@ -87,7 +86,7 @@
   expect(numbers(chain.startReady())).toEqual(["0.0", "2.0"]);
 });
 
-test("a large result alone is made at once", () => {
+test("a large result without other stages is made at once", () => {
   const chain = new ChainRun({
     request: {
       ...createChain().request,
@@ -102,38 +101,37 @@
   expect(numbers(chain.startReady())).toEqual(["0.0", "0.1"]);
 });
 
-test("results are freed once when no stage reads them any more", () => {
+test("results are freed once, when no stage reads them any more", () => {
   const chain = createChain();
-  const zero = make(chain, chain.startReady());
-  expect(chain.takeUnneeded()).toEqual([]);
+  const inputs = make(chain, chain.startReady());
+  expect(chain.releaseUnneeded()).toEqual([]);
   make(chain, chain.startReady());
-  expect(chain.takeUnneeded()).toEqual(zero);
-  expect(chain.takeUnneeded()).toEqual([]);
+  expect(chain.releaseUnneeded()).toEqual(inputs);
+  expect(chain.releaseUnneeded()).toEqual([]);
 });
 
-test("results of a maker that is gone are made again", () => {
+test("results of a removed maker are made again", () => {
   const chain = createChain();
   make(chain, chain.startReady());
-  const [one, two] = chain.startReady() as [PieceTask, PieceTask];
-  make(chain, [one], "m2");
-  make(chain, [two], "m3");
+  const [first, second] = chain.startReady() as [PieceTask, PieceTask];
+  make(chain, [first], "m2");
+  make(chain, [second], "m3");
   expect(chain.hasInputs(2)).toEqual(true);
   chain.startReady();
-  expect(numbers(chain.forgetMaker("m2"))).toEqual(["1.0"]);
+  expect(numbers(chain.invalidateMaker("m2"))).toEqual(["1.0"]);
   expect(chain.hasInputs(2)).toEqual(false);
 });
 
-test("inputs that were freed are made again from the start", () => {
-  // Symptom: a chain hung until its deadline after a maker crashed.
-  // Sequence: stage 1 was done and stage 0's result freed; stage 1's maker
-  // crashed; its pieces asked for stage 0's handle, which was gone, again and
-  // again.
-  // Cause: only the lost results were forgotten, not the freed ones below.
+test("freed inputs of lost results are made again", () => {
+  // Guards against invalidating only the lost results and not their freed
+  // inputs: after stage 1 is done and stage 0's result is freed, stage 1's maker
+  // crashes; its pieces request stage 0's missing handle again and again, and
+  // the chain hangs until its deadline.
   const chain = createChain();
   make(chain, chain.startReady());
   make(chain, chain.startReady(), "m2");
-  chain.takeUnneeded();
-  expect(numbers(chain.forgetMaker("m2"))).toEqual(["0.0"]);
+  chain.releaseUnneeded();
+  expect(numbers(chain.invalidateMaker("m2"))).toEqual(["0.0"]);
   expect(chain.hasInputs(1)).toEqual(false);
 });
 
@@ -142,5 +140,5 @@
   const [task] = chain.startReady() as [PieceTask];
   make(chain, [task], "m1");
   make(chain, [task], "m2");
-  expect(chain.resultsOf(0).map((one) => one.makerId)).toEqual(["m1"]);
+  expect(chain.resultsOf(0).map((result) => result.makerId)).toEqual(["m1"]);
 });
--- a/packages/kelpspar-gateway/src/__tests__/unit/choose_reader_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/choose_reader_test.ts
@@ -10,8 +10,8 @@
   return {
     endpointId,
     waitingTokens: 0,
-    heldTokens: 0,
-    likelyTokens: 0,
+    cachedTokens: 0,
+    likelyCachedTokens: 0,
     freeTokens: 100_000,
     crossingBytes: 0,
     slowness: 1,
@@ -28,61 +28,57 @@
   return [place?.endpointId, place?.promptSourceId];
 }
 
-test("a request goes where its prompt is kept and its inputs are", () => {
+test("a request is read where its prompt is cached and its inputs are", () => {
   expect(choose([
     candidate("a"),
-    candidate("b", { heldTokens: 6_000 }),
+    candidate("b", { cachedTokens: 6_000 }),
   ])).toEqual(["b", undefined]);
 });
 
-test("a long prompt that waits counts by its tokens, not as one request", () => {
-  // Symptom: short requests took 600 ms until their first event while other
-  // endpoints were idle.
-  // Sequence: one of 20,000 tokens had been sent to the endpoint that keeps
-  // their prompt; the endpoint had one request in flight, as the others.
-  // Cause: what waits was counted in requests.
+test("a waiting long prompt counts by its tokens, not as one request", () => {
+  // Guards against counting the backlog in requests: short requests take 600 ms
+  // until their first event behind one of 20,000 tokens at the endpoint that
+  // caches their prompt, while other endpoints are idle, because each has one
+  // request in flight.
   expect(choose([
-    candidate("keeper", { heldTokens: 6_000, waitingTokens: 20_000 }),
+    candidate("keeper", { cachedTokens: 6_000, waitingTokens: 20_000 }),
     candidate("idle"),
   ])).toEqual(["idle", "keeper"]);
 });
 
-test("the prompt is fetched rather than large inputs carried across zones", () => {
-  // Symptom: three of four large results crossed zones.
-  // Sequence: the endpoint was chosen by the prompt it kept before the results
-  // were made; they were made wherever an endpoint was free.
-  // Cause: maker and reader were chosen one after the other.
+test("the prompt is fetched rather than large inputs moved across zones", () => {
+  // Guards against choosing the reader only by its cached prompt, independently
+  // of where the results are made: three of four large results cross zones.
   expect(choose([
-    candidate("keeper", { heldTokens: 6_300, crossingBytes: 4_500_000 }),
+    candidate("keeper", { cachedTokens: 6_300, crossingBytes: 4_500_000 }),
     candidate("near"),
   ])).toEqual(["near", "keeper"]);
 });
 
-test("a short beginning isn't worth leaving the endpoint that keeps it", () => {
+test("a short cached prefix isn't worth fetching to another endpoint", () => {
   expect(choose([
-    candidate("keeper", { heldTokens: 500, crossingBytes: 60_000 }),
+    candidate("keeper", { cachedTokens: 500, crossingBytes: 60_000 }),
     candidate("near"),
   ])).toEqual(["keeper", undefined]);
 });
 
-test("a slow endpoint isn't given a prompt that it keeps", () => {
+test("a slow endpoint doesn't read a prompt that it has cached", () => {
   expect(choose([
-    candidate("slow", { heldTokens: 6_000, slowness: 5 }),
+    candidate("slow", { cachedTokens: 6_000, slowness: 5 }),
     candidate("sound"),
   ])).toEqual(["sound", "slow"]);
 });
 
-test("a long prompt isn't copied into memory that is full of others", () => {
-  // Symptom: three times as many prompt tokens were read again.
-  // Sequence: prompts of 13,300 tokens were fetched into every zone, where
-  // memory had place for 40 of them; each pushed out another one.
-  // Cause: a copy was taken to cost its transfer only.
+test("a long prompt isn't copied into a full cache", () => {
+  // Guards against costing a copy by its transfer only: prompts of 13,300 tokens
+  // are fetched into every zone, each cache holds 40 of them, every copy evicts
+  // another prompt, and three times as many tokens are read again.
   expect(choose([
-    candidate("keeper", { heldTokens: 6_300, crossingBytes: 4_500_000 }),
+    candidate("keeper", { cachedTokens: 6_300, crossingBytes: 4_500_000 }),
     candidate("near", { freeTokens: 0 }),
   ])).toEqual(["keeper", undefined]);
 });
 
-test("without endpoints there is no place", () => {
+test("without endpoints no reader is chosen", () => {
   expect(chooseReader({ candidates: [], promptTokens: 1 })).toEqual(undefined);
 });
--- a/packages/kelpspar-gateway/src/__tests__/unit/crossing_bytes_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/crossing_bytes_test.ts
@@ -33,24 +33,22 @@
   expect(crossingBytes(first as PieceTask, "a")).toEqual(0);
 });
 
-test("a piece apart from the others of its stage crosses once a reader", () => {
-  // Symptom: 0.44 of 0.63 GB between zones were results of 60 kB.
-  // Sequence: the pieces of a request's stage were made in two zones; each of
-  // ten pieces of the next stage read all of them.
-  // Cause: a result counted once, whatever the number of its readers.
+test("a result in another zone than its stage's others crosses once per reader", () => {
+  // Guards against counting a result once regardless of its readers: a stage's
+  // pieces are made in two zones, each of ten pieces of the next stage reads all
+  // of them, and results of 60 kB cause 0.44 of 0.63 GB of cross-zone traffic.
   const run = chain();
   const [first, second] = start(run);
-  run.begin((first as PieceTask).stage, "a");
+  run.recordSend((first as PieceTask).stage, "a");
   expect(crossingBytes(second as PieceTask, "a")).toEqual(0);
   expect(crossingBytes(second as PieceTask, "b")).toEqual(600_000);
 });
 
-test("large final results are best made where the prompt is kept", () => {
-  // Symptom: prompts of 13,300 tokens left their endpoint and were read again,
-  // and the kind that has them was late.
-  // Sequence: its results were made wherever an endpoint was free; they or the
-  // prompt had to move to the other's zone.
-  // Cause: where the prompt lies counted only once the results were made.
+test("large final results are best made where the prompt is cached", () => {
+  // Guards against considering the prompt's zone only after the results are
+  // made: they are made wherever an endpoint is free, so they or the prompt move
+  // to the other's zone. Prompts of 13,300 tokens leave their endpoint and are
+  // read again, and their requests are late.
   const run = new ChainRun({
     request: {
       attemptId: "a",
@@ -71,14 +69,14 @@
   const [first, second] = start(run);
   expect(crossingBytes(first as PieceTask, "a")).toEqual(0);
   expect(crossingBytes(first as PieceTask, "b")).toEqual(3_000_000);
-  run.begin((first as PieceTask).stage, "b");
+  run.recordSend((first as PieceTask).stage, "b");
   expect(crossingBytes(second as PieceTask, "b")).toEqual(0);
 });
 
-test("inputs that lie elsewhere cross", () => {
+test("inputs in other zones cross", () => {
   const run = chain();
   for (const [index, task] of start(run).entries()) {
-    run.put(task, {
+    run.recordResult(task, {
       handle: `h${index}`,
       makerId: "m",
       makerAddress: "m",
--- a/packages/kelpspar-gateway/src/__tests__/unit/foreign_room_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/foreign_room_test.ts
@@ -3,14 +3,12 @@
 import { BOOKING_KINDS, BOOKING_SERVICES } from "../support/booking_load.ts";
 import { playStageLoad } from "../support/play_stage_load.ts";
 
-test("a late word of an endpoint's room doesn't shrink it for good", async () => {
-  // Symptom: a stage's endpoints stood idle with all their room free, while a
-  // hundred pieces waited for room.
-  // Sequence: another daemon's results filled an endpoint for a moment; it was
-  // asked for its room and answered with that of 300 ms before, when this
-  // daemon's own results were there; the difference was taken for others'
-  // results and asked for again with the same outcome.
-  // Cause: an old figure was compared with a new one and kept.
+test("a stale room report doesn't reduce an endpoint's room permanently", async () => {
+  // Guards against keeping the difference between a stale room report and the
+  // current count: another daemon's results fill an endpoint for a moment, and
+  // the report shows its room of 300 ms before, when it held this daemon's own
+  // results. The difference counts as foreign, each new poll gives the same, and
+  // the endpoints stay idle with free room while a hundred pieces wait for it.
   const figures = await playStageLoad({
     seed: 1,
     milliseconds: 16_000,
--- a/packages/kelpspar-gateway/src/__tests__/unit/limited_chains_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/limited_chains_test.ts
@@ -7,11 +7,11 @@
 import { EndpointBook } from "../../endpoints/endpoint_book.ts";
 import { EndpointGate } from "../../endpoints/endpoint_gate.ts";
 import { EndpointLimits } from "../../endpoints/endpoint_limits.ts";
-import { mostPlaceWait } from "../../pieces/most_place_wait.ts";
+import { maxPlacementWait } from "../../pieces/max_placement_wait.ts";
 import { PieceCoordinator } from "../../pieces/piece_coordinator.ts";
 import { ServiceRetryBudget } from "../../retries/service_retry_budget.ts";
 import { configurationOf } from "../support/configuration_of.ts";
-import { mostInSpan } from "../support/play_limited_load.ts";
+import { maxInSpan } from "../support/play_limited_load.ts";
 
 const LIMIT = 2;
 const MODELS = 3;
@@ -19,8 +19,8 @@
 const OBJECTIVE_MILLISECONDS = 1_500;
 const PLAY_MILLISECONDS = 20_000;
 const ASK_EVERY_MILLISECONDS = 50;
-/** What the rule allows in any four seconds. */
-const MOST_IN_SPAN = 1.5 * 4 * LIMIT + 5;
+/** Most calls permitted in any four seconds. */
+const MAX_IN_SPAN = 1.5 * 4 * LIMIT + 5;
 
 interface Ended {
   readonly outcome: ChainOutcome;
@@ -33,7 +33,7 @@
   readonly placedAt: ReadonlyMap<string, readonly number[]>;
 }
 
-/** Chains of one piece and a model, before endpoints of which some name limits. */
+/** Runs chains of one piece and a model; the endpoints in `limited` have limits. */
 async function play(
   limited: readonly string[],
   pieces: number,
@@ -73,7 +73,7 @@
     }),
     client: {
       runPieces: ({ endpoint, pieces }: PieceCall) => {
-        note(callsAt, endpoint.id, timer.now());
+        record(callsAt, endpoint.id, timer.now());
         return new Promise((resolve) =>
           timer.registerTimeout(() =>
             resolve({
@@ -116,7 +116,7 @@
     }, new AbortController().signal).then((outcome) => {
       ended.push({ outcome, tookMilliseconds: timer.now() - startedAt });
       const place = outcome.type === "done" ? outcome.place : undefined;
-      if (place !== undefined) note(placedAt, place.endpointId, timer.now());
+      if (place !== undefined) record(placedAt, place.endpointId, timer.now());
       coordinator.release({
         attemptId,
         results: outcome.type === "done" ? outcome.results : [],
@@ -127,7 +127,7 @@
   return { ended, callsAt, placedAt };
 }
 
-function note(moments: Map<string, number[]>, id: string, at: number): void {
+function record(moments: Map<string, number[]>, id: string, at: number): void {
   moments.set(id, [...moments.get(id) ?? [], at]);
 }
 
@@ -151,51 +151,51 @@
 
 const MODEL_IDS = ["model-0", "model-1", "model-2"];
 
-// Guards against stages that are made for requests which no model takes.
+// Guards against running stages for requests that no model has capacity for.
 test("chains over the limits of all models are refused at once", async () => {
   const { ended, placedAt } = await play(MODEL_IDS, 1);
   for (const id of MODEL_IDS) {
-    expect(mostInSpan(placedAt.get(id) ?? [])).toBeLessThanOrEqual(
-      MOST_IN_SPAN,
+    expect(maxInSpan(placedAt.get(id) ?? [])).toBeLessThanOrEqual(
+      MAX_IN_SPAN,
     );
   }
   const refused = ended.filter(({ outcome }) => outcome.type === "refused");
   const late = refused.filter((one) => one.tookMilliseconds > 0);
-  // Some may be refused late where a limit falls short of what was expected.
+  // Some may be refused late if a limit is lower than expected.
   expect(late.length).toBeLessThan(ended.length / 50);
   const done = ended.filter(({ outcome }) =>
     outcome.type === "done" && outcome.place !== undefined
   );
-  // The coordinator gives out half of what all take.
-  const given = MODELS * LIMIT * PLAY_MILLISECONDS / 1_000 / 2;
-  expect(done.length).toBeGreaterThan(given * 0.8);
+  // The coordinator uses half of the endpoints' total limit.
+  const expectedCount = MODELS * LIMIT * PLAY_MILLISECONDS / 1_000 / 2;
+  expect(done.length).toBeGreaterThan(expectedCount * 0.8);
   expect(done.every((one) => one.tookMilliseconds < OBJECTIVE_MILLISECONDS))
     .toEqual(true);
 });
 
-// Guards against requests without pieces that wait until their daemon gives up.
-test("requests over the limits hear so before their daemon stops waiting", async () => {
+// Guards against requests without pieces that wait until their daemon times out.
+test("requests over the limits are refused before their daemon stops waiting", async () => {
   const { ended } = await play(MODEL_IDS, 0);
   const refused = ended.filter(({ outcome }) => outcome.type === "refused");
   expect(refused.length).toBeGreaterThan(ended.length / 2);
   expect(ended.every((one) => one.tookMilliseconds < 100)).toEqual(true);
 });
 
-// Guards against calls with pieces that don't count.
-test("a stage endpoint gets no more calls than it names", async () => {
+// Guards against piece calls that aren't counted towards the limit.
+test("a stage endpoint gets no more calls than its limit", async () => {
   const { ended, callsAt } = await play(["stage-0"], 1);
-  expect(mostInSpan(callsAt.get("stage-0") ?? [])).toBeLessThanOrEqual(
-    MOST_IN_SPAN,
+  expect(maxInSpan(callsAt.get("stage-0") ?? [])).toBeLessThanOrEqual(
+    MAX_IN_SPAN,
   );
   expect((callsAt.get("stage-0") ?? []).length).toBeGreaterThan(20);
   expect(ended.every(({ outcome }) => outcome.type === "done")).toEqual(true);
 });
 
 // Guards against a wait that only delays a refusal.
-test("a request waits for its place within its objective, or half its rest", () => {
-  const one = { hasPieces: true, slack: 300, remaining: 9_000 };
-  expect(mostPlaceWait(one)).toEqual(300);
-  expect(mostPlaceWait({ ...one, slack: -10 })).toEqual(4_500);
-  expect(mostPlaceWait({ ...one, slack: -10, remaining: -5 })).toEqual(0);
-  expect(mostPlaceWait({ ...one, hasPieces: false })).toEqual(40);
+test("a request waits for placement within its objective or half its remaining time", () => {
+  const chain = { hasPieces: true, slack: 300, remaining: 9_000 };
+  expect(maxPlacementWait(chain)).toEqual(300);
+  expect(maxPlacementWait({ ...chain, slack: -10 })).toEqual(4_500);
+  expect(maxPlacementWait({ ...chain, slack: -10, remaining: -5 })).toEqual(0);
+  expect(maxPlacementWait({ ...chain, hasPieces: false })).toEqual(40);
 });
--- a/packages/kelpspar-gateway/src/__tests__/unit/limited_load_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/limited_load_test.ts
@@ -1,13 +1,13 @@
 import type { LimitedLoad } from "../support/play_limited_load.ts";
 import { expect } from "earl";
 import { test } from "node:test";
-import { mostInSpan, playLimitedLoad } from "../support/play_limited_load.ts";
+import { maxInSpan, playLimitedLoad } from "../support/play_limited_load.ts";
 
 const SEEDS = [1, 2, 3, 4, 5];
 const PLAY_MILLISECONDS = 60_000;
 
-/** What an endpoint may get in any four seconds. */
-function mostAllowed(perSecond: number): number {
+/** Most requests that an endpoint may get in any four seconds. */
+function maxAllowed(perSecond: number): number {
   return 1.5 * 4 * perSecond + 5;
 }
 
@@ -33,36 +33,36 @@
   );
 }
 
-// Guards against daemons that add up to more than an endpoint takes.
+// Guards against daemons that together exceed an endpoint's limit.
 for (const daemons of [1, 2, 6, 8, 85, 340]) {
   for (const limit of [0.5, 1, 3, 12]) {
-    test(`${daemons} daemons keep together to a limit of ${limit} a second`, () => {
+    test(`${daemons} daemons together stay within a limit of ${limit} per second`, () => {
       const plays = playSeeds({
         daemons,
         limitAt: () => limit,
         milliseconds: 20_000,
       });
       for (const sent of plays.flatMap(({ sentAt }) => sentAt)) {
-        expect(mostInSpan(sent)).toBeLessThanOrEqual(mostAllowed(limit));
+        expect(maxInSpan(sent)).toBeLessThanOrEqual(maxAllowed(limit));
       }
     });
   }
 }
 
 // Guards against limits that leave endpoints idle while requests are refused.
-test("more than half of what endpoints take is used", () => {
+test("more than half of the endpoints' capacity is used", () => {
   for (const daemons of [1, 6, 85]) {
     for (const limit of [1, 12]) {
       const plays = playSeeds({ daemons, limitAt: () => limit });
       const sent = plays.flatMap(({ sentAt }) => sentAt.flat()).length;
-      const taken = plays.length * 3 * limit * PLAY_MILLISECONDS / 1_000;
-      expect(sent / taken > 0.5 && sent / taken <= 1).toEqual(true);
+      const capacity = plays.length * 3 * limit * PLAY_MILLISECONDS / 1_000;
+      expect(sent / capacity > 0.5 && sent / capacity <= 1).toEqual(true);
     }
   }
 });
 
-// Guards against shares that are kept by all and used in the same moment.
-test("daemons that all turn to an endpoint at once keep to its limit", () => {
+// Guards against all daemons using accumulated shares at the same moment.
+test("daemons that all start using an endpoint at once stay within its limit", () => {
   const plays = playSeeds({
     daemons: 85,
     endpoints: 1,
@@ -70,12 +70,12 @@
   });
   for (const { sentAt: [sent = []] } of plays) {
     expect(sent.length).toBeGreaterThan(0);
-    expect(mostInSpan(sent)).toBeLessThanOrEqual(mostAllowed(1));
+    expect(maxInSpan(sent)).toBeLessThanOrEqual(maxAllowed(1));
   }
 });
 
-// Guards against two daemons that both give out what an endpoint takes.
-test("two coordinators at once keep to the limits", () => {
+// Guards against two coordinators that each use an endpoint's whole limit.
+test("two simultaneous coordinators stay within the limits", () => {
   for (const limit of [0.5, 1, 12]) {
     const plays = playSeeds({
       daemons: 8,
@@ -83,31 +83,31 @@
       limitAt: () => limit,
     });
     for (const sent of plays.flatMap(({ sentAt }) => sentAt)) {
-      expect(mostInSpan(sent)).toBeLessThanOrEqual(mostAllowed(limit));
+      expect(maxInSpan(sent)).toBeLessThanOrEqual(maxAllowed(limit));
     }
   }
 });
 
-// Guards against daemons that begin anew with a share each time they start.
-test("daemons that start one after the other keep to the limits", () => {
+// Guards against daemons that get a fresh share each time they start.
+test("daemons that restart one after another stay within the limits", () => {
   for (const daemons of [6, 85]) {
     const plays = playSeeds({ daemons, restartEveryMilliseconds: 500 });
     for (const sent of plays.flatMap(({ sentAt }) => sentAt)) {
-      expect(mostInSpan(sent)).toBeLessThanOrEqual(mostAllowed(1));
+      expect(maxInSpan(sent)).toBeLessThanOrEqual(maxAllowed(1));
     }
   }
 });
 
-// Guards against a view of the fleet that lacks some of its daemons.
-test("daemons that know of two thirds of the others keep to the limits", () => {
-  const plays = playSeeds({ daemons: 85, believedDaemons: 57 });
+// Guards against a membership view that lacks some daemons.
+test("daemons that know two thirds of the others stay within the limits", () => {
+  const plays = playSeeds({ daemons: 85, visibleDaemons: 57 });
   for (const sent of plays.flatMap(({ sentAt }) => sentAt)) {
-    expect(mostInSpan(sent)).toBeLessThanOrEqual(mostAllowed(1));
+    expect(maxInSpan(sent)).toBeLessThanOrEqual(maxAllowed(1));
   }
 });
 
-// Guards against shares of a higher limit that outlive it.
-test("a limit that falls holds from then on", () => {
+// Guards against shares of a higher limit that remain after it falls.
+test("a lowered limit applies from then on", () => {
   const limitAt = (now: number): number =>
     now < 20_000 ? 12 : now < 40_000 ? 4 : 0.5;
   for (const daemons of [2, 6, 85]) {
@@ -115,20 +115,20 @@
     for (const sent of plays.flatMap(({ sentAt }) => sentAt)) {
       const until = (at: number): readonly number[] =>
         sent.filter((one) => one < at);
-      expect(mostInSpan(until(20_000))).toBeLessThanOrEqual(mostAllowed(12));
-      expect(mostInSpan(until(40_000), 20_000))
-        .toBeLessThanOrEqual(mostAllowed(4));
-      expect(mostInSpan(sent, 40_000)).toBeLessThanOrEqual(mostAllowed(0.5));
+      expect(maxInSpan(until(20_000))).toBeLessThanOrEqual(maxAllowed(12));
+      expect(maxInSpan(until(40_000), 20_000))
+        .toBeLessThanOrEqual(maxAllowed(4));
+      expect(maxInSpan(sent, 40_000)).toBeLessThanOrEqual(maxAllowed(0.5));
     }
   }
 });
 
-// Guards against an endpoint that is never asked again and so never freed.
-test("an endpoint that takes nothing is asked now and then all the same", () => {
+// Guards against an endpoint that gets no requests and so can't raise its limit.
+test("an endpoint with a limit of zero still gets occasional requests", () => {
   for (const { sentAt } of playSeeds({ limitAt: () => 0 })) {
     for (const sent of sentAt) {
       expect(sent.length).toBeGreaterThan(0);
-      expect(mostInSpan(sent)).toBeLessThanOrEqual(mostAllowed(0));
+      expect(maxInSpan(sent)).toBeLessThanOrEqual(maxAllowed(0));
     }
   }
 });
--- a/packages/kelpspar-gateway/src/__tests__/unit/long_flood_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/long_flood_test.ts
@@ -7,16 +7,16 @@
 
 const SEEDS = [1, 2, 3];
 const LENGTH_MILLISECONDS = 30_000;
-/** Least of a kind's credit that users ask for. */
-const LEAST_CREDIT = 0.21;
+/** Minimum credit share per kind that users require. */
+const MIN_CREDIT = 0.21;
 
-/** Kinds as one account's: its priority, then the routes' behind it. */
+/** Kinds of one account: the account's priority, then the routes'. */
 const BOOKING_OF_ONE_ACCOUNT = BOOKING_KINDS.map((kind) => ({
   ...kind,
   priority: 1 + kind.priority / 10,
 }));
 
-/** Plays a flood of one kind; gives the share of its worth that `of` earned. */
+/** Plays a flood of one kind; returns the on-time share of kind `of`. */
 async function creditOf(
   of: string,
   load: Pick<StageLoad, "services" | "kinds"> & { readonly flood: string },
@@ -27,7 +27,7 @@
       ...load,
       seed,
       milliseconds: LENGTH_MILLISECONDS,
-      clump: 3,
+      groupSize: 3,
       bursts: [{
         from: 1_000,
         until: LENGTH_MILLISECONDS,
@@ -38,25 +38,24 @@
     const { onTime, asked } = kinds[of] as KindFigures;
     credits.push(onTime / asked);
   }
-  return credits.reduce((sum, one) => sum + one, 0) / credits.length;
+  return credits.reduce((sum, credit) => sum + credit, 0) / credits.length;
 }
 
-test("a long flood of one kind leaves the others their least share", async () => {
-  // A kind of request earned less than the least that its users ask for while
-  // others of the same stages came four times as often. Replayed for 29 s, the
-  // kind that may wait longest was on time in 0.05 of its requests beside a
-  // flood of summaries and in 0.14 beside one of reviews: who goes first was
-  // decided by priority alone, which has no floor.
+test("a long flood of one kind leaves the others their minimum share", async () => {
+  // Guards against starvation by strict priority, which has no floor: while
+  // another kind with the same stages arrives four times as often for 29 s, the
+  // kind that may wait longest is on time in 0.05 of its requests beside a flood
+  // of summaries and in 0.14 beside one of reviews.
   const notes = await creditOf("notes", {
     services: SURVEY_SERVICES,
     kinds: SURVEY_KINDS,
     flood: "summary",
   });
-  expect(notes > LEAST_CREDIT).toEqual(true);
+  expect(notes > MIN_CREDIT).toEqual(true);
   const chat = await creditOf("chat", {
     services: BOOKING_SERVICES,
     kinds: BOOKING_OF_ONE_ACCOUNT,
     flood: "review",
   });
-  expect(chat > LEAST_CREDIT).toEqual(true);
+  expect(chat > MIN_CREDIT).toEqual(true);
 });
--- a/packages/kelpspar-gateway/src/__tests__/unit/mixed_load_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/mixed_load_test.ts
@@ -6,7 +6,7 @@
 
 const BURST = { from: 4_000, until: 9_500 };
 
-/** Shares on time by kind, over two seeds. */
+/** On-time shares by kind, averaged over two seeds. */
 async function play(load: Partial<StageLoad>): Promise<Record<string, number>> {
   const onTime: Record<string, number> = {};
   for (const seed of [1, 2]) {
@@ -15,7 +15,7 @@
       milliseconds: 13_000,
       services: MIXED_SERVICES,
       kinds: MIXED_KINDS,
-      clump: 3,
+      groupSize: 3,
       bursts: [],
       ...load,
     });
@@ -30,7 +30,7 @@
   return onTime / asked;
 }
 
-// Guards against a burst of one kind that takes the time of the urgent one.
+// Guards against a burst of one kind that delays the urgent one.
 test("a burst of the urgent kind beside slow endpoints is on time", async () => {
   const faults = [0, 1, 2].map((index) => ({
     endpointId: `retrieve-${index}`,
@@ -47,7 +47,7 @@
   expect((onTime["chat"] ?? 0) > 0.41).toEqual(true);
 });
 
-// Guards against large results that fill the room while endpoints are dead.
+// Guards against large results that fill the room while endpoints are silent.
 test("a burst of large results beside silent endpoints is on time", async () => {
   const faults = [0, 1, 2].map((index) => ({
     endpointId: `encode-${index}`,
--- a/packages/kelpspar-gateway/src/__tests__/unit/piece_coordinator_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/piece_coordinator_test.ts
@@ -20,10 +20,10 @@
 }
 
 /** Keeps calls open until the test answers them. */
-class HeldPieceClient implements PieceClient {
+class ManualPieceClient implements PieceClient {
   readonly open: OpenCall[] = [];
   readonly freed: string[] = [];
-  /** What `freeResults` waits for. */
+  /** Answer of `freeResults`. */
   freeing: Promise<boolean> = Promise.resolve(true);
 
   runPieces(call: PieceCall): Promise<PieceCallAnswer> {
@@ -76,16 +76,16 @@
 
 interface World {
   readonly timer: ManualTimer;
-  readonly client: HeldPieceClient;
+  readonly client: ManualPieceClient;
   readonly book: EndpointBook;
   readonly run: (attemptId: string, pieces: readonly number[]) => void;
-  /** How chains ended, by their attempt. */
+  /** Outcomes of chains by attempt. */
   readonly outcomes: ReadonlyMap<string, string>;
 }
 
 function createWorld(room = 10_000): World {
   const timer = new ManualTimer();
-  const client = new HeldPieceClient();
+  const client = new ManualPieceClient();
   const book = new EndpointBook();
   const configuration = new ConfigurationKeeper();
   const services = { encode: terms(1, room), rerank: terms(6, room) };
@@ -172,12 +172,11 @@
   return { timer, client, book, run, outcomes };
 }
 
-test("a piece is never sent with some of its inputs only", async () => {
-  // Symptom: a result made from half of a request's inputs.
-  // Sequence: both inputs were made and the piece waited for its endpoint,
-  // which worked for another request; the maker of one input crashed; the
-  // endpoint became free while that input was being made again.
-  // Cause: a piece in the queue was taken to have its inputs for ever.
+test("a piece is never sent with only some of its inputs", async () => {
+  // Guards against assuming that a queued piece keeps its inputs: while it waits
+  // for a busy endpoint, the maker of one input crashes, and the endpoint becomes
+  // free before that input is made again. The result would be made from half of
+  // the request's inputs.
   const { timer, client, book, run } = createWorld();
   run("other", [0, 1]);
   run("a", [2, 1]);
@@ -195,16 +194,16 @@
   expect(sent.length).toEqual(0);
   client.make("encode-0");
   await timer.advance(100);
-  const again = client.open.find(({ call }) => call.endpoint.id === "rerank-0");
-  expect(again?.call.pieces[0]?.inputs.length).toEqual(2);
+  const resent = client.open.find(({ call }) =>
+    call.endpoint.id === "rerank-0"
+  );
+  expect(resent?.call.pieces[0]?.inputs.length).toEqual(2);
 });
 
-test("an endpoint that is leaving ends its calls and its results are used", async () => {
-  // Symptom: chains took a call longer while endpoints left one by one, and
-  // stage work was thrown away.
-  // Sequence: an endpoint said it was leaving while it made a piece; the call
-  // was given up, its results were made again elsewhere.
-  // Cause: leaving was taken for the end of what it had.
+test("a leaving endpoint finishes its calls and its results are used", async () => {
+  // Guards against treating a leaving endpoint as gone: the call in flight is
+  // aborted and its results are made again elsewhere, so chains take one call
+  // longer and stage work is wasted.
   const { timer, client, book, run } = createWorld();
   run("a", [2, 1]);
   await timer.settle();
@@ -224,11 +223,10 @@
     .toEqual(["encode-0/a.0.0", "encode-1/a.0.1"]);
 });
 
-test("room counts as free once its maker has freed it, not when asked", async () => {
-  // Symptom: 551 pieces of a quiet day were turned away for want of room.
-  // Sequence: results were freed and the next call started at once; it came to
-  // the endpoint before the order to free did.
-  // Cause: the room was counted free when it was asked for.
+test("room counts as free once the maker has freed it, not when requested", async () => {
+  // Guards against counting room as free when the release is sent: the next call
+  // reaches the endpoint before the release does and is rejected for lack of
+  // room, as were 551 pieces of a quiet day.
   const { timer, client, run } = createWorld(100);
   let free = (_: boolean): void => {};
   client.freeing = new Promise((resolve) => {
@@ -252,7 +250,7 @@
 });
 
 // Guards against pieces that are sent to a zone under evacuation.
-test("pieces wait for no endpoint of an evacuated zone", async () => {
+test("pieces aren't sent to endpoints of an evacuated zone", async () => {
   const { timer, client, book, run } = createWorld();
   const known = book.find("encode-0")?.entry;
   if (known !== undefined) book.put({ ...known, zone: "b" }, 0);
@@ -263,8 +261,8 @@
   expect(new Set(sentTo)).toEqual(new Set(["encode-1"]));
 });
 
-// Guards against callers that wait for pieces which nobody may make.
-test("chains that wait for a service whose zones are all evacuated end", async () => {
+// Guards against callers that wait for pieces that no endpoint may make.
+test("chains fail when all zones of a service that they wait for are evacuated", async () => {
   const { timer, client, book, run, outcomes } = createWorld();
   run("served", [1, 0]);
   run("other", [1, 0]);
--- a/packages/kelpspar-gateway/src/__tests__/unit/prompt_home_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/prompt_home_test.ts
@@ -58,7 +58,7 @@
       ],
     };
     const placed = placement.place(attemptId, reader, []);
-    placement.ended(attemptId);
+    placement.recordEnd(attemptId);
     return placed.type === "placed" ? placed.place.endpointId : undefined;
   });
 }
@@ -90,7 +90,7 @@
       { id: "own", tokens: 500 },
     ],
   };
-  const zone = placement.zoneOfHolder(reader);
+  const zone = placement.zoneOfCachedPrompt(reader);
   const placed = placement.place("a1", reader, []);
   if (placed.type !== "placed") throw new Error("Not placed");
   const index = Number(placed.place.endpointId.slice(1));
--- a/packages/kelpspar-gateway/src/__tests__/unit/stage_load_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/stage_load_test.ts
@@ -21,7 +21,7 @@
 
 const BURST = { from: 5_000, until: 11_000 };
 
-test("on a calm day all is on time in calls that several requests share", async () => {
+test("under normal load all requests are on time and share calls", async () => {
   const figures = await play([]);
   expect(figures.worth > 0.99).toEqual(true);
   const { calls, pieces } = figures.stages;
@@ -34,7 +34,7 @@
   expect(figures.worth > 0.97).toEqual(true);
 });
 
-test("a burst with an endpoint silent costs the less urgent kind", async () => {
+test("a burst with a silent endpoint delays the less urgent kind", async () => {
   const figures = await play([{ ...BURST, factor: 2.1, kind: "review" }], [
     { endpointId: "retrieve-0", ...BURST, slowness: Number.POSITIVE_INFINITY },
   ]);
@@ -42,14 +42,14 @@
   expect((figures.kinds["chat"]?.worth ?? 0) > 0.5).toEqual(true);
 });
 
-test("an endpoint four times slower doesn't hold chains that others could make", async () => {
+test("an endpoint four times slower doesn't delay chains that others can make", async () => {
   const figures = await play([], [
     { endpointId: "retrieve-2", ...BURST, slowness: 4 },
   ]);
   expect(figures.worth > 0.95).toEqual(true);
 });
 
-test("a burst of twice what the stages can make leaves goodput, and no waste", async () => {
+test("a burst of twice the stages' capacity leaves goodput without rejected pieces", async () => {
   const figures = await play([{ ...BURST, factor: 3.5 }]);
   expect((figures.kinds["review"]?.worth ?? 0) > 0.45).toEqual(true);
   expect(figures.stages.turnedAway).toEqual(0);
--- a/packages/kelpspar-gateway/src/__tests__/unit/startable_pieces_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/startable_pieces_test.ts
@@ -31,13 +31,12 @@
   return tasks.map(({ chain, piece }) => `${chain.request.attemptId}.${piece}`);
 }
 
-test("a stage begins only with room for all its pieces beside begun ones", () => {
-  // Symptom: chains took as long as results are kept, four seconds.
-  // Sequence: three requests had some of their pieces made; together those
-  // filled the room; each waited for room for its last piece.
-  // Cause: pieces were started one by one, whatever the others still needed.
+test("a stage begins only with room for all its pieces besides begun stages", () => {
+  // Guards against a deadlock over room when pieces start one by one: the made
+  // pieces of three requests fill the room, and each waits for room for its last
+  // piece until the results expire after four seconds.
   const begun = pieces("a", 3);
-  begun[0]?.chain.begin(0, "a");
+  begun[0]?.chain.recordSend(0, "a");
   const rest = begun.slice(1);
   const other = pieces("b", 3);
   expect(names(startablePieces([...rest, ...other], 400)))
@@ -46,17 +45,17 @@
     .toEqual(["a.1", "a.2", "b.0", "b.1", "b.2"]);
 });
 
-test("a stage larger than all room starts when nothing else holds any", () => {
+test("a stage larger than the total room starts when no other holds any", () => {
   expect(names(startablePieces(pieces("a", 9), 400)).length).toEqual(9);
 });
 
-test("a call passes over what the room has no place for", () => {
+test("a call skips pieces whose results don't fit the room", () => {
   const queue = [...pieces("a", 1, 300), ...pieces("b", 3, 100)];
   const filled = fillCall(queue, { batch: 2, room: 250, isEmpty: false });
   expect(names(filled)).toEqual(["b.0", "b.1"]);
 });
 
-test("a result larger than the room goes alone to an empty endpoint", () => {
+test("a piece whose result exceeds the room is sent alone to an empty endpoint", () => {
   const queue = [...pieces("a", 2, 900), ...pieces("b", 1, 100)];
   const filled = fillCall(queue, { batch: 6, room: 500, isEmpty: true });
   expect(names(filled)).toEqual(["a.0"]);
--- a/packages/kelpspar-gateway/src/__tests__/unit/survey_load_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/survey_load_test.ts
@@ -7,7 +7,7 @@
 const SEEDS = [1, 2, 3, 4];
 const BURST = { from: 5_000, until: 9_000 };
 
-/** Means over some seeds: requests come in clumps of three, by chance. */
+/** Means over all seeds; requests arrive in random groups of three. */
 interface MeanFigures {
   readonly worth: number;
   readonly onTime: Readonly<Record<string, number>>;
@@ -22,14 +22,14 @@
         milliseconds: 16_000,
         services: SURVEY_SERVICES,
         kinds: SURVEY_KINDS,
-        clump: 3,
+        groupSize: 3,
         bursts: [],
         ...load,
       }),
     );
   }
-  const mean = (of: (one: LoadFigures) => number): number =>
-    played.reduce((sum, one) => sum + of(one), 0) / played.length;
+  const mean = (of: (figures: LoadFigures) => number): number =>
+    played.reduce((sum, figures) => sum + of(figures), 0) / played.length;
   const onTime = SURVEY_KINDS.map(({ name }): [string, number] => [
     name,
     mean(({ kinds }) => {
@@ -43,23 +43,22 @@
   };
 }
 
-test("a calm load of clumps is on time", async () => {
+test("a normal load of grouped requests is on time", async () => {
   expect((await play({})).worth > 0.98).toEqual(true);
 });
 
-test("in a burst of 2.5 of all kinds the urgent one is on time", async () => {
-  // Symptom: a sixth of the urgent requests were refused while those that may
-  // wait twice as long were on time.
-  // Sequence: all kinds came 2.5 times as often for four seconds; the urgent
-  // ones were judged by a queue that was full of the others.
-  // Cause: all that was admitted counted as if it went before them.
+test("in a burst of 2.5 times all kinds the urgent one is on time", async () => {
+  // Guards against counting all admitted work as if it went before urgent
+  // requests: when all kinds arrive 2.5 times as often for four seconds, a sixth
+  // of the urgent requests are refused because of a queue full of other kinds,
+  // while those that may wait twice as long are on time.
   const { worth, onTime } = await play({ bursts: [{ ...BURST, factor: 2.5 }] });
   expect((onTime["assess"] ?? 0) > 0.9).toEqual(true);
   expect((onTime["summary"] ?? 0) > 0.9).toEqual(true);
   expect(worth > 0.9).toEqual(true);
 });
 
-test("a silent endpoint in a burst costs the kind that may wait longest", async () => {
+test("a silent endpoint in a burst delays the kind that may wait longest", async () => {
   const { onTime } = await play({
     bursts: [{ ...BURST, factor: 1.7 }],
     faults: [{
--- a/packages/kelpspar-gateway/src/mod.ts
+++ b/packages/kelpspar-gateway/src/mod.ts
@@ -30,7 +30,7 @@
   PieceCallAnswer,
   PieceClient,
   PieceFailure,
-  PieceOrder,
+  PieceRequest,
   ResultMaker,
   RoomReport,
 } from "./pieces/piece_call.ts";
--- a/packages/kelpspar-gateway/src/pieces/backlog.ts
+++ b/packages/kelpspar-gateway/src/pieces/backlog.ts
@@ -1,33 +1,37 @@
 import type { ChainRun } from "./chain_run.ts";
-import type { ServiceDesk } from "./service_desk.ts";
+import type { StageScheduler } from "./stage_scheduler.ts";
 
 /**
- * What a piece of less urgent work counts for in the wait of more urgent work:
- * it goes behind unless it was begun or is pressed. Counted whole, urgent
- * requests are refused in a burst while those that may wait are on time.
+ * Weight of a less urgent piece in the backlog of more urgent work: it is
+ * scheduled later unless its stage has begun or its slack is much smaller.
+ * If it counted in full, urgent requests would be refused in a burst while
+ * those that may wait are on time.
  */
-const BEHIND_SHARE = 0.3;
+const LESS_URGENT_SHARE = 0.3;
 
-/** What a backlog is worked out from. */
+/** Inputs of `backlogOf`. */
 export interface BacklogOptions {
   /** Undefined while the service has had no pieces. */
-  readonly desk: Pick<ServiceDesk, "rate" | "slotWait"> | undefined;
+  readonly scheduler: Pick<StageScheduler, "rate" | "slotWait"> | undefined;
   readonly chains: Iterable<ChainRun>;
-  /** Of the request for which it is asked. */
+  /** Priority of the request to admit. */
   readonly priority: number;
 }
 
-/** Pieces a millisecond below which an endpoint counts as one that makes none. */
-const LEAST_RATE = 1e-6;
+/** Lower bound of the rate, so that a stalled service has a finite backlog. */
+const MIN_PIECES_PER_MILLISECOND = 1e-6;
 
 /** Time until all admitted pieces of a service are made, milliseconds. */
 export function backlogOf(service: string, options: BacklogOptions): number {
-  const { desk, chains, priority } = options;
-  if (desk === undefined) return 0;
+  const { scheduler, chains, priority } = options;
+  if (scheduler === undefined) return 0;
   let pieces = 0;
   for (const chain of chains) {
-    const share = chain.request.priority <= priority ? 1 : BEHIND_SHARE;
-    pieces += chain.missingOf(service) * share;
+    const share = chain.request.priority <= priority ? 1 : LESS_URGENT_SHARE;
+    pieces += chain.missingPieceCount(service) * share;
   }
-  return Math.max(desk.slotWait(), pieces / Math.max(desk.rate(), LEAST_RATE));
+  return Math.max(
+    scheduler.slotWait(),
+    pieces / Math.max(scheduler.rate(), MIN_PIECES_PER_MILLISECOND),
+  );
 }
--- a/packages/kelpspar-gateway/src/pieces/endpoint_lane.ts
+++ b/packages/kelpspar-gateway/src/pieces/call_target.ts
@@ -12,34 +12,34 @@
   readonly expiresAt: number;
 }
 
-/** One endpoint of a stage service: its calls and the room for its results. */
-export class EndpointLane {
+/** An endpoint of a stage service: its in-flight calls and room for results. */
+export class CallTarget {
   readonly endpoint: EndpointState;
   readonly calls = new Set<RunningCall>();
-  /** Until then it gets no calls: it was full; monotonic milliseconds. */
+  /** No calls until then because it was full; monotonic milliseconds. */
   pausedUntil = 0;
-  /** Room taken by results that this daemon knows nothing of, bytes. */
+  /** Room taken by results of other daemons, bytes. */
   foreignBytes = 0;
-  /** The endpoint is asked how much of its room is left. */
-  isRoomAsked = false;
-  /** Set once the endpoint is gone; what it still answers is lost with it. */
+  /** True while its room is being queried or the last report is valid. */
+  isRoomPolled = false;
+  /** Set once the endpoint is gone; results that it still returns are lost. */
   isGone = false;
   readonly #gate: EndpointGate;
-  readonly #kept = new Map<string, KeptResult>();
+  readonly #results = new Map<string, KeptResult>();
 
   constructor(endpoint: EndpointState, gate: EndpointGate) {
     this.endpoint = endpoint;
     this.#gate = gate;
   }
 
-  /** True when one more call may start. */
+  /** True when another call may start. */
   isFree(terms: PieceTerms, now: number): boolean {
     return this.calls.size < terms.slots && this.pausedUntil <= now &&
       this.endpoint.pauseLeft(now) === 0 &&
       this.#gate.isOpen(this.endpoint, now);
   }
 
-  /** Time until one more call may start, milliseconds. */
+  /** Time until another call may start, milliseconds. */
   waitFor(
     terms: PieceTerms,
     options: { readonly slowness: number; readonly now: number },
@@ -50,12 +50,12 @@
     );
     if (this.calls.size < terms.slots) return pause;
     const due = [...this.calls].map((call) =>
-      call.startedAt + call.soundTime * Math.max(1, options.slowness)
+      call.startedAt + call.expectedCallTime * Math.max(1, options.slowness)
     );
     return Math.max(pause, Math.min(...due) - options.now);
   }
 
-  /** Pieces a millisecond that it makes in full calls. */
+  /** Pieces per millisecond that it makes in full calls. */
   rate(terms: PieceTerms, now: number): number {
     const slowness = Math.max(1, this.endpoint.slowness(now));
     const rate = piecesPerMillisecond(terms, [slowness]);
@@ -65,41 +65,44 @@
     return Math.min(rate, limit);
   }
 
-  /** Notes that a call starts. */
-  start(call: RunningCall, now: number): void {
+  /** Records the start of a call. */
+  startCall(call: RunningCall, now: number): void {
     this.calls.add(call);
     this.endpoint.inFlight++;
     this.#gate.chosen(this.endpoint, now);
   }
 
-  /** Bytes free for results, those of running calls taken off. */
+  /** Bytes free for results, less those reserved for in-flight calls. */
   room(terms: PieceTerms, now: number): number {
     let used = 0;
-    for (const [handle, { bytes, expiresAt }] of this.#kept) {
-      if (expiresAt <= now) this.#kept.delete(handle);
+    for (const [handle, { bytes, expiresAt }] of this.#results) {
+      if (expiresAt <= now) this.#results.delete(handle);
       else used += bytes;
     }
     for (const call of this.calls) used += call.resultBytes;
     return terms.resultBytes - used - this.foreignBytes;
   }
 
-  /** Notes that the endpoint had no place for a result of `bytes`. */
-  hadNoRoom(bytes: number, options: { terms: PieceTerms; now: number }): void {
+  /** Records that the endpoint had no room for a result of `bytes`. */
+  recordNoRoom(
+    bytes: number,
+    options: { terms: PieceTerms; now: number },
+  ): void {
     const excess = this.room(options.terms, options.now) - bytes + 1;
     if (excess > 0) this.foreignBytes += excess;
   }
 
-  /** A result that this endpoint made. */
+  /** Describes a result that this endpoint made. */
   resultOf(handle: string): PieceResult {
     const { id, address, zone } = this.endpoint.entry;
     return { handle, makerId: id, makerAddress: address, makerZone: zone };
   }
 
-  keep(handle: string, result: KeptResult): void {
-    this.#kept.set(handle, result);
+  addResult(handle: string, result: KeptResult): void {
+    this.#results.set(handle, result);
   }
 
-  free(handle: string): void {
-    this.#kept.delete(handle);
+  removeResult(handle: string): void {
+    this.#results.delete(handle);
   }
 }
--- /dev/null
+++ b/packages/kelpspar-gateway/src/pieces/call_targets.ts
@@ -0,0 +1,83 @@
+import type { PieceTerms } from "../configuration/service_definition.ts";
+import type { EndpointBook } from "../endpoints/endpoint_book.ts";
+import type { EndpointGate } from "../endpoints/endpoint_gate.ts";
+import type { EndpointState } from "../endpoints/endpoint_state.ts";
+import type { PieceResult } from "./chain_outcome.ts";
+import { preferSound } from "../endpoints/prefer_sound.ts";
+import { CallTarget } from "./call_target.ts";
+
+/** Dependencies of `CallTargets`. */
+export interface CallTargetsOptions {
+  readonly book: EndpointBook;
+  readonly gate: EndpointGate;
+  readonly service: string;
+}
+
+/** The endpoints of one stage service, as targets of its scheduler's calls. */
+export class CallTargets {
+  readonly #book: EndpointBook;
+  readonly #gate: EndpointGate;
+  readonly #service: string;
+  readonly #targets = new Map<string, CallTarget>();
+
+  constructor(options: CallTargetsOptions) {
+    this.#book = options.book;
+    this.#gate = options.gate;
+    this.#service = options.service;
+  }
+
+  /**
+   * Endpoints that get work: the healthy ones, otherwise all that aren't paused.
+   * Returns paused ones only if all are, so that callers can wait for them.
+   */
+  usable(now: number): readonly CallTarget[] {
+    const all = this.#book.ofService(this.#service);
+    const best = preferSound(all, now);
+    return (best.length > 0 ? best : all).map((endpoint) =>
+      this.#targetOf(endpoint)
+    );
+  }
+
+  #targetOf(endpoint: EndpointState): CallTarget {
+    const known = this.#targets.get(endpoint.entry.id);
+    if (known !== undefined) return known;
+    const target = new CallTarget(endpoint, this.#gate);
+    this.#targets.set(endpoint.entry.id, target);
+    return target;
+  }
+
+  /** Time until a call could start with an empty queue, milliseconds. */
+  slotWait(terms: PieceTerms, now: number): number {
+    const waits = this.usable(now).map((target) =>
+      target.waitFor(terms, { slowness: 1, now })
+    );
+    return waits.length === 0 ? 0 : Math.min(...waits);
+  }
+
+  /** Aborts calls whose pieces are all of closed chains. */
+  abortUnneeded(): void {
+    for (const target of this.#targets.values()) {
+      for (const call of target.calls) {
+        if (call.tasks.every((task) => !task.chain.isOpen)) call.abort.abort();
+      }
+    }
+  }
+
+  /** Removes an endpoint that finishes its calls. */
+  remove(id: string): void {
+    this.#targets.delete(id);
+  }
+
+  /** Removes an endpoint that is gone and aborts its calls. */
+  removeAndAbort(id: string): void {
+    const target = this.#targets.get(id);
+    if (target === undefined) return;
+    this.#targets.delete(id);
+    target.isGone = true;
+    for (const call of target.calls) call.abort.abort();
+  }
+
+  resultFreed(result: PieceResult): void {
+    this.#targets.get(result.makerId)?.removeResult(result.handle);
+  }
+}
--- a/packages/kelpspar-gateway/src/pieces/chain_run.ts
+++ b/packages/kelpspar-gateway/src/pieces/chain_run.ts
@@ -4,38 +4,38 @@
 import type { PieceTask } from "./piece_task.ts";
 
 /**
- * Results from this size on are made as late as possible: a few of them fill
- * an endpoint's room, bytes.
+ * Results of at least this size are made as late as possible: a few of them
+ * fill an endpoint's room.
  */
 const LARGE_RESULT_BYTES = 1_000_000;
 
-/** How a chain is started. */
+/** Options of `ChainRun`. */
 export interface ChainRunOptions {
   readonly request: ChainRequest;
   readonly now: number;
-  /** Zone of the endpoint that keeps most of the request's prompt. */
+  /** Zone of the endpoint that has cached most of the request's prompt. */
   readonly readerZone?: string | undefined;
   readonly settle: (outcome: ChainOutcome) => void;
 }
 
-/** One request's stages on their way: which pieces are made and where. */
+/** Progress of one request's stages: which pieces are made and where. */
 export class ChainRun {
   readonly request: ChainRequest;
   readonly deadlineAt: number;
   readonly objectiveAt: number;
   /** Zone in which its final results will most likely be read. */
   readonly readerZone: string | undefined;
-  /** False once it has its outcome; its pieces are then of no use. */
+  /** False once the chain is settled; its pieces are then no longer needed. */
   isOpen = true;
-  /** How often stages were started again because results were lost. */
+  /** Number of times that stages were restarted because results were lost. */
   restarts = 0;
   readonly #settle: (outcome: ChainOutcome) => void;
   readonly #results: (PieceResult | undefined)[][];
   readonly #started = new Set<number>();
   readonly #freed = new Set<number>();
   readonly #begun = new Set<number>();
-  /** Pieces that were sent, by stage and zone. */
-  readonly #zones = new Map<number, Map<string, number>>();
+  /** Number of pieces sent, by stage and zone. */
+  readonly #sentByZone = new Map<number, Map<string, number>>();
 
   constructor(options: ChainRunOptions) {
     const { request, now } = options;
@@ -53,31 +53,35 @@
     return this.request.stages[number] as ChainStage;
   }
 
-  /** Stages with pieces that `number` reads. */
+  /** Stages with pieces whose results stage `number` reads. */
   inputsOf(number: number): readonly number[] {
-    return this.stage(number).after.filter((one) => this.stage(one).pieces > 0);
+    return this.stage(number).after.filter((input) =>
+      this.stage(input).pieces > 0
+    );
   }
 
-  /** True when every result that stage `number` reads is there. */
+  /** True when every result that stage `number` reads has been made. */
   hasInputs(number: number): boolean {
-    return this.inputsOf(number).every((one) => this.isStageDone(one));
+    return this.inputsOf(number).every((input) => this.isStageDone(input));
   }
 
   /** Results that pieces of stage `number` read. */
   inputResults(number: number): readonly PieceResult[] {
-    return this.inputsOf(number).flatMap((one) => this.#made(one));
+    return this.inputsOf(number).flatMap((input) =>
+      this.#completedResults(input)
+    );
   }
 
-  isMade(stage: number, piece: number): boolean {
+  isPieceDone(stage: number, piece: number): boolean {
     return this.#results[stage]?.[piece] !== undefined;
   }
 
   isStageDone(stage: number): boolean {
-    return (this.#results[stage] ?? []).every((one) => one !== undefined);
+    return (this.#results[stage] ?? []).every((result) => result !== undefined);
   }
 
-  /** Pieces of `service` that are still to be made. */
-  missingOf(service: string): number {
+  /** Number of pieces of `service` that are still to be made. */
+  missingPieceCount(service: string): number {
     let missing = 0;
     for (const [number, stage] of this.request.stages.entries()) {
       if (stage.service !== service) continue;
@@ -88,35 +92,35 @@
     return missing;
   }
 
-  /** Puts a result down; false when the piece was made already. */
-  put(task: PieceTask, result: PieceResult): boolean {
+  /** Records a result; false if the piece already has one. */
+  recordResult(task: PieceTask, result: PieceResult): boolean {
     const stage = this.#results[task.stage];
     if (stage === undefined || stage[task.piece] !== undefined) return false;
     stage[task.piece] = result;
     return true;
   }
 
-  /** Tasks of stages that can start now and weren't started yet. */
+  /** Starts the stages that can start now; returns their tasks. */
   startReady(): readonly PieceTask[] {
     return this.request.stages.flatMap((stage, number) => {
       const isReady = stage.pieces > 0 && !this.#started.has(number) &&
         this.hasInputs(number) && this.#isDue(number);
       if (!isReady) return [];
       this.#started.add(number);
-      return this.#missing(number);
+      return this.#missingTasks(number);
     });
   }
 
-  /** Forgets results whose maker is gone; gives the tasks to start again. */
-  forgetMaker(makerId: string): readonly PieceTask[] {
+  /** Drops results whose maker is gone; returns the tasks to restart. */
+  invalidateMaker(makerId: string): readonly PieceTask[] {
     const lost = this.#stagesWith((result) => result.makerId === makerId);
-    return this.#startAgain(lost, (result) => result.makerId === makerId);
+    return this.#restartStages(lost, (result) => result.makerId === makerId);
   }
 
-  /** Forgets all results that stage `number` reads: one of them is gone. */
-  forgetInputs(number: number): readonly PieceTask[] {
+  /** Drops all results that stage `number` reads, as one of them is gone. */
+  invalidateInputs(number: number): readonly PieceTask[] {
     this.#started.delete(number);
-    return this.#startAgain(this.inputsOf(number), () => true);
+    return this.#restartStages(this.inputsOf(number), () => true);
   }
 
   /** True once a piece of a stage was sent to an endpoint. */
@@ -124,34 +128,34 @@
     return this.#begun.has(number);
   }
 
-  /** Says that a piece of a stage was sent to an endpoint in `zone`. */
-  begin(number: number, zone: string): void {
+  /** Records that a piece of a stage was sent to an endpoint in `zone`. */
+  recordSend(number: number, zone: string): void {
     this.#begun.add(number);
-    const pieces = this.#zones.get(number) ?? new Map<string, number>();
-    this.#zones.set(number, pieces.set(zone, (pieces.get(zone) ?? 0) + 1));
+    const pieces = this.#sentByZone.get(number) ?? new Map<string, number>();
+    this.#sentByZone.set(number, pieces.set(zone, (pieces.get(zone) ?? 0) + 1));
   }
 
-  /** Zone in which most pieces of a stage are made; undefined while none is. */
+  /** Zone to which most pieces of a stage were sent; undefined if none was. */
   zoneOf(number: number): string | undefined {
     let most: string | undefined;
     let count = 0;
-    for (const [zone, pieces] of this.#zones.get(number) ?? []) {
+    for (const [zone, pieces] of this.#sentByZone.get(number) ?? []) {
       if (pieces > count) [most, count] = [zone, pieces];
     }
     return most;
   }
 
-  /** How many pieces read each result of a stage; 1 when the request does. */
-  readsOf(number: number): number {
+  /** Number of pieces that read each result of a stage; 1 for the request. */
+  readCountOf(number: number): number {
     const readers = this.#readersOf(number);
     return readers.length === 0
       ? 1
-      : readers.reduce((sum, one) => sum + this.stage(one).pieces, 0);
+      : readers.reduce((sum, reader) => sum + this.stage(reader).pieces, 0);
   }
 
-  /** Results made so far of a stage. */
+  /** Results of a stage made so far. */
   resultsOf(number: number): readonly PieceResult[] {
-    return this.#made(number);
+    return this.#completedResults(number);
   }
 
   /** True when the request itself reads the results of a stage. */
@@ -159,46 +163,51 @@
     return this.#readersOf(number).length === 0;
   }
 
-  /** Results that no stage still to be done reads, each only once. */
-  takeUnneeded(): readonly PieceResult[] {
+  /** Results that no unfinished stage reads; returns each result only once. */
+  releaseUnneeded(): readonly PieceResult[] {
     return this.request.stages.flatMap((_, number) => {
       const readers = this.#readersOf(number);
       const isRead = readers.length > 0 &&
-        readers.every((one) => this.isStageDone(one));
+        readers.every((reader) => this.isStageDone(reader));
       if (!isRead || this.#freed.has(number)) return [];
       this.#freed.add(number);
-      return this.#made(number);
+      return this.#completedResults(number);
     });
   }
 
-  /** Every result made so far that wasn't taken as unneeded. */
-  takeAll(): readonly PieceResult[] {
+  /** Every result made so far that wasn't released as unneeded. */
+  releaseAll(): readonly PieceResult[] {
     return this.request.stages.flatMap((_, number) => {
       if (this.#freed.has(number)) return [];
       this.#freed.add(number);
-      return this.#made(number);
+      return this.#completedResults(number);
     });
   }
 
-  /** True once every stage that nothing else reads is done. */
+  /** True once every stage that the request itself reads is done. */
   isDone(): boolean {
-    return this.#leaves().every((one) => this.isStageDone(one));
+    return this.#finalStages().every((stage) => this.isStageDone(stage));
   }
 
   /** Results that the request itself reads. */
   finalResults(): readonly PieceResult[] {
-    return this.#leaves().flatMap((one) => this.#made(one));
+    return this.#finalStages().flatMap((stage) =>
+      this.#completedResults(stage)
+    );
   }
 
-  /** The same with their sizes. */
+  /** Results that the request itself reads, with their sizes. */
   finalInputs(): readonly ReaderInput[] {
-    return this.#leaves().flatMap((one) => {
-      const bytes = this.stage(one).resultBytes;
-      return this.#made(one).map((result) => ({ result, bytes }));
+    return this.#finalStages().flatMap((number) => {
+      const bytes = this.stage(number).resultBytes;
+      return this.#completedResults(number).map((result) => ({
+        result,
+        bytes,
+      }));
     });
   }
 
-  /** Gives the outcome; later ones are dropped. */
+  /** Settles the chain; later outcomes are ignored. */
   settle(outcome: ChainOutcome): void {
     if (!this.isOpen) return;
     this.isOpen = false;
@@ -206,30 +215,32 @@
   }
 
   /**
-   * Whether a stage need start by now. A large final result that is made early
-   * only takes room until the longest path is done, and may expire by then;
-   * it is made beside the last stages of that path.
+   * Whether a stage should start now. A large final result made early only takes
+   * room until the longest path is done, and may expire by then; it is made at
+   * the same time as the last stages of that path.
    */
   #isDue(number: number): boolean {
     const isLarge = this.stage(number).resultBytes >= LARGE_RESULT_BYTES;
     if (!isLarge || !this.isFinal(number)) return true;
     const longest = Math.max(
       ...this.request.stages.map((_, other) =>
-        other === number || this.isStageDone(other) ? 0 : this.#height(other)
+        other === number || this.isStageDone(other)
+          ? 0
+          : this.#pathLength(other)
       ),
     );
-    return longest <= this.#height(number);
+    return longest <= this.#pathLength(number);
   }
 
-  /** Stages on the longest path from a stage to the request, itself too. */
-  #height(number: number): number {
+  /** Number of stages on the longest path from a stage, included, to the end. */
+  #pathLength(number: number): number {
     return 1 + Math.max(
       0,
-      ...this.#readersOf(number).map((reader) => this.#height(reader)),
+      ...this.#readersOf(number).map((reader) => this.#pathLength(reader)),
     );
   }
 
-  #leaves(): readonly number[] {
+  #finalStages(): readonly number[] {
     return this.request.stages.map((_, number) => number).filter((number) =>
       this.stage(number).pieces > 0 && this.#readersOf(number).length === 0
     );
@@ -241,11 +252,13 @@
     );
   }
 
-  #made(stage: number): readonly PieceResult[] {
-    return (this.#results[stage] ?? []).filter((one) => one !== undefined);
+  #completedResults(stage: number): readonly PieceResult[] {
+    return (this.#results[stage] ?? []).filter((result) =>
+      result !== undefined
+    );
   }
 
-  #missing(stage: number): readonly PieceTask[] {
+  #missingTasks(stage: number): readonly PieceTask[] {
     return (this.#results[stage] ?? []).flatMap((result, piece) =>
       result === undefined
         ? [{
@@ -260,28 +273,28 @@
     );
   }
 
-  /** Stages not freed yet that hold a result for which `isLost` holds. */
+  /** Stages that were not freed and have a result matching `isLost`. */
   #stagesWith(isLost: (result: PieceResult) => boolean): readonly number[] {
     return this.request.stages.map((_, number) => number).filter((number) =>
-      !this.#freed.has(number) && this.#made(number).some(isLost)
+      !this.#freed.has(number) && this.#completedResults(number).some(isLost)
     );
   }
 
-  #startAgain(
+  #restartStages(
     stages: readonly number[],
     isLost: (result: PieceResult) => boolean,
   ): readonly PieceTask[] {
     if (stages.length === 0) return [];
     this.restarts++;
-    for (const stage of stages) this.#forget(stage, isLost);
+    for (const stage of stages) this.#invalidate(stage, isLost);
     return this.startReady();
   }
 
   /**
-   * What a forgotten result was made from may be freed already; then that is
-   * forgotten too, or the piece would ask for inputs that are gone, for ever.
+   * The inputs of a dropped result may already be freed; then they are dropped
+   * too, otherwise the piece would request missing inputs forever.
    */
-  #forget(stage: number, isLost: (result: PieceResult) => boolean): void {
+  #invalidate(stage: number, isLost: (result: PieceResult) => boolean): void {
     const results = this.#results[stage] ?? [];
     for (const [piece, result] of results.entries()) {
       if (result !== undefined && isLost(result)) results[piece] = undefined;
@@ -292,7 +305,7 @@
       if (!this.isStageDone(reader)) this.#started.delete(reader);
     }
     for (const input of this.inputsOf(stage)) {
-      if (this.#freed.delete(input)) this.#forget(input, () => true);
+      if (this.#freed.delete(input)) this.#invalidate(input, () => true);
     }
   }
 }
--- a/packages/kelpspar-gateway/src/pieces/create_running_call.ts
+++ b/packages/kelpspar-gateway/src/pieces/create_running_call.ts
@@ -3,7 +3,7 @@
 import type { RunningCall } from "./running_call.ts";
 import { callTime } from "./service_capacity.ts";
 
-/** A call that starts now with `tasks`. */
+/** Creates a call that starts now with `tasks`. */
 export function createRunningCall(
   tasks: readonly PieceTask[],
   options: { readonly terms: PieceTerms; readonly now: number },
@@ -15,9 +15,9 @@
   return {
     tasks,
     startedAt: options.now,
-    soundTime: callTime(options.terms, tasks.length),
+    expectedCallTime: callTime(options.terms, tasks.length),
     resultBytes,
     abort: new AbortController(),
-    isDoubled: false,
+    isHedged: false,
   };
 }
--- a/packages/kelpspar-gateway/src/pieces/crossing_bytes.ts
+++ b/packages/kelpspar-gateway/src/pieces/crossing_bytes.ts
@@ -2,10 +2,9 @@
 
 /**
  * Bytes that cross availability zones when a piece is made in `zone`: its
- * inputs that lie elsewhere, and its result if the others of its stage are made
- * elsewhere, since whoever reads them reads it too. Each piece of the next
- * stage reads all of them, so that sixteen small results cross as many times
- * as there are readers.
+ * inputs from other zones, and its result if the other results of its stage are
+ * in another zone, because the same readers read them all. Each piece of the
+ * next stage reads all results, so sixteen small results cross once per reader.
  */
 export function crossingBytes(task: PieceTask, zone: string): number {
   const { chain, stage } = task;
@@ -16,9 +15,9 @@
       if (result.makerZone !== zone) bytes += resultBytes;
     }
   }
-  const others = chain.zoneOf(stage) ??
+  const siblingZone = chain.zoneOf(stage) ??
     (chain.isFinal(stage) ? chain.readerZone : undefined);
-  const isApart = others !== undefined && others !== zone;
-  const own = chain.stage(stage).resultBytes * chain.readsOf(stage);
+  const isApart = siblingZone !== undefined && siblingZone !== zone;
+  const own = chain.stage(stage).resultBytes * chain.readCountOf(stage);
   return isApart ? bytes + own : bytes;
 }
--- a/packages/kelpspar-gateway/src/pieces/fill_call.ts
+++ b/packages/kelpspar-gateway/src/pieces/fill_call.ts
@@ -1,34 +1,34 @@
 import type { PieceTask } from "./piece_task.ts";
 
-/** What a call may carry. */
+/** Limits of one call. */
 export interface FillCallOptions {
-  /** Pieces at the most. */
+  /** Maximum number of pieces. */
   readonly batch: number;
   /** Room for results, bytes. */
   readonly room: number;
-  /** Whether the endpoint holds no result at all. */
+  /** Whether the endpoint holds no results. */
   readonly isEmpty: boolean;
 }
 
 /**
- * Takes the pieces of a call from a queue that stands in order of rank. A
- * piece that the room has no place for is passed over: smaller results behind
- * it still fit. A result larger than the whole room goes alone to an empty
- * endpoint, since nothing else could ever make it.
+ * Selects the pieces of a call from a queue in order of rank. Skips a piece
+ * whose result doesn't fit, as smaller results behind it may. A result larger
+ * than the whole room is sent alone to an empty endpoint, because no endpoint
+ * could make it otherwise.
  */
 export function fillCall(
   queue: readonly PieceTask[],
   options: FillCallOptions,
 ): readonly PieceTask[] {
-  const taken: PieceTask[] = [];
+  const selected: PieceTask[] = [];
   let room = options.room;
   for (const task of queue) {
-    if (taken.length >= options.batch) break;
+    if (selected.length >= options.batch) break;
     const bytes = task.chain.stage(task.stage).resultBytes;
-    const isAlone = options.isEmpty && taken.length === 0;
+    const isAlone = options.isEmpty && selected.length === 0;
     if (bytes > room && !isAlone) continue;
-    taken.push(task);
+    selected.push(task);
     room -= bytes;
   }
-  return taken;
+  return selected;
 }
--- a/packages/kelpspar-gateway/src/pieces/learn_room.ts
+++ b/packages/kelpspar-gateway/src/pieces/learn_room.ts
@@ -1,53 +1,53 @@
 import type { TimerService } from "kelpspar-shared";
 import type { PieceTerms } from "../configuration/service_definition.ts";
-import type { EndpointLane } from "./endpoint_lane.ts";
+import type { CallTarget } from "./call_target.ts";
 import type { PieceClient } from "./piece_call.ts";
 
-/** How long what an endpoint says of others' results counts, milliseconds. */
-const FOREIGN_ROOM_MILLISECONDS = 250;
+/** How long an endpoint's room report is valid. */
+const ROOM_REPORT_LIFETIME_MILLISECONDS = 250;
 
-/** Whose room is learned, and by what. */
+/** Options of `learnRoom`. */
 export interface LearnRoomOptions {
-  readonly lane: EndpointLane;
+  readonly target: CallTarget;
   readonly terms: PieceTerms;
   readonly client: PieceClient;
   readonly timer: TimerService;
-  /** Told that the endpoint was started again, and when. */
-  readonly onBirth: (bornAt: number) => void;
-  /** Told when the answer doesn't count any more. */
-  readonly onOver: () => void;
+  /** Called with the start time of a restarted endpoint. */
+  readonly onRestart: (bornAt: number) => void;
+  /** Called when the report expires. */
+  readonly onExpired: () => void;
 }
 
 /**
- * Asks an endpoint how much room is left when others' results take some.
- * After the daemon before was killed its results stay until they expire;
- * without asking, every piece is sent and turned away some times a second.
- * The answer is some hundred milliseconds old, as old as a call is long, so
- * that it counts for a moment only: kept longer, it took this daemon's own
- * results for others' and left a tenth of the room in use.
+ * Polls an endpoint for its free room, part of which other daemons' results may
+ * take. After a previous coordinator is killed, its results stay until they
+ * expire; without polling, every piece is sent and rejected several times a
+ * second. The report is some hundred milliseconds old, as old as a call is
+ * long, so it is valid only briefly: kept longer, it counts this daemon's own
+ * results as foreign, which leaves only a tenth of the room in use.
  */
 export async function learnRoom(options: LearnRoomOptions): Promise<void> {
-  const { lane, timer, onOver } = options;
-  if (lane.isRoomAsked) return;
-  lane.isRoomAsked = true;
-  await ask(options);
+  const { target, timer, onExpired } = options;
+  if (target.isRoomPolled) return;
+  target.isRoomPolled = true;
+  await applyRoomReport(options);
   timer.registerTimeout(() => {
-    lane.isRoomAsked = false;
-    lane.foreignBytes = 0;
-    onOver();
-  }, FOREIGN_ROOM_MILLISECONDS);
+    target.isRoomPolled = false;
+    target.foreignBytes = 0;
+    onExpired();
+  }, ROOM_REPORT_LIFETIME_MILLISECONDS);
 }
 
-async function ask(options: LearnRoomOptions): Promise<void> {
-  const { lane, terms, client, timer } = options;
-  const { entry } = lane.endpoint;
+async function applyRoomReport(options: LearnRoomOptions): Promise<void> {
+  const { target, terms, client, timer } = options;
+  const { entry } = target.endpoint;
   const report = await client.readRoom(entry);
   if (report === undefined || report.bornAt < entry.bornAt) return;
   if (report.bornAt > entry.bornAt) {
-    options.onBirth(report.bornAt);
+    options.onRestart(report.bornAt);
     return;
   }
-  lane.foreignBytes = 0;
-  const counted = lane.room(terms, timer.now());
-  lane.foreignBytes = Math.max(0, counted - report.freeBytes);
+  target.foreignBytes = 0;
+  const counted = target.room(terms, timer.now());
+  target.foreignBytes = Math.max(0, counted - report.freeBytes);
 }
--- a/packages/kelpspar-gateway/src/pieces/piece_call.ts
+++ b/packages/kelpspar-gateway/src/pieces/piece_call.ts
@@ -1,7 +1,7 @@
 import type { EndpointEntry } from "../endpoints/endpoint_entry.ts";
 
-/** A piece as it is sent to an endpoint. */
-export interface PieceOrder {
+/** A piece as sent to an endpoint. */
+export interface PieceRequest {
   readonly attemptId: string;
   readonly stage: number;
   readonly piece: number;
@@ -12,63 +12,63 @@
   readonly inputs: readonly string[];
 }
 
-/** One call that carries pieces of any requests. */
+/** One call with pieces of any requests. */
 export interface PieceCall {
   readonly endpoint: EndpointEntry;
-  readonly pieces: readonly PieceOrder[];
+  readonly pieces: readonly PieceRequest[];
   readonly signal: AbortSignal;
 }
 
 /** Why an endpoint didn't make a piece. */
 export type PieceFailure =
-  /** The piece's time was up at its turn. */
+  /** The piece's deadline passed before its turn. */
   | "late"
-  /** An input doesn't exist any more. */
+  /** An input no longer exists. */
   | "input_gone"
   /** The endpoint had no room for the result. */
   | "no_room"
   | "error";
 
-/** What an endpoint says of one piece. */
+/** An endpoint's answer for one piece. */
 export type PieceAnswer =
   | { readonly type: "made"; readonly handle: string }
   | { readonly type: "failed"; readonly failure: PieceFailure };
 
-/** What an endpoint says of a call. */
+/** An endpoint's answer to a call. */
 export type PieceCallAnswer =
   | { readonly type: "answered"; readonly pieces: readonly PieceAnswer[] }
-  /** The endpoint is full; nothing was done. */
+  /** The endpoint is full; no piece was run. */
   | { readonly type: "full" }
-  /** Another endpoint has the address now. */
+  /** Another endpoint has this address now. */
   | { readonly type: "replaced" }
-  /** The call failed; `isCertain` when nothing listens there. */
+  /** The call failed; `isCertain` when no process listens there. */
   | {
     readonly type: "failed";
     readonly isCertain: boolean;
     readonly reason: string;
   };
 
-/** What an endpoint says of its room, as of some hundred milliseconds ago. */
+/** An endpoint's free room as of some hundred milliseconds ago. */
 export interface RoomReport {
   readonly freeBytes: number;
-  /** Start of the life that says so, Unix milliseconds. */
+  /** Start of the reporting process, Unix milliseconds. */
   readonly bornAt: number;
 }
 
-/** Who holds a result. */
+/** The endpoint that holds a result. */
 export interface ResultMaker {
   readonly id: string;
   /** `address:port`. */
   readonly address: string;
 }
 
-/** Calls to endpoints of stage services. */
+/** Client for endpoints of stage services. */
 export interface PieceClient {
-  /** What is free for results; undefined when it couldn't be learned. */
+  /** Reads the free room for results; undefined on failure. */
   readRoom(endpoint: EndpointEntry): Promise<RoomReport | undefined>;
   /** Never throws. */
   runPieces(call: PieceCall): Promise<PieceCallAnswer>;
-  /** Frees results at their maker; false when it failed, and they expire. */
+  /** Frees results at their maker; false on failure, and they expire. */
   freeResults(
     maker: ResultMaker,
     handles: readonly string[],
--- a/packages/kelpspar-gateway/src/pieces/piece_coordinator.ts
+++ b/packages/kelpspar-gateway/src/pieces/piece_coordinator.ts
@@ -8,7 +8,7 @@
 import type { GatewayLog } from "../log/gateway_log.ts";
 import type { ServiceRetryBudget } from "../retries/service_retry_budget.ts";
 import type { Placement } from "../placement/reader_place.ts";
-import type { StageOutlook } from "./admit_chain.ts";
+import type { StageForecast } from "./admit_chain.ts";
 import type {
   ChainOutcome,
   ChainRefusal,
@@ -21,29 +21,29 @@
 import { admitChain } from "./admit_chain.ts";
 import { backlogOf } from "./backlog.ts";
 import { ChainRun } from "./chain_run.ts";
-import { LeastShares } from "./least_shares.ts";
-import { mostPlaceWait } from "./most_place_wait.ts";
+import { StarvationMonitor } from "./starvation_monitor.ts";
+import { maxPlacementWait } from "./max_placement_wait.ts";
 import { RefusedCallers } from "./refused_callers.ts";
 import { ResultFreer } from "./result_freer.ts";
-import { ServiceDesk } from "./service_desk.ts";
+import { StageScheduler } from "./stage_scheduler.ts";
 
-/** A caller comes back this long after a stage failed, milliseconds. */
+/** Retry delay sent to callers after a stage failed. */
 const FAILED_RETRY_MILLISECONDS = 400;
-/** Time in which a daemon learns of the first endpoints, milliseconds. */
+/** Retry delay without endpoints: time to learn of the first ones. */
 const NO_ENDPOINT_RETRY_MILLISECONDS = 1_000;
-/** A chain whose results were lost so often is given up. */
-const MOST_RESTARTS = 3;
-/** How often the load of each service is written, milliseconds. */
+/** A chain fails after more restarts because of lost results. */
+const MAX_RESTARTS = 3;
+/** How often the load of each service is logged. */
 const LOAD_LOG_MILLISECONDS = 500;
-/** How often queues are looked through for what nothing else woke up. */
+/** How often queues are checked for work that no event dispatched. */
 const SWEEP_MILLISECONDS = 50;
 
-/** What a coordinator works with. */
+/** Dependencies of `PieceCoordinator`. */
 export interface PieceCoordinatorOptions {
   readonly configuration: ConfigurationKeeper;
   readonly book: EndpointBook;
   readonly client: PieceClient;
-  /** For the endpoints at which it places requests. */
+  /** For endpoints of stages and for those at which it places requests. */
   readonly gate: EndpointGate;
   readonly timer: TimerService;
   readonly budget: ServiceRetryBudget;
@@ -51,31 +51,31 @@
 }
 
 /**
- * Runs the stages of requests. One daemon does so for all, so that pieces of
- * requests that arrive at different daemons share calls. Which daemon that is
- * needs no agreement for safety: two that both take themselves for it only
- * share calls less well, since a piece may be made again.
+ * Runs the stages of requests. One daemon, the coordinator, does so for all, so
+ * that pieces of requests from different daemons share calls. Safety needs no
+ * agreement on the coordinator, since a piece may be made again: two daemons
+ * that both act as coordinator only batch calls less well.
  */
 export class PieceCoordinator {
   readonly #options: PieceCoordinatorOptions;
-  readonly #desks = new Map<string, ServiceDesk>();
+  readonly #schedulers = new Map<string, StageScheduler>();
   readonly #chains = new Set<ChainRun>();
-  readonly #readers: ReaderPlacement;
+  readonly #placement: ReaderPlacement;
   readonly #refused = new RefusedCallers();
-  readonly #shares = new LeastShares();
-  /** Chains that are done and wait until an endpoint takes their request. */
+  readonly #monitor = new StarvationMonitor();
+  /** Chains whose stages are done and whose request waits for an endpoint. */
   readonly #unplaced = new Set<ChainRun>();
   readonly #freer: ResultFreer;
-  /** Ends the timers that run while chains are open. */
+  /** Stops the timers that run while chains are open. */
   #stopTimers: (() => void) | undefined;
 
   constructor(options: PieceCoordinatorOptions) {
     this.#options = options;
-    this.#readers = new ReaderPlacement(options);
+    this.#placement = new ReaderPlacement(options);
     this.#freer = new ResultFreer({
       client: options.client,
       timer: options.timer,
-      onFreed: (results) => this.#freed(results),
+      onFreed: (results) => this.#resultsFreed(results),
     });
   }
 
@@ -83,27 +83,29 @@
     return this.#chains.size;
   }
 
-  /** Subscribes to endpoints, configurations and time; returns the teardown. */
+  /** Subscribes to endpoint and configuration changes; returns the teardown. */
   register(): () => void {
     const { book, configuration } = this.#options;
     const teardowns = [
-      this.#readers.register(),
+      this.#placement.register(),
       book.registerGone((id, cause) => this.#endpointGone(id, cause)),
       book.registerEvacuation(() => this.#zonesEvacuated()),
-      configuration.registerListener(() => this.#takeTerms()),
+      configuration.registerListener(() => this.#updateTerms()),
       () => this.#stopTimers?.(),
     ];
     return () => teardowns.forEach((teardown) => teardown());
   }
 
-  /** Runs a chain; `signal` ends it when its caller is gone. */
-  run(asked: ChainRequest, signal: AbortSignal): Promise<ChainOutcome> {
-    const request = this.#withOwnShare(this.#sinceFirstAsked(asked));
+  /** Runs a chain; `signal` cancels it when its caller is gone. */
+  run(received: ChainRequest, signal: AbortSignal): Promise<ChainOutcome> {
+    const request = this.#withStarvationPriority(
+      this.#withObjectiveOfFirstAttempt(received),
+    );
     const refusal = this.#admit(request);
     if (refusal !== undefined) return Promise.resolve(refusal);
     return new Promise((resolve) => {
       const now = this.#options.timer.now();
-      const readerZone = this.#readers.zoneOfHolder(request.reader);
+      const readerZone = this.#placement.zoneOfCachedPrompt(request.reader);
       const chain = new ChainRun({ request, now, readerZone, settle: resolve });
       this.#chains.add(chain);
       this.#startTimers();
@@ -118,25 +120,26 @@
     });
   }
 
-  /** Takes in that a request was read or won't be, and frees its results. */
+  /** Records that a request was read, or won't be, and frees its results. */
   release({ attemptId, results }: ChainRelease): void {
-    this.#readers.ended(attemptId);
+    this.#placement.recordEnd(attemptId);
     this.#freer.free(results);
   }
 
   /**
-   * The room is there once the maker said so. Counted when it was asked, the
-   * next call came before it and was turned away for want of room.
+   * Room counts as free once the maker has confirmed it. If it counted as free
+   * when the release is sent, the next call could arrive first and be rejected
+   * for lack of room.
    */
-  #freed(results: readonly PieceResult[]): void {
+  #resultsFreed(results: readonly PieceResult[]): void {
     for (const result of results) {
-      for (const desk of this.#desks.values()) desk.freed(result);
+      for (const scheduler of this.#schedulers.values()) scheduler.drop(result);
     }
-    this.#pumpAll();
+    this.#dispatchAll();
   }
 
-  /** The request with its objective counted from when its caller first asked. */
-  #sinceFirstAsked(request: ChainRequest): ChainRequest {
+  /** Returns the request with its objective counted from the first attempt. */
+  #withObjectiveOfFirstAttempt(request: ChainRequest): ChainRequest {
     const age = this.#refused.ageOf(request.pieceKey, this.#now());
     return {
       ...request,
@@ -144,19 +147,19 @@
     };
   }
 
-  /** The request in front if its kind gets less than its share. */
-  #withOwnShare(request: ChainRequest): ChainRequest {
-    const isOwed = this.#shares.isOwed(request.kind, this.#now());
-    if (!isOwed) return request;
+  /** Returns the request with the highest open priority if its kind is starved. */
+  #withStarvationPriority(request: ChainRequest): ChainRequest {
+    const isStarved = this.#monitor.isStarved(request.kind, this.#now());
+    if (!isStarved) return request;
     const others = [...this.#chains].map((chain) => chain.request.priority);
     return { ...request, priority: Math.min(request.priority, ...others) };
   }
 
-  #countEnd({ kind, pieceKey }: ChainRequest, isOnTime: boolean): void {
+  #recordEnd({ kind, pieceKey }: ChainRequest, isOnTime: boolean): void {
     const now = this.#now();
-    // A caller that comes back was counted when it was sent away.
-    if (!this.#refused.has(pieceKey)) this.#shares.ended(kind, isOnTime, now);
-    else if (isOnTime) this.#shares.servedAfterAll(kind, now);
+    // A retrying caller was counted when it was refused.
+    if (!this.#refused.has(pieceKey)) this.#monitor.ended(kind, isOnTime, now);
+    else if (isOnTime) this.#monitor.servedOnRetry(kind, now);
   }
 
   #now(): number {
@@ -165,7 +168,7 @@
 
   #admit(request: ChainRequest): ChainOutcome | undefined {
     const used = request.stages.map((stage) =>
-      stage.pieces === 0 ? undefined : this.#deskOf(stage.service)
+      stage.pieces === 0 ? undefined : this.#schedulerOf(stage.service)
     );
     const isMissing = request.stages.some((stage, number) =>
       stage.pieces > 0 && used[number]?.hasEndpoints !== true
@@ -173,7 +176,7 @@
     if (isMissing) return refuse("no_endpoint", NO_ENDPOINT_RETRY_MILLISECONDS);
     const stages = request.stages.map((stage, number) => ({
       backlog: backlogOf(stage.service, {
-        desk: used[number],
+        scheduler: used[number],
         chains: this.#chains,
         priority: request.priority,
       }),
@@ -181,7 +184,7 @@
       after: stage.after,
     }));
     const admission = admitChain({
-      stages: [...stages, this.#placing(request)],
+      stages: [...stages, this.#placementForecast(request)],
       tail: request.tailMilliseconds,
       objective: request.objectiveMilliseconds,
       remaining: request.remainingMilliseconds,
@@ -196,61 +199,61 @@
       priority: request.priority,
     });
     if (isAdmitted) return undefined;
-    this.#countEnd(request, false);
+    this.#recordEnd(request, false);
     this.#refused.record(request.pieceKey, this.#now());
     return refuse("overloaded", admission.retryAfterMilliseconds);
   }
 
-  /** Placing at endpoints with limits, as a stage after all others. */
-  #placing({ reader, stages }: ChainRequest): StageOutlook {
+  /** Placement at endpoints with limits, as a stage after all others. */
+  #placementForecast({ reader, stages }: ChainRequest): StageForecast {
     const after = stages.map((_, number) => number);
     if (reader === undefined) return { backlog: 0, work: 0, after };
     const ahead =
-      [...this.#chains].filter((one) =>
-        one.request.reader?.service === reader.service
+      [...this.#chains].filter((chain) =>
+        chain.request.reader?.service === reader.service
       ).length;
-    const backlog = this.#readers.waitBehind(reader.service, ahead);
+    const backlog = this.#placement.queueWait(reader.service, ahead);
     return { backlog, work: 0, after };
   }
 
-  #deskOf(service: string): ServiceDesk | undefined {
-    const known = this.#desks.get(service);
+  #schedulerOf(service: string): StageScheduler | undefined {
+    const known = this.#schedulers.get(service);
     if (known !== undefined) return known;
     const { configuration, ...parts } = this.#options;
     const terms = configuration.table?.findService(service)?.pieces;
     if (terms === undefined) return undefined;
-    const desk = new ServiceDesk({
+    const scheduler = new StageScheduler({
       ...parts,
       service,
       terms,
       free: (results) => this.#freer.free(results),
       events: {
-        made: (task) => this.#made(task),
+        made: (task) => this.#pieceMade(task),
         inputsGone: (task) =>
-          this.#restart(task.chain, task.chain.forgetInputs(task.stage)),
+          this.#restart(task.chain, task.chain.invalidateInputs(task.stage)),
         failed: (chain, reason) =>
           this.#fail(chain, refuse(reason, FAILED_RETRY_MILLISECONDS)),
       },
     });
-    this.#desks.set(service, desk);
-    return desk;
+    this.#schedulers.set(service, scheduler);
+    return scheduler;
   }
 
   #enqueue(tasks: readonly PieceTask[]): void {
-    const touched = new Set<ServiceDesk>();
+    const changed = new Set<StageScheduler>();
     for (const task of tasks) {
-      const desk = this.#deskOf(task.chain.stage(task.stage).service);
-      if (desk === undefined) continue;
-      desk.enqueue([task]);
-      touched.add(desk);
+      const scheduler = this.#schedulerOf(task.chain.stage(task.stage).service);
+      if (scheduler === undefined) continue;
+      scheduler.enqueue([task]);
+      changed.add(scheduler);
     }
-    for (const desk of touched) desk.pump();
+    for (const scheduler of changed) scheduler.dispatch();
   }
 
-  #made(task: PieceTask): void {
+  #pieceMade(task: PieceTask): void {
     const { chain } = task;
     if (!chain.isStageDone(task.stage)) return;
-    this.#freer.free(chain.takeUnneeded());
+    this.#freer.free(chain.releaseUnneeded());
     if (!this.#settleIfDone(chain)) this.#enqueue(chain.startReady());
   }
 
@@ -258,13 +261,13 @@
     if (!chain.isDone()) return false;
     const placement = this.#placeReader(chain);
     if (placement.type === "over_limit") {
-      this.#waitForPlace(chain, placement.waitMilliseconds);
+      this.#waitForPlacement(chain, placement.waitMilliseconds);
       return true;
     }
     this.#chains.delete(chain);
     const results = chain.finalResults();
     const endsAt = this.#now() + chain.request.tailMilliseconds;
-    this.#countEnd(chain.request, endsAt <= chain.objectiveAt);
+    this.#recordEnd(chain.request, endsAt <= chain.objectiveAt);
     const place = placement.type === "placed" ? placement.place : undefined;
     chain.settle({ type: "done", results, place });
     return true;
@@ -273,14 +276,14 @@
   #placeReader(chain: ChainRun): Placement {
     const { attemptId, reader } = chain.request;
     if (reader === undefined) return { type: "no_endpoint" };
-    return this.#readers.place(attemptId, reader, chain.finalInputs());
+    return this.#placement.place(attemptId, reader, chain.finalInputs());
   }
 
-  /** Keeps a chain until an endpoint takes its request, if that is in time. */
-  #waitForPlace(chain: ChainRun, waitMilliseconds: number): void {
+  /** Keeps a chain until an endpoint has capacity, if that is in time. */
+  #waitForPlacement(chain: ChainRun, waitMilliseconds: number): void {
     const now = this.#now();
     const { tailMilliseconds } = chain.request;
-    const isWaiting = waitMilliseconds <= mostPlaceWait({
+    const isWaiting = waitMilliseconds <= maxPlacementWait({
       hasPieces: chain.request.stages.some(({ pieces }) => pieces > 0),
       slack: chain.objectiveAt - now - tailMilliseconds,
       remaining: chain.deadlineAt - now - tailMilliseconds,
@@ -289,7 +292,7 @@
     else this.#fail(chain, refuse("over_limit", waitMilliseconds));
   }
 
-  #placeWaiting(): void {
+  #retryPlacements(): void {
     for (const chain of [...this.#unplaced]) {
       this.#unplaced.delete(chain);
       if (chain.isOpen) this.#settleIfDone(chain);
@@ -297,7 +300,7 @@
   }
 
   #fail(chain: ChainRun, outcome: ChainOutcome): void {
-    if (chain.isOpen) this.#countEnd(chain.request, false);
+    if (chain.isOpen) this.#recordEnd(chain.request, false);
     this.#close(chain, outcome);
   }
 
@@ -305,51 +308,52 @@
     if (!chain.isOpen) return;
     this.#chains.delete(chain);
     chain.settle(outcome);
-    for (const desk of this.#desks.values()) desk.chainClosed(chain);
-    this.#freer.free(chain.takeAll());
+    for (const scheduler of this.#schedulers.values()) scheduler.cancel(chain);
+    this.#freer.free(chain.releaseAll());
   }
 
   /**
-   * One that is leaving ends its calls and keeps its results for a while. Made
-   * again at once, they took the time of the chain and of another endpoint.
+   * A leaving endpoint finishes its calls and keeps its results for a while.
+   * Making them again at once would cost the chain time and load another
+   * endpoint.
    */
   #endpointGone(id: string, cause: EndpointGoneCause): void {
     if (cause === "leaving") {
-      for (const desk of this.#desks.values()) desk.endpointLeaving(id);
+      for (const scheduler of this.#schedulers.values()) scheduler.remove(id);
       return;
     }
-    for (const desk of this.#desks.values()) desk.endpointGone(id);
+    for (const scheduler of this.#schedulers.values()) scheduler.abort(id);
     for (const chain of [...this.#chains]) {
-      this.#restart(chain, chain.forgetMaker(id));
+      this.#restart(chain, chain.invalidateMaker(id));
     }
   }
 
-  /** Ends chains that wait for endpoints of which none may be used. */
+  /** Fails chains waiting for services whose zones are all evacuated. */
   #zonesEvacuated(): void {
     const { book } = this.#options;
-    const lost = [...this.#desks].filter(([service]) =>
+    const evacuated = [...this.#schedulers].filter(([service]) =>
       book.isEvacuated(service)
-    ).map(([, desk]) => desk);
+    ).map(([, scheduler]) => scheduler);
     for (const chain of [...this.#chains]) {
-      if (!lost.some((desk) => desk.hasWaiting(chain))) continue;
+      if (!evacuated.some((scheduler) => scheduler.hasWaiting(chain))) continue;
       this.#fail(chain, refuse("no_endpoint", NO_ENDPOINT_RETRY_MILLISECONDS));
     }
   }
 
   #restart(chain: ChainRun, tasks: readonly PieceTask[]): void {
-    if (chain.restarts <= MOST_RESTARTS) this.#enqueue(tasks);
+    if (chain.restarts <= MAX_RESTARTS) this.#enqueue(tasks);
     else this.#fail(chain, refuse("failing", FAILED_RETRY_MILLISECONDS));
   }
 
-  #takeTerms(): void {
+  #updateTerms(): void {
     const { table } = this.#options.configuration;
-    for (const [service, desk] of this.#desks) {
+    for (const [service, scheduler] of this.#schedulers) {
       const terms = table?.findService(service)?.pieces;
-      if (terms !== undefined) desk.terms = terms;
+      if (terms !== undefined) scheduler.terms = terms;
     }
   }
 
-  /** Most daemons run no chains, and wake for nothing. */
+  /** Timers run only while chains are open, as most daemons run none. */
   #startTimers(): void {
     if (this.#stopTimers !== undefined) return;
     const { timer } = this.#options;
@@ -361,18 +365,18 @@
   }
 
   #sweep(): void {
-    this.#placeWaiting();
-    if (this.#chains.size > 0) return this.#pumpAll();
+    this.#retryPlacements();
+    if (this.#chains.size > 0) return this.#dispatchAll();
     this.#stopTimers?.();
     this.#stopTimers = undefined;
   }
 
   #logLoad(): void {
-    for (const desk of this.#desks.values()) desk.logLoad();
+    for (const scheduler of this.#schedulers.values()) scheduler.logLoad();
   }
 
-  #pumpAll(): void {
-    for (const desk of this.#desks.values()) desk.pump();
+  #dispatchAll(): void {
+    for (const scheduler of this.#schedulers.values()) scheduler.dispatch();
   }
 }
 
--- a/packages/kelpspar-gateway/src/pieces/piece_queue.ts
+++ b/packages/kelpspar-gateway/src/pieces/piece_queue.ts
@@ -1,23 +1,23 @@
 import type { ChainRun } from "./chain_run.ts";
 import type { PieceTask } from "./piece_task.ts";
-import { StageFacts } from "./stage_facts.ts";
+import { StageCache } from "./stage_cache.ts";
 import { startablePieces } from "./startable_pieces.ts";
 
-/** A piece is due this long before its chain's deadline, milliseconds. */
+/** A queued piece expires this long before its chain's deadline. */
 const DEADLINE_MARGIN_MILLISECONDS = 50;
 
-/** The pieces that wait at a desk. */
+/** The queued pieces of one stage scheduler. */
 export class PieceQueue {
   #tasks: PieceTask[] = [];
-  #facts = new StageFacts(() => 0);
+  #stageCache = new StageCache(() => 0);
 
   get length(): number {
     return this.#tasks.length;
   }
 
-  /** As of the last `tidy`. */
-  get facts(): StageFacts {
-    return this.#facts;
+  /** Cached state of stages as of the last `pruneAndSort`. */
+  get stageCache(): StageCache {
+    return this.#stageCache;
   }
 
   add(tasks: readonly PieceTask[]): void {
@@ -27,23 +27,23 @@
     }
   }
 
-  /** Takes pieces out that are sent. */
-  take(tasks: readonly PieceTask[]): void {
-    const taken = new Set(tasks);
-    this.#tasks = this.#tasks.filter((task) => !taken.has(task));
+  /** Removes pieces that are sent. */
+  remove(tasks: readonly PieceTask[]): void {
+    const removed = new Set(tasks);
+    this.#tasks = this.#tasks.filter((task) => !removed.has(task));
     for (const task of tasks) task.isQueued = false;
   }
 
-  dropChain(chain: ChainRun): void {
+  removeChain(chain: ChainRun): void {
     this.#tasks = this.#tasks.filter((task) => task.chain !== chain);
   }
 
-  /** Whether pieces of a chain wait. */
+  /** Whether pieces of a chain are queued. */
   hasChain(chain: ChainRun): boolean {
     return this.#tasks.some((task) => task.chain === chain);
   }
 
-  /** Open chains whose pieces would come too late now. */
+  /** Open chains whose queued pieces can no longer meet their deadline. */
   expired(now: number): ReadonlySet<ChainRun> {
     const expired = new Set<ChainRun>();
     for (const { chain } of this.#tasks) {
@@ -53,22 +53,25 @@
     return expired;
   }
 
-  /** Drops what nobody needs and puts the rest in order of rank. */
-  tidy(rank: (task: PieceTask) => number): void {
-    const facts = new StageFacts(rank);
-    this.#facts = facts;
+  /** Drops pieces that are no longer needed and sorts the rest by rank. */
+  pruneAndSort(rank: (task: PieceTask) => number): void {
+    const stageCache = new StageCache(rank);
+    this.#stageCache = stageCache;
     this.#tasks = this.#tasks.filter((task) => {
-      // A stage whose inputs were lost is queued anew once they are there; a
-      // piece left over from before would be sent with some inputs only.
+      // A stage whose inputs were lost is queued again once they are made; a
+      // stale piece would be sent with only some of its inputs.
       const isNeeded = task.chain.isOpen &&
-        !task.chain.isMade(task.stage, task.piece) && facts.hasInputs(task);
+        !task.chain.isPieceDone(task.stage, task.piece) &&
+        stageCache.hasInputs(task);
       if (!isNeeded) task.isQueued = false;
       return isNeeded;
     });
-    this.#tasks.sort((left, right) => facts.rank(left) - facts.rank(right));
+    this.#tasks.sort((left, right) =>
+      stageCache.rank(left) - stageCache.rank(right)
+    );
   }
 
-  /** Pieces in order of rank that can't block others by the room they take. */
+  /** Pieces, by rank, that can start without a deadlock over room. */
   startable(room: number): readonly PieceTask[] {
     return startablePieces(this.#tasks, room);
   }
--- a/packages/kelpspar-gateway/src/pieces/place_piece.ts
+++ b/packages/kelpspar-gateway/src/pieces/place_piece.ts
@@ -1,93 +1,95 @@
-/** An endpoint as a place for one piece. */
-export interface PiecePlace<Lane> {
-  readonly lane: Lane;
+/** An endpoint considered for one piece. */
+export interface PieceCandidate<Target> {
+  readonly target: Target;
   readonly isFree: boolean;
-  /** Time until it is free, milliseconds; 0 when it is. */
+  /** Time until it is free, milliseconds; 0 if it is. */
   readonly wait: number;
-  /** Observed time against the expected one. */
+  /** Ratio of observed to expected time. */
   readonly slowness: number;
   /** Bytes that would cross zones if the piece were made there. */
   readonly crossing: number;
 }
 
-/** What placing is decided from. */
-export interface PlacePieceOptions<Lane> {
-  readonly places: readonly PiecePlace<Lane>[];
-  /** Time of a call that carries what waits, on a sound endpoint, ms. */
+/** Inputs of `placePiece`. */
+export interface PlacePieceOptions<Target> {
+  readonly candidates: readonly PieceCandidate<Target>[];
+  /** Time of a call with the queued pieces on a healthy endpoint, ms. */
   readonly callTime: number;
-  /** Time that the piece may still wait and be on time; below 0 when late. */
+  /** Time that the piece can wait and still be on time; negative if late. */
   readonly slack: number;
-  /** Time that waits before it per sound endpoint, milliseconds. */
+  /** Time of the queued work on one healthy endpoint, milliseconds. */
   readonly queueTime: number;
 }
 
-/** Up to this a crossing isn't worth any wait, bytes. */
+/** Cross-zone bytes up to which waiting for a nearby endpoint isn't worth it. */
 export const FREE_CROSSING_BYTES = 200_000;
-/** Longest wait for an endpoint nearby, milliseconds: about a call. */
-const MOST_WAIT_MILLISECONDS = 250;
-/** Slowness from which an endpoint gets work only when that is sooner. */
-const SLOW_ENDPOINT = 1.5;
+/** Longest wait for a nearby endpoint: about one call. */
+const MAX_WAIT_MILLISECONDS = 250;
+/** Slowness from which an endpoint is used only if it finishes sooner. */
+const SLOWNESS_THRESHOLD = 1.5;
 
 /**
- * Where to make a piece now; undefined to let it wait. Answers two loads:
- * results of megabytes that would cross zones although an endpoint nearby is
- * free a moment later, and endpoints turned slow, where a piece that starts at
- * once ends later than one that waits for another.
+ * Chooses the endpoint for a piece; undefined to let it wait. Avoids two
+ * problems: results of megabytes that cross zones although a nearby endpoint is
+ * free a moment later, and slow endpoints, where a piece that starts at once
+ * ends later than one that waits for another endpoint.
  */
-export function placePiece<Lane>(
-  options: PlacePieceOptions<Lane>,
-): Lane | undefined {
-  const least = Math.min(...options.places.map(({ crossing }) => crossing));
-  const isNear = (place: PiecePlace<Lane>): boolean =>
+export function placePiece<Target>(
+  options: PlacePieceOptions<Target>,
+): Target | undefined {
+  const least = Math.min(...options.candidates.map(({ crossing }) => crossing));
+  const isNear = (place: PieceCandidate<Target>): boolean =>
     place.crossing <= least + FREE_CROSSING_BYTES;
-  const free = options.places.filter((place) => place.isFree);
+  const free = options.candidates.filter((place) => place.isFree);
   const near = free.filter(isNear).sort(bySlowness);
   const best = near[0] ?? free.sort(byCrossing)[0];
   if (best === undefined) return undefined;
   const mayWait = !isNear(best) &&
-    options.places.some((place) => isNear(place) && isInTime(place, options));
+    options.candidates.some((place) =>
+      isNear(place) && isFreeInTime(place, options)
+    );
   if (mayWait) return undefined;
-  return isSooner(best, options) ? best.lane : undefined;
+  return finishesSooner(best, options) ? best.target : undefined;
 }
 
 function bySlowness(
-  left: PiecePlace<unknown>,
-  right: PiecePlace<unknown>,
+  left: PieceCandidate<unknown>,
+  right: PieceCandidate<unknown>,
 ): number {
   return left.slowness - right.slowness;
 }
 
 function byCrossing(
-  left: PiecePlace<unknown>,
-  right: PiecePlace<unknown>,
+  left: PieceCandidate<unknown>,
+  right: PieceCandidate<unknown>,
 ): number {
   return left.crossing - right.crossing || left.slowness - right.slowness;
 }
 
 /**
- * Whether a piece may wait for a busy endpoint nearby. Not when much waits:
- * then free endpoints stand idle beside a queue, and the results that waiting
- * pieces read hold the room of the stage before.
+ * Whether a piece may wait for a busy nearby endpoint. Not with a long queue:
+ * then free endpoints stay idle beside it, and the inputs of waiting pieces
+ * occupy the room of the previous stage.
  */
-function isInTime(
-  place: PiecePlace<unknown>,
+function isFreeInTime(
+  place: PieceCandidate<unknown>,
   options: PlacePieceOptions<unknown>,
 ): boolean {
-  const queue = options.queueTime / options.places.length;
-  return place.slowness < SLOW_ENDPOINT &&
-    place.wait + queue < Math.min(options.slack, MOST_WAIT_MILLISECONDS);
+  const queueWait = options.queueTime / options.candidates.length;
+  return place.slowness < SLOWNESS_THRESHOLD &&
+    place.wait + queueWait < Math.min(options.slack, MAX_WAIT_MILLISECONDS);
 }
 
-function isSooner(
-  place: PiecePlace<unknown>,
+function finishesSooner(
+  place: PieceCandidate<unknown>,
   options: PlacePieceOptions<unknown>,
 ): boolean {
-  if (place.slowness < SLOW_ENDPOINT) return true;
-  const others = options.places.filter((one) =>
-    one.lane !== place.lane && one.slowness < SLOW_ENDPOINT
+  if (place.slowness < SLOWNESS_THRESHOLD) return true;
+  const others = options.candidates.filter((other) =>
+    other.target !== place.target && other.slowness < SLOWNESS_THRESHOLD
   );
   if (others.length === 0) return true;
-  const elsewhere = Math.min(...others.map((one) => one.wait)) +
+  const elsewhere = Math.min(...others.map((other) => other.wait)) +
     options.queueTime / others.length + options.callTime;
   return options.callTime * place.slowness < elsewhere;
 }
--- a/packages/kelpspar-gateway/src/pieces/plan_call.ts
+++ b/packages/kelpspar-gateway/src/pieces/plan_call.ts
@@ -1,34 +1,34 @@
 import type { PieceTerms } from "../configuration/service_definition.ts";
-import type { EndpointLane } from "./endpoint_lane.ts";
+import type { CallTarget } from "./call_target.ts";
 import type { PieceQueue } from "./piece_queue.ts";
 import type { PieceTask } from "./piece_task.ts";
 import { fillCall } from "./fill_call.ts";
 import { FREE_CROSSING_BYTES, placePiece } from "./place_piece.ts";
-import { callTime, oneCallTime } from "./service_capacity.ts";
+import { callTime, singleCallTime } from "./service_capacity.ts";
 
 /**
- * Time of waiting work per endpoint from which calls are filled whatever
- * crosses zones, milliseconds: a third of a call.
+ * Queued work per endpoint above which calls are filled regardless of
+ * cross-zone traffic: a third of a call.
  */
-const PRESSED_MILLISECONDS = 90;
+const HIGH_BACKLOG_MILLISECONDS = 90;
 
-/** What a call is planned from. */
+/** Inputs of `planCall`. */
 export interface PlanCallOptions {
   readonly queue: PieceQueue;
-  readonly lanes: readonly EndpointLane[];
+  readonly targets: readonly CallTarget[];
   readonly terms: PieceTerms;
   readonly now: number;
 }
 
 /** The next call to start. */
 export interface CallPlan {
-  readonly lane: EndpointLane;
+  readonly target: CallTarget;
   readonly tasks: readonly PieceTask[];
 }
 
-/** An endpoint as it is for every piece. */
-interface LaneOutlook {
-  readonly lane: EndpointLane;
+/** State of an endpoint that is the same for every piece. */
+interface TargetState {
+  readonly target: CallTarget;
   readonly zone: string;
   readonly isFree: boolean;
   readonly room: number;
@@ -36,17 +36,17 @@
   readonly wait: number;
 }
 
-/** Plans a call for the first piece that has a place; undefined if none has. */
+/** Plans a call for the first piece that can be placed; undefined if none can. */
 export function planCall(options: PlanCallOptions): CallPlan | undefined {
-  const { queue, lanes, terms, now } = options;
-  if (!lanes.some((lane) => lane.isFree(terms, now))) return undefined;
-  const outlooks = lanes.map((lane) => lookAt(lane, options));
-  const startable = queue.startable(totalRoom(lanes, terms, now));
-  const work = oneCallTime(terms, queue.length);
-  const queueTime = oneEndpointTime(options);
+  const { queue, targets, terms, now } = options;
+  if (!targets.some((target) => target.isFree(terms, now))) return undefined;
+  const states = targets.map((target) => toTargetState(target, options));
+  const startable = queue.startable(totalRoom(targets, terms, now));
+  const work = singleCallTime(terms, queue.length);
+  const queueTime = singleEndpointTime(options);
   let previous: PieceTask | undefined;
   for (const task of startable) {
-    // Pieces of one stage stand together and have the same places.
+    // Pieces of one stage are adjacent and have the same candidates.
     const isAlike = previous?.chain === task.chain &&
       previous.stage === task.stage;
     previous = task;
@@ -54,91 +54,95 @@
     const { chain } = task;
     const { resultBytes } = chain.stage(task.stage);
     const found = placePiece({
-      places: outlooks.map((one) => ({
-        ...one,
-        lane: one,
-        isFree: one.isFree &&
-          (resultBytes <= one.room || one.room >= terms.resultBytes),
-        crossing: queue.facts.crossing(task, one.zone),
+      candidates: states.map((state) => ({
+        ...state,
+        target: state,
+        isFree: state.isFree &&
+          (resultBytes <= state.room || state.room >= terms.resultBytes),
+        crossing: queue.stageCache.crossing(task, state.zone),
       })),
       callTime: work,
       slack: chain.objectiveAt - work - chain.request.tailMilliseconds - now,
       queueTime,
     });
     if (found === undefined) continue;
-    const tasks = fill(found, { ...options, first: task, startable });
-    return { lane: found.lane, tasks };
+    const tasks = fillFrom(found, { ...options, first: task, startable });
+    return { target: found.target, tasks };
   }
   return undefined;
 }
 
-/** Room of several endpoints together, bytes. */
+/** Total free room of several endpoints, bytes. */
 export function totalRoom(
-  lanes: readonly EndpointLane[],
+  targets: readonly CallTarget[],
   terms: PieceTerms,
   now: number,
 ): number {
-  return lanes.reduce(
-    (sum, lane) => sum + Math.max(0, lane.room(terms, now)),
+  return targets.reduce(
+    (sum, target) => sum + Math.max(0, target.room(terms, now)),
     0,
   );
 }
 
-function lookAt(lane: EndpointLane, options: PlanCallOptions): LaneOutlook {
+function toTargetState(
+  target: CallTarget,
+  options: PlanCallOptions,
+): TargetState {
   const { terms, now } = options;
-  const slowness = lane.endpoint.slowness(now);
+  const slowness = target.endpoint.slowness(now);
   return {
-    lane,
-    zone: lane.endpoint.entry.zone,
-    isFree: lane.isFree(terms, now),
-    room: lane.room(terms, now),
+    target,
+    zone: target.endpoint.entry.zone,
+    isFree: target.isFree(terms, now),
+    room: target.room(terms, now),
     slowness,
-    wait: lane.waitFor(terms, { slowness, now }),
+    wait: target.waitFor(terms, { slowness, now }),
   };
 }
 
-/** Time that one endpoint would take for all that waits, milliseconds. */
-function oneEndpointTime({ queue, terms }: PlanCallOptions): number {
+/** Time that one endpoint would take for the whole queue, milliseconds. */
+function singleEndpointTime({ queue, terms }: PlanCallOptions): number {
   return queue.length / terms.batch * callTime(terms, terms.batch);
 }
 
 /**
- * What goes along with `first`: pieces that belong near this endpoint, then,
- * where much waits, others: a place in a call that stays empty is lost.
+ * Fills a call that starts with `first`: with pieces best made in this
+ * endpoint's zone, then, under a high backlog, with others, because an empty
+ * slot in a call is wasted capacity.
  */
-function fill(
-  outlook: LaneOutlook,
+function fillFrom(
+  state: TargetState,
   options: PlanCallOptions & {
     readonly first: PieceTask;
     readonly startable: readonly PieceTask[];
   },
 ): readonly PieceTask[] {
-  const { first, lanes, terms, startable } = options;
+  const { first, targets, terms, startable } = options;
   const near: PieceTask[] = [];
   const far: PieceTask[] = [];
   for (const task of startable) {
     if (task === first) continue;
-    if (isNearest(outlook.zone, task, options)) near.push(task);
+    if (isNearest(state.zone, task, options)) near.push(task);
     else far.push(task);
   }
-  const isPressed =
-    oneEndpointTime(options) / lanes.length > PRESSED_MILLISECONDS;
-  return fillCall([first, ...near, ...(isPressed ? far : [])], {
+  const hasHighBacklog =
+    singleEndpointTime(options) / targets.length > HIGH_BACKLOG_MILLISECONDS;
+  return fillCall([first, ...near, ...(hasHighBacklog ? far : [])], {
     batch: terms.batch,
-    room: outlook.room,
-    isEmpty: outlook.room >= terms.resultBytes,
+    room: state.room,
+    isEmpty: state.room >= terms.resultBytes,
   });
 }
 
 function isNearest(
   zone: string,
   task: PieceTask,
-  { lanes, queue }: PlanCallOptions,
+  { targets, queue }: PlanCallOptions,
 ): boolean {
-  const crossing = queue.facts.crossing(task, zone);
+  const crossing = queue.stageCache.crossing(task, zone);
   return crossing <= FREE_CROSSING_BYTES ||
-    !lanes.some((one) =>
-      queue.facts.crossing(task, one.endpoint.entry.zone) +
+    !targets.some((target) =>
+      queue.stageCache.crossing(task, target.endpoint.entry.zone) +
           FREE_CROSSING_BYTES < crossing
     );
 }
--- a/packages/kelpspar-gateway/src/pieces/rank_piece.ts
+++ b/packages/kelpspar-gateway/src/pieces/rank_piece.ts
@@ -1,11 +1,11 @@
 import type { PieceTask } from "./piece_task.ts";
 
-/** What the order of pieces is decided from; monotonic milliseconds. */
+/** Inputs of `rankPiece`; monotonic milliseconds. */
 export interface PieceRankOptions {
   readonly objectiveAt: number;
-  /** Least time that the rest of the chain and the request itself take. */
+  /** Minimum time of the rest of the chain and the request itself. */
   readonly remainingWork: number;
-  /** Another piece of the same stage of its request is made or under way. */
+  /** Another piece of the same stage of its request is made or in flight. */
   readonly hasBegun: boolean;
   /** 0 is the most urgent. */
   readonly priority: number;
@@ -13,24 +13,24 @@
 }
 
 /**
- * What a whole step of priority counts for in the queue, milliseconds. A tenth
- * of it, a step of a route's, is about three stage calls: urgent work goes
- * first unless the other is that much more pressed.
+ * Slack equivalent of a whole priority step. A tenth of it, a step of a route's
+ * priority, is about three stage calls: urgent work goes first unless other
+ * work has that much less slack.
  */
 const PRIORITY_STEP_MILLISECONDS = 10_000;
-/** Puts what is late in any case behind all that can still be on time. */
+/** Ranks work that will be late behind all work that can be on time. */
 const LATE_PENALTY_MILLISECONDS = 100_000;
 
 /**
- * What a begun stage goes ahead by: its pieces that are made hold room until
- * its last one is, so that finishing it frees room soonest.
+ * Advantage of a begun stage: its results hold room until its last piece is
+ * made, so finishing it frees room soonest.
  */
 const BEGUN_BONUS_MILLISECONDS = 10_000;
 
 /**
- * The place of a piece in its queue; the lowest goes first. Answers bursts in
- * which not everything can be on time: least slack first, while work that has
- * no chance left doesn't make others late.
+ * Rank of a piece in its queue; the lowest goes first. In bursts in which not
+ * everything can be on time, pieces with least slack go first, and work that
+ * can't be on time any more doesn't delay other work.
  */
 export function rankPiece(options: PieceRankOptions): number {
   const { objectiveAt, remainingWork, hasBegun, priority, now } = options;
@@ -41,7 +41,7 @@
   return latestStart + penalty - bonus + priority * PRIORITY_STEP_MILLISECONDS;
 }
 
-/** The rank of a waiting piece; `work` is the time of a call with one piece. */
+/** Rank of a queued piece; `work` is the time of a call with one piece. */
 export function rankTask(
   { chain, stage }: PieceTask,
   options: { readonly work: number; readonly now: number },
--- a/packages/kelpspar-gateway/src/pieces/refused_callers.ts
+++ b/packages/kelpspar-gateway/src/pieces/refused_callers.ts
@@ -1,21 +1,21 @@
-/** How long a refused caller is remembered, milliseconds: a long deadline. */
-const REMEMBERED_MILLISECONDS = 20_000;
-/** Most callers remembered; the oldest is forgotten first. */
-const MOST_REMEMBERED = 4_000;
+/** How long a refused caller is remembered: a long deadline. */
+const RETENTION_MILLISECONDS = 20_000;
+/** Most callers remembered; the oldest is evicted first. */
+const MAX_CALLERS = 4_000;
 
 /**
- * Callers that were refused, by the key that stays the same when they come
- * back. What goes wrong without: their time to be on time is counted from
- * their return, so that they go behind work that came after them. Their
- * deadlines don't tell their age, as those of fresh callers differ as well.
+ * Refused callers, by the key that stays the same across retries. Without it,
+ * a caller's objective would be counted from its retry, and its work would go
+ * behind work that arrived later. The age can't be inferred from deadlines, as
+ * those of new callers differ as well.
  */
 export class RefusedCallers {
   readonly #firstAskedAt = new Map<string, number>();
 
-  /** Notes a refusal. */
+  /** Records a refusal. */
   record(key: string, now: number): void {
     if (key === "" || this.#firstAskedAt.has(key)) return;
-    this.#forgetOld(now);
+    this.#evictOld(now);
     this.#firstAskedAt.set(key, now);
   }
 
@@ -24,16 +24,16 @@
     return this.#firstAskedAt.has(key);
   }
 
-  /** Milliseconds since the caller first asked; 0 for one that is new. */
+  /** Milliseconds since the caller's first refusal; 0 for a new caller. */
   ageOf(key: string, now: number): number {
     return now - (this.#firstAskedAt.get(key) ?? now);
   }
 
-  #forgetOld(now: number): void {
-    // A map keeps the order in which its keys came.
+  #evictOld(now: number): void {
+    // A map iterates in insertion order.
     for (const [key, askedAt] of this.#firstAskedAt) {
-      const isOld = now - askedAt > REMEMBERED_MILLISECONDS ||
-        this.#firstAskedAt.size >= MOST_REMEMBERED;
+      const isOld = now - askedAt > RETENTION_MILLISECONDS ||
+        this.#firstAskedAt.size >= MAX_CALLERS;
       if (!isOld) return;
       this.#firstAskedAt.delete(key);
     }
--- a/packages/kelpspar-gateway/src/pieces/result_freer.ts
+++ b/packages/kelpspar-gateway/src/pieces/result_freer.ts
@@ -3,20 +3,20 @@
 import type { PieceClient } from "./piece_call.ts";
 
 /**
- * How long results wait so that those of one maker share a call, milliseconds.
- * Far below a stage call, so that the room is there when the next one starts.
+ * How long results are collected so that those of one maker share a call. Far
+ * shorter than a stage call, so that the room is free when the next one starts.
  */
-const GATHER_MILLISECONDS = 4;
+const BATCH_DELAY_MILLISECONDS = 4;
 
-/** What results are freed with. */
+/** Dependencies of `ResultFreer`. */
 export interface ResultFreerOptions {
   readonly client: PieceClient;
   readonly timer: TimerService;
-  /** Told once the maker has freed results, and not before. */
+  /** Called only after the maker has freed the results. */
   readonly onFreed: (results: readonly PieceResult[]) => void;
 }
 
-/** Frees results at their makers, those of one maker together. */
+/** Frees results at their makers, batched by maker. */
 export class ResultFreer {
   readonly #options: ResultFreerOptions;
   readonly #pending = new Map<string, PieceResult[]>();
@@ -30,7 +30,7 @@
     if (this.#pending.size === 0) {
       this.#options.timer.registerTimeout(
         () => this.#flush(),
-        GATHER_MILLISECONDS,
+        BATCH_DELAY_MILLISECONDS,
       );
     }
     for (const result of results) {
--- a/packages/kelpspar-gateway/src/pieces/running_call.ts
+++ b/packages/kelpspar-gateway/src/pieces/running_call.ts
@@ -1,14 +1,14 @@
 import type { PieceTask } from "./piece_task.ts";
 
-/** A call that an endpoint works on. */
+/** An in-flight call to an endpoint. */
 export interface RunningCall {
   readonly tasks: readonly PieceTask[];
   readonly startedAt: number;
-  /** What it should take on a sound endpoint, milliseconds. */
-  readonly soundTime: number;
-  /** Room that its results will need, bytes. */
+  /** Expected time on a healthy endpoint, milliseconds. */
+  readonly expectedCallTime: number;
+  /** Room that its results will take, bytes. */
   readonly resultBytes: number;
   readonly abort: AbortController;
-  /** Its pieces were given to other endpoints as well. */
-  isDoubled: boolean;
+  /** Its pieces were queued for other endpoints as well. */
+  isHedged: boolean;
 }
--- a/packages/kelpspar-gateway/src/pieces/service_capacity.ts
+++ b/packages/kelpspar-gateway/src/pieces/service_capacity.ts
@@ -1,18 +1,18 @@
 import type { PieceTerms } from "../configuration/service_definition.ts";
 
-/** Time that a call with `pieces` takes on a sound endpoint, milliseconds. */
+/** Time of a call with `pieces` pieces on a healthy endpoint, milliseconds. */
 export function callTime(terms: PieceTerms, pieces: number): number {
   return terms.callMilliseconds + pieces * terms.pieceMilliseconds;
 }
 
-/** The same for what one call can carry of `pieces`. */
-export function oneCallTime(terms: PieceTerms, pieces: number): number {
+/** Time of one call that carries as many of `pieces` as fit, milliseconds. */
+export function singleCallTime(terms: PieceTerms, pieces: number): number {
   return callTime(terms, Math.min(pieces, terms.batch));
 }
 
 /**
- * Pieces a millisecond that endpoints of a stage service make in full calls.
- * `slowness` holds one factor for each endpoint that takes work.
+ * Pieces per millisecond that endpoints of a stage service make in full calls.
+ * `slowness` has one factor for each usable endpoint.
  */
 export function piecesPerMillisecond(
   terms: PieceTerms,
--- a/packages/kelpspar-gateway/src/pieces/stage_facts.ts
+++ b/packages/kelpspar-gateway/src/pieces/stage_cache.ts
@@ -2,20 +2,20 @@
 import type { PieceTask } from "./piece_task.ts";
 import { crossingBytes } from "./crossing_bytes.ts";
 
-interface Facts {
+interface CachedStage {
   readonly hasInputs: boolean;
   readonly rank: number;
   readonly crossing: Map<string, number>;
 }
 
 /**
- * What is the same for all pieces of one stage of one request at one moment.
- * Asked for each piece and endpoint anew, it took more time of a busy
- * coordinator than all its calls: 400 pieces times 11 endpoints each time.
+ * Caches state shared by all pieces of one stage of one request at one moment.
+ * Computing it for each piece and endpoint, 400 pieces times 11 endpoints each
+ * time, takes more of a busy coordinator's time than all its calls.
  */
-export class StageFacts {
+export class StageCache {
   readonly #rank: (task: PieceTask) => number;
-  readonly #facts = new Map<ChainRun, Map<number, Facts>>();
+  readonly #stages = new Map<ChainRun, Map<number, CachedStage>>();
 
   constructor(rank: (task: PieceTask) => number) {
     this.#rank = rank;
@@ -39,20 +39,20 @@
     return bytes;
   }
 
-  #of(task: PieceTask): Facts {
-    let ofChain = this.#facts.get(task.chain);
+  #of(task: PieceTask): CachedStage {
+    let ofChain = this.#stages.get(task.chain);
     if (ofChain === undefined) {
       ofChain = new Map();
-      this.#facts.set(task.chain, ofChain);
+      this.#stages.set(task.chain, ofChain);
     }
     const known = ofChain.get(task.stage);
     if (known !== undefined) return known;
-    const facts = {
+    const cached = {
       hasInputs: task.chain.hasInputs(task.stage),
       rank: this.#rank(task),
       crossing: new Map<string, number>(),
     };
-    ofChain.set(task.stage, facts);
-    return facts;
+    ofChain.set(task.stage, cached);
+    return cached;
   }
 }
--- /dev/null
+++ b/packages/kelpspar-gateway/src/pieces/stage_scheduler.ts
@@ -0,0 +1,331 @@
+import type { PieceTerms } from "../configuration/service_definition.ts";
+import type { PieceResult } from "./chain_outcome.ts";
+import type { ChainRun } from "./chain_run.ts";
+import type { CallTarget } from "./call_target.ts";
+import type {
+  PieceAnswer,
+  PieceCallAnswer,
+  PieceFailure,
+} from "./piece_call.ts";
+import type { PieceTask } from "./piece_task.ts";
+import type { PlanCallOptions } from "./plan_call.ts";
+import type { RunningCall } from "./running_call.ts";
+import type { StageSchedulerOptions } from "./stage_scheduler_options.ts";
+import { createRunningCall } from "./create_running_call.ts";
+import { describeCall, describeLoad } from "./describe_load.ts";
+import { learnRoom } from "./learn_room.ts";
+import { PieceQueue } from "./piece_queue.ts";
+import { PieceRetries } from "./piece_retries.ts";
+import { planCall } from "./plan_call.ts";
+import { rankTask } from "./rank_piece.ts";
+import { singleCallTime } from "./service_capacity.ts";
+import { CallTargets } from "./call_targets.ts";
+import { toPieceRequest } from "./to_piece_request.ts";
+import { watchCall } from "./watch_call.ts";
+
+/** Pause before the next call to a full endpoint. */
+const FULL_PAUSE_MILLISECONDS = 60;
+
+/**
+ * Schedules the pieces of all requests for one stage service. Pieces queue here
+ * until an endpoint is free, never at an endpoint: pieces that arrive meanwhile
+ * join the next call and share its fixed cost.
+ */
+export class StageScheduler {
+  readonly #options: StageSchedulerOptions;
+  readonly #queue = new PieceQueue();
+  readonly #targets: CallTargets;
+  readonly #retries: PieceRetries;
+  #terms: PieceTerms;
+  #isDispatchPending = false;
+
+  constructor(options: StageSchedulerOptions) {
+    this.#options = options;
+    this.#targets = new CallTargets(options);
+    this.#retries = new PieceRetries({
+      ...options,
+      queue: this.#queue,
+      failed: (chain) => options.events.failed(chain, "failing"),
+    });
+    this.#terms = options.terms;
+  }
+
+  set terms(terms: PieceTerms) {
+    this.#terms = terms;
+  }
+
+  enqueue(tasks: readonly PieceTask[]): void {
+    this.#queue.add(tasks);
+  }
+
+  /**
+   * Starts as many calls as there are free endpoints and pieces. Deferred until
+   * all events of this turn are handled, because the answer of one call may
+   * complete many stages.
+   */
+  dispatch(): void {
+    if (this.#isDispatchPending || this.#queue.length === 0) return;
+    this.#isDispatchPending = true;
+    setImmediate(() => {
+      this.#isDispatchPending = false;
+      this.#dispatchNow();
+    });
+  }
+
+  /** Whether pieces of a chain are queued here. */
+  hasWaiting(chain: ChainRun): boolean {
+    return this.#queue.hasChain(chain);
+  }
+
+  /** Drops a chain's queued pieces and aborts calls no longer needed. */
+  cancel(chain: ChainRun): void {
+    this.#queue.removeChain(chain);
+    this.#targets.abortUnneeded();
+  }
+
+  /** Removes a leaving endpoint, which finishes its calls. */
+  remove(id: string): void {
+    this.#targets.remove(id);
+  }
+
+  /** Removes an endpoint that is gone and aborts its calls. */
+  abort(id: string): void {
+    this.#targets.removeAndAbort(id);
+  }
+
+  /** Stops counting the room of a freed result. */
+  drop(result: PieceResult): void {
+    this.#targets.resultFreed(result);
+  }
+
+  /** Pieces per millisecond that usable endpoints make now. */
+  rate(): number {
+    const now = this.#now();
+    return this.#targets.usable(now)
+      .reduce((sum, target) => sum + target.rate(this.#terms, now), 0);
+  }
+
+  /** Time of a call for `pieces` pieces, milliseconds. */
+  workTime(pieces: number): number {
+    return singleCallTime(this.#terms, pieces);
+  }
+
+  /** Time until a call could start with an empty queue, milliseconds. */
+  slotWait(): number {
+    return this.#targets.slotWait(this.#terms, this.#now());
+  }
+
+  get hasEndpoints(): boolean {
+    return this.#options.book.ofService(this.#options.service).length > 0;
+  }
+
+  /** Logs queued and in-flight work. */
+  logLoad(): void {
+    const { log, service } = this.#options;
+    log.info("stage load", { service, ...describeLoad(this.#planOptions()) });
+  }
+
+  #now(): number {
+    return this.#options.timer.now();
+  }
+
+  #planOptions(): PlanCallOptions {
+    const now = this.#now();
+    const targets = this.#targets.usable(now);
+    return { queue: this.#queue, targets, terms: this.#terms, now };
+  }
+
+  #dispatchNow(): void {
+    const now = this.#now();
+    for (const chain of this.#queue.expired(now)) {
+      this.#options.events.failed(chain, "too_late");
+    }
+    const work = this.workTime(1);
+    this.#queue.pruneAndSort((task) => rankTask(task, { work, now }));
+    for (;;) {
+      const plan = planCall(this.#planOptions());
+      if (plan === undefined) return;
+      this.#startCall(plan.target, plan.tasks);
+    }
+  }
+
+  #startCall(target: CallTarget, tasks: readonly PieceTask[]): void {
+    const { timer, client } = this.#options;
+    const now = this.#now();
+    const call = createRunningCall(tasks, { terms: this.#terms, now });
+    this.#queue.remove(tasks);
+    for (const task of tasks) {
+      task.calls++;
+      task.chain.recordSend(task.stage, target.endpoint.entry.zone);
+    }
+    target.startCall(call, now);
+    this.#retries.recordFirstAttempts(tasks);
+    const stopWatching = watchCall({
+      call,
+      slowness: target.endpoint.slowness(now),
+      timer,
+      onOverdue: () => this.#hedge(target, call),
+    });
+    const pieces = tasks.map((task) => toPieceRequest(task, now));
+    void client.runPieces({
+      endpoint: target.endpoint.entry,
+      pieces,
+      signal: call.abort.signal,
+    }).then((answer) => {
+      stopWatching();
+      this.#callEnded(target, call, answer);
+    });
+  }
+
+  /** Queues the pieces of an overdue call for other endpoints as well. */
+  #hedge(target: CallTarget, call: RunningCall): void {
+    const now = this.#now();
+    call.isHedged = true;
+    target.endpoint.overdue(
+      (now - call.startedAt) / call.expectedCallTime,
+      now,
+    );
+    this.#log("piece call overdue", target, call);
+    this.#retries.hedge(call.tasks);
+    this.dispatch();
+  }
+
+  #callEnded(
+    target: CallTarget,
+    call: RunningCall,
+    answer: PieceCallAnswer,
+  ): void {
+    target.calls.delete(call);
+    target.endpoint.inFlight--;
+    for (const task of call.tasks) task.calls--;
+    this.#handleAnswer(target, call, answer);
+    this.dispatch();
+  }
+
+  #handleAnswer(
+    target: CallTarget,
+    call: RunningCall,
+    answer: PieceCallAnswer,
+  ): void {
+    switch (answer.type) {
+      case "answered":
+        return this.#callAnswered(target, call, answer.pieces);
+      case "full":
+        return this.#endpointFull(target, call);
+      case "replaced":
+        return this.#endpointReplaced(target, call);
+      case "failed":
+        return this.#callFailed(target, call, answer);
+    }
+  }
+
+  #endpointReplaced(target: CallTarget, call: RunningCall): void {
+    this.#log("endpoint replaced", target, call);
+    this.#options.book.leave(target.endpoint.entry);
+    this.#retries.retryOrFail(call.tasks, "failed");
+  }
+
+  #callAnswered(
+    target: CallTarget,
+    call: RunningCall,
+    answers: readonly PieceAnswer[],
+  ): void {
+    const now = this.#now();
+    target.endpoint.succeeded(
+      (now - call.startedAt) / call.expectedCallTime,
+      now,
+    );
+    for (const [index, task] of call.tasks.entries()) {
+      const answer = answers[index];
+      if (answer?.type === "made") this.#pieceMade(target, task, answer.handle);
+      else this.#pieceFailed(target, task, answer?.failure ?? "error");
+    }
+  }
+
+  #pieceMade(target: CallTarget, task: PieceTask, handle: string): void {
+    const result = target.resultOf(handle);
+    target.addResult(handle, {
+      bytes: task.chain.stage(task.stage).resultBytes,
+      expiresAt: this.#now() + this.#terms.keptMilliseconds,
+    });
+    if (target.isGone) {
+      this.#retries.retryOrFail([task], "failed");
+      return;
+    }
+    const isNew = task.chain.isOpen && task.chain.recordResult(task, result);
+    if (isNew) this.#options.events.made(task);
+    else this.#options.free([result]);
+  }
+
+  #pieceFailed(
+    target: CallTarget,
+    task: PieceTask,
+    failure: PieceFailure,
+  ): void {
+    if (!this.#retries.isNeeded(task)) return;
+    this.#options.log.info("piece failed", {
+      attempt: task.chain.request.attemptId,
+      stage: task.stage,
+      piece: task.piece,
+      endpoint: target.endpoint.entry.id,
+      failure,
+    });
+    const handlers: Readonly<Record<PieceFailure, () => void>> = {
+      late: () => this.#options.events.failed(task.chain, "too_late"),
+      input_gone: () => this.#options.events.inputsGone(task),
+      no_room: () => this.#endpointHadNoRoom(target, task),
+      error: () => this.#retries.retryOrFail([task], "failed"),
+    };
+    handlers[failure]();
+  }
+
+  /**
+   * The endpoint has less room than was counted: it holds another daemon's
+   * results, or results are larger than configured. An immediate retry would
+   * fail again.
+   */
+  #endpointHadNoRoom(target: CallTarget, task: PieceTask): void {
+    const { book, client, timer } = this.#options;
+    const terms = this.#terms;
+    const { resultBytes } = task.chain.stage(task.stage);
+    target.recordNoRoom(resultBytes, { terms, now: this.#now() });
+    this.#retries.requeueRejected([task]);
+    void learnRoom({
+      target,
+      terms,
+      client,
+      timer,
+      onRestart: (bornAt) =>
+        book.heardBirth({ ...target.endpoint.entry, bornAt }, timer.now()),
+      onExpired: () => this.dispatch(),
+    });
+  }
+
+  /** Another daemon's calls fill the endpoint; pauses calls to it. */
+  #endpointFull(target: CallTarget, call: RunningCall): void {
+    target.pausedUntil = this.#now() + FULL_PAUSE_MILLISECONDS;
+    this.#retries.requeueRejected(call.tasks);
+  }
+
+  #callFailed(
+    target: CallTarget,
+    call: RunningCall,
+    options: { readonly isCertain: boolean; readonly reason: string },
+  ): void {
+    const needed = call.tasks.filter((task) => this.#retries.isNeeded(task));
+    if (needed.length === 0 && !options.isCertain && !call.isHedged) return;
+    target.endpoint.failed(options.isCertain, this.#now());
+    this.#log(`piece call failed: ${options.reason}`, target, call);
+    this.#retries.retryOrFail(
+      needed,
+      options.isCertain ? "not_sent" : "failed",
+    );
+  }
+
+  #log(message: string, target: CallTarget, call: RunningCall): void {
+    this.#options.log.warn(message, {
+      service: this.#options.service,
+      ...describeCall(target, call, this.#now()),
+    });
+  }
+}
--- a/packages/kelpspar-gateway/src/pieces/service_desk_options.ts
+++ b/packages/kelpspar-gateway/src/pieces/stage_scheduler_options.ts
@@ -9,15 +9,15 @@
 import type { PieceClient } from "./piece_call.ts";
 import type { PieceTask } from "./piece_task.ts";
 
-/** Told what became of pieces. */
-export interface ServiceDeskEvents {
+/** Callbacks for the outcome of pieces. */
+export interface StageSchedulerEvents {
   made(task: PieceTask): void;
   inputsGone(task: PieceTask): void;
   failed(chain: ChainRun, reason: "too_late" | "failing"): void;
 }
 
-/** What a desk works with. */
-export interface ServiceDeskOptions {
+/** Dependencies of `StageScheduler`. */
+export interface StageSchedulerOptions {
   readonly service: string;
   readonly terms: PieceTerms;
   readonly book: EndpointBook;
@@ -26,7 +26,7 @@
   readonly timer: TimerService;
   readonly budget: ServiceRetryBudget;
   readonly log: GatewayLog;
-  readonly events: ServiceDeskEvents;
-  /** Frees results that nobody needs. */
+  readonly events: StageSchedulerEvents;
+  /** Frees results that are no longer needed. */
   readonly free: (results: readonly PieceResult[]) => void;
 }
--- a/packages/kelpspar-gateway/src/pieces/startable_pieces.ts
+++ b/packages/kelpspar-gateway/src/pieces/startable_pieces.ts
@@ -1,14 +1,15 @@
 import type { PieceTask } from "./piece_task.ts";
 
 /**
- * Which pieces of a queue may start, given the room for results of all
- * endpoints together, bytes.
+ * Returns the queued pieces that may start, given the total room for results of
+ * all endpoints, bytes.
  *
- * What goes wrong: a request's pieces are freed together, once the last one is
- * made and read. Several requests that have some of theirs made can fill the
- * room and then all wait for room, until the results expire; one sees chains
- * that take as long as results are kept. So a stage begins only when there is
- * room for all of its pieces beside what begun ones still need.
+ * Prevents a deadlock over room: the results of a request's stage are freed
+ * together, once the last one is made and read. Several requests with some of
+ * their pieces made can fill the room and then all wait for room until the
+ * results expire; their chains take as long as results are kept. Therefore a
+ * stage begins only when there is room for all of its pieces besides what begun
+ * stages still need.
  */
 export function startablePieces(
   queue: readonly PieceTask[],
@@ -26,8 +27,8 @@
     if (known !== undefined) return known;
     const { pieces } = task.chain.stage(task.stage);
     const need = pieces * bytesOf(task);
-    // One that is larger than all room may only start when nothing else holds
-    // any; it can't wait for more than there is.
+    // A stage larger than the total room starts only when no begun stage needs
+    // any; more room will never be available.
     const mayStart = need <= left || left >= room;
     if (mayStart) left -= need;
     ofChain.set(task.stage, mayStart);
--- a/packages/kelpspar-gateway/src/pieces/to_piece_order.ts
+++ b/packages/kelpspar-gateway/src/pieces/to_piece_request.ts
@@ -1,8 +1,8 @@
-import type { PieceOrder } from "./piece_call.ts";
+import type { PieceRequest } from "./piece_call.ts";
 import type { PieceTask } from "./piece_task.ts";
 
-/** A piece as it is sent now; its inputs must be there. */
-export function toPieceOrder(task: PieceTask, now: number): PieceOrder {
+/** Creates the request for a piece sent now; its inputs must be made. */
+export function toPieceRequest(task: PieceTask, now: number): PieceRequest {
   const { chain, stage, piece } = task;
   const inputs = chain.inputResults(stage).map(({ handle }) => handle);
   return {
--- a/packages/kelpspar-gateway/src/placement/choose_reader.ts
+++ b/packages/kelpspar-gateway/src/placement/choose_reader.ts
@@ -1,58 +1,60 @@
 import type { ReaderPlace } from "./reader_place.ts";
 
-/** A model endpoint as a place for one request. */
+/** A model endpoint considered for one request. */
 export interface ReaderCandidate {
   readonly endpointId: string;
-  /** Prompt tokens that it was given and has not read yet. */
+  /** Prompt tokens that it was assigned and has not read yet. */
   readonly waitingTokens: number;
-  /** Tokens at the beginning of this prompt that it keeps. */
-  readonly heldTokens: number;
-  /** Tokens beyond these that it is likely to keep though nobody knows. */
-  readonly likelyTokens: number;
-  /** Tokens that fit into its memory before something of use yields. */
+  /** Tokens of this prompt's prefix in its prompt cache. */
+  readonly cachedTokens: number;
+  /** Further tokens that it has probably cached; see `likelyTokens`. */
+  readonly likelyCachedTokens: number;
+  /** Tokens that fit into its cache before a useful part is evicted. */
   readonly freeTokens: number;
-  /** Bytes of the request's inputs that lie in other availability zones. */
+  /** Bytes of the request's inputs that are in other availability zones. */
   readonly crossingBytes: number;
-  /** Observed time against the expected one. */
+  /** Ratio of observed to expected time. */
   readonly slowness: number;
 }
 
-/** What a reader is chosen from. */
+/** Inputs of `chooseReader`. */
 export interface ChooseReaderOptions {
   readonly candidates: readonly ReaderCandidate[];
   readonly promptTokens: number;
 }
 
 /**
- * What a megabyte between zones weighs, in prompt tokens that are read. A
- * megabyte takes a millisecond and costs the operator money, a token takes a
- * fiftieth: two results of 1.5 MB are worth 1,500 tokens, so that an endpoint
- * nearby is taken unless it is some ten milliseconds of reading behind.
+ * Cost of a megabyte of cross-zone traffic, in prompt tokens read. A megabyte
+ * takes a millisecond and costs the operator money; a token takes a fiftieth of
+ * a millisecond. Two results of 1.5 MB cost as much as 1,500 tokens, so an
+ * endpoint in the same zone is chosen unless it is more than some ten
+ * milliseconds of reading behind.
  */
 const CROSSING_TOKENS_PER_MEGABYTE = 500;
-/** What a fetch of kept tokens costs beside its length, tokens: a round trip. */
+/** Fixed cost of fetching cached tokens, in tokens: a round trip. */
 const FETCH_TOKENS = 100;
-/** What fetching a token costs against reading it: the memory that moves. */
+/** Cost of fetching a cached token relative to reading it: the transfer. */
 const FETCH_SHARE = 0.28;
 /**
- * What a token weighs that makes another yield which is of use: that one has
- * to be read again. Without it, long prompts are kept in every zone and push
- * each other out, with prompts of 13,300 tokens and memory for 40 of them.
+ * Cost of evicting a useful token, which has to be read again, relative to
+ * reading one. Without it, long prompts are cached in every zone and evict each
+ * other, with prompts of 13,300 tokens and memory for 40 of them.
  */
-const YIELD_SHARE = 1;
+const EVICTION_SHARE = 1;
 const BYTES_PER_MEGABYTE = 1_000_000;
 
 /**
- * Chooses where a request is read. Answers bursts in which long prompts meet:
- * one of 20,000 tokens holds an endpoint for half a second, and counted as one
- * request among others it makes those behind it late. What waits is counted in
- * tokens, and the prompt, its inputs' zone and the wait are one sum, since the
- * endpoint that keeps a prompt is of no use if it is busy with another.
+ * Chooses the endpoint that reads a request, by lowest total cost. In bursts, a
+ * prompt of 20,000 tokens occupies an endpoint for half a second; counted as
+ * one request among others, it delays those behind it past their objective. The
+ * backlog is therefore counted in tokens. Cached prompt, zone of the inputs and
+ * backlog add up to one cost, because an endpoint that caches the prompt is no
+ * use while it is busy with another one.
  */
 export function chooseReader(
   { candidates, promptTokens }: ChooseReaderOptions,
 ): ReaderPlace | undefined {
-  const source = bestHolder(candidates);
+  const source = longestCached(candidates);
   let best: ReaderPlace | undefined;
   let leastCost = Number.POSITIVE_INFINITY;
   for (const candidate of candidates) {
@@ -67,17 +69,17 @@
   return best;
 }
 
-function bestHolder(
+function longestCached(
   candidates: readonly ReaderCandidate[],
 ): ReaderCandidate | undefined {
   let best: ReaderCandidate | undefined;
-  for (const one of candidates) {
-    if (one.heldTokens > (best?.heldTokens ?? 0)) best = one;
+  for (const candidate of candidates) {
+    if (candidate.cachedTokens > (best?.cachedTokens ?? 0)) best = candidate;
   }
   return best;
 }
 
-/** Time and bytes of reading the request there, in tokens. */
+/** Cost of reading the request at a candidate, in tokens. */
 function costOf(
   candidate: ReaderCandidate,
   options: {
@@ -86,18 +88,18 @@
   },
 ): number {
   const { from, promptTokens } = options;
-  const { waitingTokens, heldTokens, likelyTokens } = candidate;
+  const { waitingTokens, cachedTokens, likelyCachedTokens } = candidate;
   const { crossingBytes, slowness } = candidate;
-  const yielding = promptTokens - heldTokens - candidate.freeTokens;
-  const fetched = (from?.heldTokens ?? 0) - heldTokens;
+  const evicted = promptTokens - cachedTokens - candidate.freeTokens;
+  const fetched = (from?.cachedTokens ?? 0) - cachedTokens;
   const isFetch = from !== undefined;
   if (isFetch && fetched <= 0) return Number.POSITIVE_INFINITY;
-  const kept = heldTokens + (isFetch ? fetched : 0);
+  const cached = cachedTokens + (isFetch ? fetched : 0);
   const fetchCost = isFetch ? FETCH_TOKENS + FETCH_SHARE * fetched : 0;
-  const likely = isFetch ? 0 : likelyTokens;
-  const reading = (waitingTokens + promptTokens - kept - likely) * slowness;
+  const likely = isFetch ? 0 : likelyCachedTokens;
+  const reading = (waitingTokens + promptTokens - cached - likely) * slowness;
   const crossing = crossingBytes / BYTES_PER_MEGABYTE *
     CROSSING_TOKENS_PER_MEGABYTE;
-  const pressure = Math.max(0, yielding) * YIELD_SHARE;
-  return reading + fetchCost + crossing + pressure;
+  const evictionCost = Math.max(0, evicted) * EVICTION_SHARE;
+  return reading + fetchCost + crossing + evictionCost;
 }
--- a/packages/kelpspar-gateway/src/placement/likely_tokens.ts
+++ b/packages/kelpspar-gateway/src/placement/likely_tokens.ts
@@ -1,26 +1,29 @@
-/** How sure it is that the home of a prompt keeps what no other does. */
-const HOME_SHARE = 0.5;
+/** Probability that a prompt's home caches tokens that no other endpoint has. */
+const HOME_LIKELIHOOD = 0.5;
 
-/** What is known of one endpoint and one prompt. */
+/** Inputs of `likelyTokens` for one endpoint and one prompt. */
 export interface LikelyTokensOptions {
-  /** The endpoint is the home of the prompt. */
+  /** Whether the endpoint is the prompt's home. */
   readonly isHome: boolean;
   /** Tokens of the prompt that other requests share. */
   readonly sharedTokens: number;
-  /** The most of these that any endpoint is known to keep. */
-  readonly mostHeldTokens: number;
+  /** Most of these that any endpoint is known to have cached. */
+  readonly maxCachedTokens: number;
 }
 
 /**
- * Tokens of a prompt that an endpoint likely keeps although nobody knows.
+ * Estimates how many tokens of a prompt an endpoint has cached beyond those
+ * that this coordinator knows of.
  *
- * Load: the coordinator is stopped, and the next one knows nothing of what it
- * placed; prompts of many thousand tokens are read again at other endpoints.
- * Each prompt has a home, the same for every coordinator, where it is read
- * first unless that costs more than it saves. The next coordinator finds it
- * there without being told.
+ * A new coordinator knows nothing of the previous one's placements, so prompts
+ * of many thousand tokens would be read again at other endpoints. Each prompt
+ * has a home, the same for every coordinator, where it is read first unless
+ * that costs more than it saves. The next coordinator finds it there without
+ * any transfer of state.
  */
 export function likelyTokens(options: LikelyTokensOptions): number {
-  const { isHome, sharedTokens, mostHeldTokens } = options;
-  return isHome ? HOME_SHARE * Math.max(0, sharedTokens - mostHeldTokens) : 0;
+  const { isHome, sharedTokens, maxCachedTokens } = options;
+  return isHome
+    ? HOME_LIKELIHOOD * Math.max(0, sharedTokens - maxCachedTokens)
+    : 0;
 }
--- a/packages/kelpspar-gateway/src/placement/reader_placement.ts
+++ b/packages/kelpspar-gateway/src/placement/reader_placement.ts
@@ -6,23 +6,24 @@
 import type { PieceResult } from "../pieces/chain_outcome.ts";
 import type { PromptPart } from "../requests/serving_request.ts";
 import type { ReaderCandidate } from "./choose_reader.ts";
-import type { EndpointMemory } from "./endpoint_memory.ts";
+import type { PromptCache } from "./prompt_cache.ts";
 import type { ChainReader, Placement } from "./reader_place.ts";
 import { preferSound } from "../endpoints/prefer_sound.ts";
 import { promptAffinity } from "../requests/prompt_affinity.ts";
 import { chooseReader } from "./choose_reader.ts";
 import { likelyTokens } from "./likely_tokens.ts";
 import { RendezvousNodes } from "kelpspar-decisions/routing";
-import { ReaderLedger } from "./reader_ledger.ts";
+import { ReaderTracker } from "./reader_tracker.ts";
 
 /**
- * Memory that prompts keep beside requests that run: some ten of them with
- * 17,000 tokens each are three tenths of 550,000.
+ * Share of an endpoint's memory left for cached prompts beside running
+ * requests: some ten of those with 17,000 tokens each take three tenths of
+ * 550,000.
  */
 const PROMPT_MEMORY_SHARE = 0.7;
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** What readers are placed with. */
+/** Dependencies of `ReaderPlacement`. */
 export interface ReaderPlacementOptions {
   readonly configuration: ConfigurationKeeper;
   readonly book: EndpointBook;
@@ -30,36 +31,36 @@
   readonly timer: TimerService;
 }
 
-/** An input of a request: where it lies and how large it is. */
+/** An input of a request: its location and size. */
 export interface ReaderInput {
   readonly result: PieceResult;
   readonly bytes: number;
 }
 
-/** What an endpoint keeps of a prompt. */
-interface PromptBelief {
+/** Estimate of a prompt's tokens in an endpoint's prompt cache. */
+interface CacheEstimate {
   readonly endpoint: EndpointState;
-  readonly heldTokens: number;
-  readonly likelyTokens: number;
+  readonly cachedTokens: number;
+  readonly likelyCachedTokens: number;
 }
 
-/** Places requests at model endpoints, for the daemons of all callers. */
+/** Places requests at model endpoints, for all daemons. */
 export class ReaderPlacement {
   readonly #options: ReaderPlacementOptions;
-  readonly #ledger = new ReaderLedger();
+  readonly #tracker = new ReaderTracker();
 
   constructor(options: ReaderPlacementOptions) {
     this.#options = options;
   }
 
-  /** Subscribes to endpoints that are gone; returns the teardown. */
+  /** Subscribes to the removal of endpoints; returns the teardown. */
   register(): () => void {
     return this.#options.book.registerGone((id) =>
-      this.#ledger.endpointGone(id)
+      this.#tracker.endpointGone(id)
     );
   }
 
-  /** Decides where a request is to be read. */
+  /** Chooses the endpoint that reads a request. */
   place(
     attemptId: string,
     reader: ChainReader,
@@ -79,20 +80,20 @@
       const waits = usable.map((endpoint) => gate.waitFor(endpoint, now));
       return { type: "over_limit", waitMilliseconds: Math.min(...waits) };
     }
-    // Daemons choose those without limits themselves where no prompt matters.
+    // Without a prompt, daemons choose endpoints without limits themselves.
     const limited = promptTokens > 0
       ? []
-      : open.filter((one) => gate.limitOf(one, now) !== undefined);
-    const choosable = limited.length > 0 ? limited : open;
-    const beliefs = this.#beliefsOf(reader, choosable);
-    const candidates = beliefs.map(
+      : open.filter((endpoint) => gate.limitOf(endpoint, now) !== undefined);
+    const selectable = limited.length > 0 ? limited : open;
+    const estimates = this.#estimateCaches(reader, selectable);
+    const candidates = estimates.map(
       ({ endpoint, ...tokens }): ReaderCandidate => {
         const { id, zone } = endpoint.entry;
         return {
           endpointId: id,
-          waitingTokens: this.#ledger.waitingTokens(id, now),
+          waitingTokens: this.#tracker.waitingTokens(id, now),
           ...tokens,
-          freeTokens: this.#memoryOf(reader, id).freeTokens,
+          freeTokens: this.#promptCacheOf(reader, id).freeTokens,
           crossingBytes: crossingBytes(inputs, zone),
           slowness: Math.max(1, endpoint.slowness(now)),
         };
@@ -105,23 +106,23 @@
     }
     const limitPerSecond = gate.limitOf(chosen, now);
     gate.chosen(chosen, now);
-    const holderId = place.promptSourceId ?? place.endpointId;
-    const kept = candidates.find((one) => one.endpointId === holderId)
-      ?.heldTokens ?? 0;
-    this.#ledger.placed(attemptId, {
+    const cachedAt = place.promptSourceId ?? place.endpointId;
+    const cached = candidates.find((one) => one.endpointId === cachedAt)
+      ?.cachedTokens ?? 0;
+    this.#tracker.recordPlacement(attemptId, {
       endpointId: place.endpointId,
       parts: reader.promptParts,
-      tokens: promptTokens - kept,
+      tokens: promptTokens - cached,
       now,
     });
     return { type: "placed", place: { ...place, limitPerSecond } };
   }
 
   /**
-   * Milliseconds until a request can be placed that comes after `ahead` others;
-   * 0 while an endpoint of the service has no limit.
+   * Milliseconds until a request behind `ahead` others can be placed; 0 while
+   * any endpoint of the service has no limit.
    */
-  waitBehind(service: string, ahead: number): number {
+  queueWait(service: string, ahead: number): number {
     const { book, gate, timer } = this.#options;
     const now = timer.now();
     const usable = preferSound(book.ofService(service), now);
@@ -137,51 +138,51 @@
   }
 
   /**
-   * Zone of the endpoint that keeps most of a request's prompt. Its results are
-   * best made there, so that neither they nor the prompt have to move.
+   * Zone of the endpoint that has cached most of a request's prompt. Making the
+   * stage results in that zone avoids moving either them or the prompt.
    */
-  zoneOfHolder(reader: ChainReader | undefined): string | undefined {
+  zoneOfCachedPrompt(reader: ChainReader | undefined): string | undefined {
     if (reader === undefined) return undefined;
     const { book, timer } = this.#options;
     const endpoints = preferSound(book.ofService(reader.service), timer.now());
     let zone: string | undefined;
     let most = 0;
-    for (const belief of this.#beliefsOf(reader, endpoints)) {
-      const tokens = belief.heldTokens + belief.likelyTokens;
-      if (tokens > most) [zone, most] = [belief.endpoint.entry.zone, tokens];
+    for (const estimate of this.#estimateCaches(reader, endpoints)) {
+      const tokens = estimate.cachedTokens + estimate.likelyCachedTokens;
+      if (tokens > most) [zone, most] = [estimate.endpoint.entry.zone, tokens];
     }
     return zone;
   }
 
-  /** What endpoints keep of a prompt, as far as that is known or likely. */
-  #beliefsOf(
+  /** Estimates how much of a prompt each endpoint has cached. */
+  #estimateCaches(
     reader: ChainReader,
     endpoints: readonly EndpointState[],
-  ): readonly PromptBelief[] {
+  ): readonly CacheEstimate[] {
     const now = this.#options.timer.now();
     const shared = reader.promptParts.slice(0, -1);
     const sharedTokens = sumTokens(shared);
-    const homeId = homeOf(reader, endpoints);
-    const held = endpoints.map((endpoint) =>
-      this.#memoryOf(reader, endpoint.entry.id).heldTokens(shared, now)
+    const homeId = homeEndpointId(reader, endpoints);
+    const cached = endpoints.map((endpoint) =>
+      this.#promptCacheOf(reader, endpoint.entry.id).cachedTokens(shared, now)
     );
-    const mostHeldTokens = Math.max(0, ...held);
+    const maxCachedTokens = Math.max(0, ...cached);
     return endpoints.map((endpoint, index) => ({
       endpoint,
-      heldTokens: held[index] ?? 0,
-      likelyTokens: likelyTokens({
+      cachedTokens: cached[index] ?? 0,
+      likelyCachedTokens: likelyTokens({
         isHome: endpoint.entry.id === homeId,
         sharedTokens,
-        mostHeldTokens,
+        maxCachedTokens,
       }),
     }));
   }
 
-  #memoryOf({ service }: ChainReader, endpointId: string): EndpointMemory {
-    return this.#ledger.memoryOf(endpointId, this.#capacityOf(service));
+  #promptCacheOf({ service }: ChainReader, endpointId: string): PromptCache {
+    return this.#tracker.promptCacheOf(endpointId, this.#capacityOf(service));
   }
 
-  /** Memory of one endpoint of a service for prompts, tokens. */
+  /** Prompt cache capacity of one endpoint of a service, tokens. */
   #capacityOf(service: string): number {
     const { table } = this.#options.configuration;
     const tokens = table?.findService(service)?.engineTokens;
@@ -190,9 +191,9 @@
       : tokens * PROMPT_MEMORY_SHARE;
   }
 
-  /** Says that a request was read, or won't be. */
-  ended(attemptId: string): void {
-    this.#ledger.ended(attemptId);
+  /** Records that a request was read, or won't be. */
+  recordEnd(attemptId: string): void {
+    this.#tracker.recordEnd(attemptId);
   }
 }
 
@@ -200,8 +201,8 @@
   return parts.reduce((sum, { tokens }) => sum + tokens, 0);
 }
 
-/** The endpoint that a prompt goes to while nobody is known to keep it. */
-function homeOf(
+/** Endpoint that reads a prompt first while no endpoint is known to cache it. */
+function homeEndpointId(
   { promptParts }: ChainReader,
   endpoints: readonly EndpointState[],
 ): string | undefined {
--- a/packages/kelpspar-scenarios/src/ablation/mechanisms.ts
+++ b/packages/kelpspar-scenarios/src/ablation/mechanisms.ts
@@ -19,14 +19,14 @@
   {
     name: "memory-in-placement",
     file: `${GATEWAY}/placement/choose_reader.ts`,
-    code: "const pressure = Math.max(0, yielding) * YIELD_SHARE;",
-    without: "const pressure = 0 * yielding * YIELD_SHARE;",
+    code: "const evictionCost = Math.max(0, evicted) * EVICTION_SHARE;",
+    without: "const evictionCost = 0 * evicted * EVICTION_SHARE;",
   },
   {
     name: "bytes-in-placement",
     file: `${GATEWAY}/placement/choose_reader.ts`,
-    code: "return reading + fetchCost + crossing + pressure;",
-    without: "return reading + fetchCost + 0 * crossing + pressure;",
+    code: "return reading + fetchCost + crossing + evictionCost;",
+    without: "return reading + fetchCost + 0 * crossing + evictionCost;",
   },
   {
     name: "route-priority-within-accounts",
@@ -43,8 +43,9 @@
   {
     name: "admission-by-what-goes-before",
     file: `${GATEWAY}/pieces/backlog.ts`,
-    code: "chain.request.priority <= priority ? 1 : BEHIND_SHARE",
-    without: "chain.request.priority <= priority ? 1 : 0 * BEHIND_SHARE + 1",
+    code: "chain.request.priority <= priority ? 1 : LESS_URGENT_SHARE",
+    without:
+      "chain.request.priority <= priority ? 1 : 0 * LESS_URGENT_SHARE + 1",
   },
   {
     name: "returning-callers-known",
@@ -61,8 +62,8 @@
   {
     name: "far-pieces-fill-calls",
     file: `${GATEWAY}/pieces/plan_call.ts`,
-    code: "...(isPressed ? far : [])",
-    without: "...(isPressed ? [] : [])",
+    code: "...(hasHighBacklog ? far : [])",
+    without: "...(hasHighBacklog ? [] : [])",
   },
   {
     name: "begun-stages-first",
@@ -84,15 +85,15 @@
   },
   {
     name: "doubling-of-overdue-calls",
-    file: `${GATEWAY}/pieces/service_desk.ts`,
-    code: "this.#repeats.double(call.tasks);",
+    file: `${GATEWAY}/pieces/stage_scheduler.ts`,
+    code: "this.#retries.hedge(call.tasks);",
     without: "",
   },
   {
     name: "learned-room",
     file: `${GATEWAY}/pieces/learn_room.ts`,
-    code: "if (lane.isRoomAsked) return;",
-    without: "if (!lane.isRoomAsked) lane.foreignBytes = 0;\n  return;",
+    code: "if (target.isRoomPolled) return;",
+    without: "if (!target.isRoomPolled) target.foreignBytes = 0;\n  return;",
   },
   {
     name: "leaving-endpoints-keep-work",
--- a/packages/kelpspar-scenarios/src/guards/guards.ts
+++ b/packages/kelpspar-scenarios/src/guards/guards.ts
@@ -65,8 +65,8 @@
   {
     name: "a kind that gets next to nothing goes first",
     file: `${GATEWAY}/pieces/piece_coordinator.ts`,
-    code: "if (!isOwed) return request;",
-    without: "if (!isOwed || isOwed) return request;",
+    code: "if (!isStarved) return request;",
+    without: "if (!isStarved || isStarved) return request;",
     noticedBy: `${GATEWAY_TESTS}/long_flood_test.ts`,
   },
   {
@@ -149,7 +149,7 @@
   {
     name: "a piece is sent with all its inputs only",
     file: `${GATEWAY}/pieces/piece_queue.ts`,
-    code: "&& facts.hasInputs(task)",
+    code: "&&\n        stageCache.hasInputs(task)",
     without: "",
     noticedBy: `${GATEWAY_TESTS}/piece_coordinator_test.ts`,
   },
