--- a/packages/kelpspar-gateway/src/__tests__/support/play_limited_load.ts
+++ b/packages/kelpspar-gateway/src/__tests__/support/play_limited_load.ts
@@ -1,8 +1,8 @@
-import type { EndpointChooser } from "../../endpoints/endpoint_gate.ts";
+import type { EndpointChooser } from "../../endpoints/endpoint_rate_limiter.ts";
 import type { EndpointState } from "../../endpoints/endpoint_state.ts";
 import { SeededRandom } from "kelpspar-shared";
-import { EndpointBook } from "../../endpoints/endpoint_book.ts";
-import { EndpointGate } from "../../endpoints/endpoint_gate.ts";
+import { EndpointBook } from "../../endpoints/endpoint_registry.ts";
+import { EndpointGate } from "../../endpoints/endpoint_rate_limiter.ts";
 import { EndpointLimits } from "../../endpoints/endpoint_limits.ts";
 import { configurationOf } from "./configuration_of.ts";
 
--- a/packages/kelpspar-gateway/src/__tests__/support/play_stage_load.ts
+++ b/packages/kelpspar-gateway/src/__tests__/support/play_stage_load.ts
@@ -8,9 +8,9 @@
 } from "./simulated_stages.ts";
 import { ManualTimer, SeededRandom } from "kelpspar-shared";
 import { ConfigurationKeeper } from "../../configuration/configuration_keeper.ts";
-import { EndpointGate } from "../../endpoints/endpoint_gate.ts";
+import { EndpointGate } from "../../endpoints/endpoint_rate_limiter.ts";
 import { EndpointLimits } from "../../endpoints/endpoint_limits.ts";
-import { EndpointBook } from "../../endpoints/endpoint_book.ts";
+import { EndpointBook } from "../../endpoints/endpoint_registry.ts";
 import { PieceCoordinator } from "../../pieces/piece_coordinator.ts";
 import { ServiceRetryBudget } from "../../retries/service_retry_budget.ts";
 import { SimulatedStages } from "./simulated_stages.ts";
--- a/packages/kelpspar-gateway/src/__tests__/unit/endpoint_gate_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/endpoint_gate_test.ts
@@ -1,13 +1,13 @@
 import type { ConfigurationKeeper } from "../../configuration/configuration_keeper.ts";
 import type { EndpointEntry } from "../../endpoints/endpoint_entry.ts";
-import type { EndpointChooser } from "../../endpoints/endpoint_gate.ts";
+import type { EndpointChooser } from "../../endpoints/endpoint_rate_limiter.ts";
 import { expect } from "earl";
 import { ManualTimer, SeededRandom } from "kelpspar-shared";
 import { test } from "node:test";
 import { chooseEndpoint } from "../../endpoints/choose_endpoint.ts";
-import { EndpointGate } from "../../endpoints/endpoint_gate.ts";
+import { EndpointGate } from "../../endpoints/endpoint_rate_limiter.ts";
 import { EndpointLimits } from "../../endpoints/endpoint_limits.ts";
-import { EndpointBook } from "../../endpoints/endpoint_book.ts";
+import { EndpointBook } from "../../endpoints/endpoint_registry.ts";
 import { ReaderPlacement } from "../../placement/reader_placement.ts";
 import { configurationOf } from "../support/configuration_of.ts";
 
--- a/packages/kelpspar-gateway/src/__tests__/unit/evacuated_zone_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/evacuated_zone_test.ts
@@ -1,7 +1,7 @@
 import type { EndpointEntry } from "../../endpoints/endpoint_entry.ts";
 import { expect } from "earl";
 import { test } from "node:test";
-import { EndpointBook } from "../../endpoints/endpoint_book.ts";
+import { EndpointBook } from "../../endpoints/endpoint_registry.ts";
 import {
   createWorld,
   request,
--- a/packages/kelpspar-gateway/src/__tests__/unit/fleet_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/fleet_test.ts
@@ -4,9 +4,9 @@
 import { ManualTimer, SeededRandom } from "kelpspar-shared";
 import { test } from "node:test";
 import { ConfigurationKeeper } from "../../configuration/configuration_keeper.ts";
-import { EXCHANGE_MILLISECONDS, Fleet } from "../../fleet/fleet.ts";
+import { EXCHANGE_MILLISECONDS, Fleet } from "../../fleet/fleet_gossip.ts";
 import { FleetMembership } from "../../fleet/fleet_membership.ts";
-import { PartnerRounds } from "../../fleet/partner_rounds.ts";
+import { PartnerRounds } from "../../fleet/gossip_partners.ts";
 import { StoreEra } from "../../tables/store_era.ts";
 
 function address(daemonId: string): DaemonAddress {
--- a/packages/kelpspar-gateway/src/__tests__/unit/lapse_window_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/lapse_window_test.ts
@@ -1,6 +1,6 @@
 import { expect } from "earl";
 import { test } from "node:test";
-import { LapseWindow } from "../../endpoints/lapse_window.ts";
+import { LapseWindow } from "../../endpoints/missing_entry_grace_period.ts";
 
 function createWindow(
   options: { readonly drain?: number; readonly contact?: number } = {},
--- a/packages/kelpspar-gateway/src/__tests__/unit/limited_trials_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/limited_trials_test.ts
@@ -1,6 +1,6 @@
 import { expect } from "earl";
 import { test } from "node:test";
-import { EndpointBook } from "../../endpoints/endpoint_book.ts";
+import { EndpointBook } from "../../endpoints/endpoint_registry.ts";
 import { LimitedTrials } from "../../requests/limited_trials.ts";
 
 // Guards against an endpoint that stays unused long after its limit ended.
--- a/packages/kelpspar-gateway/src/__tests__/unit/list_times_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/list_times_test.ts
@@ -1,6 +1,6 @@
 import { expect } from "earl";
 import { test } from "node:test";
-import { listTimes } from "../../endpoints/list_times.ts";
+import { listTimes } from "../../endpoints/list_timing.ts";
 
 test("all waits for the list together end before bounds hold again", () => {
   for (const drainMilliseconds of [1_000, 1_500, 2_000, 3_000]) {
--- a/packages/kelpspar-gateway/src/__tests__/unit/notice_handlers_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/notice_handlers_test.ts
@@ -3,12 +3,12 @@
 import { ManualTimer, SeededRandom } from "kelpspar-shared";
 import { test } from "node:test";
 import { chooseEndpoint } from "../../endpoints/choose_endpoint.ts";
-import { EndpointBook } from "../../endpoints/endpoint_book.ts";
+import { EndpointBook } from "../../endpoints/endpoint_registry.ts";
 import { EndpointLeavings } from "../../endpoints/endpoint_leavings.ts";
 import { EndpointLimits } from "../../endpoints/endpoint_limits.ts";
 import { EndpointNotices } from "../../endpoints/endpoint_notices.ts";
 import { createNoticeListener } from "../../endpoints/notice_handlers.ts";
-import { pauseOfAll } from "../../endpoints/pause_of_all.ts";
+import { pauseOfAll } from "../../endpoints/shortest_pause.ts";
 
 const ENTRY: EndpointEntry = {
   id: "i1",
--- a/packages/kelpspar-gateway/src/__tests__/unit/prompt_home_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/prompt_home_test.ts
@@ -3,9 +3,9 @@
 import { ManualTimer, SeededRandom } from "kelpspar-shared";
 import { test } from "node:test";
 import { ConfigurationKeeper } from "../../configuration/configuration_keeper.ts";
-import { EndpointGate } from "../../endpoints/endpoint_gate.ts";
+import { EndpointGate } from "../../endpoints/endpoint_rate_limiter.ts";
 import { EndpointLimits } from "../../endpoints/endpoint_limits.ts";
-import { EndpointBook } from "../../endpoints/endpoint_book.ts";
+import { EndpointBook } from "../../endpoints/endpoint_registry.ts";
 import { ReaderPlacement } from "../../placement/reader_placement.ts";
 
 const ENDPOINTS = 12;
--- a/packages/kelpspar-gateway/src/__tests__/unit/quarantine_sync_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/quarantine_sync_test.ts
@@ -3,7 +3,7 @@
 import { expect } from "earl";
 import { ManualTimer, SeededRandom } from "kelpspar-shared";
 import { test } from "node:test";
-import { EXCHANGE_MILLISECONDS } from "../../fleet/fleet.ts";
+import { EXCHANGE_MILLISECONDS } from "../../fleet/fleet_gossip.ts";
 import { Quarantine } from "../../quarantine/quarantine.ts";
 import { QuarantineSync } from "../../quarantine/quarantine_sync.ts";
 
--- a/packages/kelpspar-gateway/src/endpoints/choose_endpoint.ts
+++ b/packages/kelpspar-gateway/src/endpoints/choose_endpoint.ts
@@ -1,6 +1,6 @@
 import type { RandomSource } from "kelpspar-shared";
 import type { EndpointState } from "./endpoint_state.ts";
-import { preferSound } from "./prefer_sound.ts";
+import { preferSound } from "./prefer_healthy.ts";
 import { RendezvousNodes } from "kelpspar-decisions/routing";
 
 /**
--- a/packages/kelpspar-gateway/src/endpoints/endpoint_leavings.ts
+++ b/packages/kelpspar-gateway/src/endpoints/endpoint_leavings.ts
@@ -1,4 +1,4 @@
-import type { EndpointLife } from "./return_watch.ts";
+import type { EndpointLife } from "./return_tracker.ts";
 import { hashText } from "kelpspar-decisions/routing";
 
 /** A life of an endpoint that leaves, and how long ago it said so. */
--- a/packages/kelpspar-gateway/src/endpoints/endpoint_book.ts
+++ b/packages/kelpspar-gateway/src/endpoints/endpoint_registry.ts
@@ -1,7 +1,7 @@
 import type { EndpointEntry } from "./endpoint_entry.ts";
-import type { EndpointLife } from "./return_watch.ts";
+import type { EndpointLife } from "./return_tracker.ts";
 import { EndpointState } from "./endpoint_state.ts";
-import { ReturnWatch } from "./return_watch.ts";
+import { ReturnWatch } from "./return_tracker.ts";
 
 /**
  * Why an endpoint takes no more new work: it is leaving and goes on for a
--- a/packages/kelpspar-gateway/src/endpoints/notice_handlers.ts
+++ b/packages/kelpspar-gateway/src/endpoints/notice_handlers.ts
@@ -1,7 +1,7 @@
 import type { TimerService } from "kelpspar-shared";
 import type { AnomalyLog } from "../log/anomaly_log.ts";
 import type { GatewayLog } from "../log/gateway_log.ts";
-import type { EndpointBook } from "./endpoint_book.ts";
+import type { EndpointBook } from "./endpoint_registry.ts";
 import type { EndpointLeavings } from "./endpoint_leavings.ts";
 import type { EndpointLimits } from "./endpoint_limits.ts";
 import type {
--- a/packages/kelpspar-gateway/src/endpoints/notice_sync.ts
+++ b/packages/kelpspar-gateway/src/endpoints/notice_sync.ts
@@ -5,7 +5,7 @@
 import type { EndpointLeavings } from "./endpoint_leavings.ts";
 import type { EndpointLimits } from "./endpoint_limits.ts";
 import type { NoticePage } from "./notice_page.ts";
-import { KnowledgeSync } from "../fleet/knowledge_sync.ts";
+import { KnowledgeSync } from "../fleet/gossip_sync.ts";
 
 /** Daemons that are told at once of what an answer said here, */
 const PEERS_TOLD = 8;
--- a/packages/kelpspar-gateway/src/fleet/fleet.ts
+++ b/packages/kelpspar-gateway/src/fleet/fleet_gossip.ts
@@ -8,8 +8,8 @@
 import type { FleetMembership } from "./fleet_membership.ts";
 import type { OwnState } from "./member_record.ts";
 import type { PeerClient } from "./peer_client.ts";
-import { isRefused } from "./is_refused.ts";
-import { PartnerRounds } from "./partner_rounds.ts";
+import { isRefused } from "./is_connection_refused.ts";
+import { PartnerRounds } from "./gossip_partners.ts";
 
 /** How often digests are exchanged, milliseconds. */
 export const EXCHANGE_MILLISECONDS = 400;
--- a/packages/kelpspar-gateway/src/fleet/fleet_membership.ts
+++ b/packages/kelpspar-gateway/src/fleet/fleet_membership.ts
@@ -3,7 +3,7 @@
 import type { ReaderCandidate } from "../tables/reading_plan.ts";
 import type { FleetView } from "./fleet_view.ts";
 import type { Member, MemberRecord, OwnState } from "./member_record.ts";
-import type { SilenceLimits } from "./silence_limits.ts";
+import type { SilenceLimits } from "./heartbeat_timeouts.ts";
 import { createFleetView, rankTrusted } from "./fleet_view.ts";
 import { createRecord } from "./member_record.ts";
 import {
@@ -14,7 +14,7 @@
   packHeartbeats,
   unpackHeartbeats,
 } from "./packed_heartbeats.ts";
-import { silenceLimits } from "./silence_limits.ts";
+import { silenceLimits } from "./heartbeat_timeouts.ts";
 
 /** Who this daemon is. */
 export interface FleetMembershipOptions {
--- a/packages/kelpspar-gateway/src/fleet/fleet_view.ts
+++ b/packages/kelpspar-gateway/src/fleet/fleet_view.ts
@@ -1,6 +1,6 @@
 import type { DaemonAddress } from "./fleet_digest.ts";
 import type { Member, MemberRecord } from "./member_record.ts";
-import type { SilenceLimits } from "./silence_limits.ts";
+import type { SilenceLimits } from "./heartbeat_timeouts.ts";
 import { rankByCores } from "./rank_by_cores.ts";
 
 /** Lists of daemons at one moment, worked out once for many questions. */
--- a/packages/kelpspar-gateway/src/fleet/peer_client.ts
+++ b/packages/kelpspar-gateway/src/fleet/peer_client.ts
@@ -21,7 +21,7 @@
 } from "../quarantine/crash_message.ts";
 import { followAnswerSchema } from "../tables/table_changes.ts";
 import { PEER_PATH } from "./peer_listener.ts";
-import { SilentConnections } from "./silent_connections.ts";
+import { SilentConnections } from "./silent_connection_detector.ts";
 
 /** How long a short call to a peer may take, milliseconds. */
 const SHORT_CALL_MILLISECONDS = 600;
--- a/packages/kelpspar-gateway/src/pieces/endpoint_lane.ts
+++ b/packages/kelpspar-gateway/src/pieces/endpoint_lane.ts
@@ -1,5 +1,5 @@
 import type { PieceTerms } from "../configuration/service_definition.ts";
-import type { EndpointGate } from "../endpoints/endpoint_gate.ts";
+import type { EndpointGate } from "../endpoints/endpoint_rate_limiter.ts";
 import type { EndpointState } from "../endpoints/endpoint_state.ts";
 import type { PieceResult } from "./chain_outcome.ts";
 import type { RunningCall } from "./running_call.ts";
--- a/packages/kelpspar-gateway/src/pieces/piece_coordinator.ts
+++ b/packages/kelpspar-gateway/src/pieces/piece_coordinator.ts
@@ -3,8 +3,8 @@
 import type {
   EndpointBook,
   EndpointGoneCause,
-} from "../endpoints/endpoint_book.ts";
-import type { EndpointGate } from "../endpoints/endpoint_gate.ts";
+} from "../endpoints/endpoint_registry.ts";
+import type { EndpointGate } from "../endpoints/endpoint_rate_limiter.ts";
 import type { GatewayLog } from "../log/gateway_log.ts";
 import type { ServiceRetryBudget } from "../retries/service_retry_budget.ts";
 import type { Placement } from "../placement/reader_place.ts";
--- a/packages/kelpspar-gateway/src/pieces/service_desk_options.ts
+++ b/packages/kelpspar-gateway/src/pieces/service_desk_options.ts
@@ -1,7 +1,7 @@
 import type { TimerService } from "kelpspar-shared";
 import type { PieceTerms } from "../configuration/service_definition.ts";
-import type { EndpointBook } from "../endpoints/endpoint_book.ts";
-import type { EndpointGate } from "../endpoints/endpoint_gate.ts";
+import type { EndpointBook } from "../endpoints/endpoint_registry.ts";
+import type { EndpointGate } from "../endpoints/endpoint_rate_limiter.ts";
 import type { GatewayLog } from "../log/gateway_log.ts";
 import type { ServiceRetryBudget } from "../retries/service_retry_budget.ts";
 import type { PieceResult } from "./chain_outcome.ts";
--- a/packages/kelpspar-gateway/src/pieces/service_lanes.ts
+++ b/packages/kelpspar-gateway/src/pieces/service_lanes.ts
@@ -1,9 +1,9 @@
 import type { PieceTerms } from "../configuration/service_definition.ts";
-import type { EndpointBook } from "../endpoints/endpoint_book.ts";
-import type { EndpointGate } from "../endpoints/endpoint_gate.ts";
+import type { EndpointBook } from "../endpoints/endpoint_registry.ts";
+import type { EndpointGate } from "../endpoints/endpoint_rate_limiter.ts";
 import type { EndpointState } from "../endpoints/endpoint_state.ts";
 import type { PieceResult } from "./chain_outcome.ts";
-import { preferSound } from "../endpoints/prefer_sound.ts";
+import { preferSound } from "../endpoints/prefer_healthy.ts";
 import { EndpointLane } from "./endpoint_lane.ts";
 
 /** What lanes are made with. */
--- a/packages/kelpspar-gateway/src/placement/reader_placement.ts
+++ b/packages/kelpspar-gateway/src/placement/reader_placement.ts
@@ -1,14 +1,14 @@
 import type { TimerService } from "kelpspar-shared";
 import type { ConfigurationKeeper } from "../configuration/configuration_keeper.ts";
-import type { EndpointGate } from "../endpoints/endpoint_gate.ts";
-import type { EndpointBook } from "../endpoints/endpoint_book.ts";
+import type { EndpointGate } from "../endpoints/endpoint_rate_limiter.ts";
+import type { EndpointBook } from "../endpoints/endpoint_registry.ts";
 import type { EndpointState } from "../endpoints/endpoint_state.ts";
 import type { PieceResult } from "../pieces/chain_outcome.ts";
 import type { PromptPart } from "../requests/serving_request.ts";
 import type { ReaderCandidate } from "./choose_reader.ts";
 import type { EndpointMemory } from "./endpoint_memory.ts";
 import type { ChainReader, Placement } from "./reader_place.ts";
-import { preferSound } from "../endpoints/prefer_sound.ts";
+import { preferSound } from "../endpoints/prefer_healthy.ts";
 import { promptAffinity } from "../requests/prompt_affinity.ts";
 import { chooseReader } from "./choose_reader.ts";
 import { likelyTokens } from "./likely_tokens.ts";
--- a/packages/kelpspar-gateway/src/quarantine/quarantine_sync.ts
+++ b/packages/kelpspar-gateway/src/quarantine/quarantine_sync.ts
@@ -4,7 +4,7 @@
 import type { PeerClient } from "../fleet/peer_client.ts";
 import type { GatewayLog } from "../log/gateway_log.ts";
 import type { Quarantine, QuarantineSource } from "./quarantine.ts";
-import { KnowledgeSync } from "../fleet/knowledge_sync.ts";
+import { KnowledgeSync } from "../fleet/gossip_sync.ts";
 
 /** Daemons that are told at once, by the source of the news. */
 const PEERS_TOLD: Readonly<Record<QuarantineSource, number>> = {
--- a/packages/kelpspar-gateway/src/requests/chain_client.ts
+++ b/packages/kelpspar-gateway/src/requests/chain_client.ts
@@ -7,7 +7,7 @@
 import type { ChainOutcome } from "../pieces/chain_outcome.ts";
 import type { ChainRelease, ChainRequest } from "../pieces/chain_request.ts";
 import type { PieceCoordinator } from "../pieces/piece_coordinator.ts";
-import { isRefused } from "../fleet/is_refused.ts";
+import { isRefused } from "../fleet/is_connection_refused.ts";
 
 /** The one key by which all daemons rank the coordinators of stages. */
 const COORDINATOR_KEY = "stages";
--- a/packages/kelpspar-gateway/src/requests/limited_trials.ts
+++ b/packages/kelpspar-gateway/src/requests/limited_trials.ts
@@ -1,5 +1,5 @@
-import type { EndpointBook } from "../endpoints/endpoint_book.ts";
-import type { EndpointGate } from "../endpoints/endpoint_gate.ts";
+import type { EndpointBook } from "../endpoints/endpoint_registry.ts";
+import type { EndpointGate } from "../endpoints/endpoint_rate_limiter.ts";
 
 /** How often a daemon asks for a service, milliseconds. */
 const TRIAL_MILLISECONDS = 1_000;
--- a/packages/kelpspar-gateway/src/requests/request_dispatch.ts
+++ b/packages/kelpspar-gateway/src/requests/request_dispatch.ts
@@ -2,7 +2,7 @@
 import type { EndpointRefusal } from "./endpoint_call.ts";
 import type { RequestRun } from "./request_run.ts";
 import type { Answered, Sent } from "./sent.ts";
-import { pauseOfAll } from "../endpoints/pause_of_all.ts";
+import { pauseOfAll } from "../endpoints/shortest_pause.ts";
 import { EndpointSender } from "./endpoint_sender.ts";
 import { findPlace } from "./find_place.ts";
 import { readBody } from "./read_body.ts";
--- a/packages/kelpspar-gateway/src/requests/request_parts.ts
+++ b/packages/kelpspar-gateway/src/requests/request_parts.ts
@@ -1,7 +1,7 @@
 import type { RandomSource, TimerService } from "kelpspar-shared";
 import type { ConfigurationKeeper } from "../configuration/configuration_keeper.ts";
-import type { EndpointGate } from "../endpoints/endpoint_gate.ts";
-import type { EndpointBook } from "../endpoints/endpoint_book.ts";
+import type { EndpointGate } from "../endpoints/endpoint_rate_limiter.ts";
+import type { EndpointBook } from "../endpoints/endpoint_registry.ts";
 import type { GatewayLog } from "../log/gateway_log.ts";
 import type { GatewayMetrics } from "../metrics/gateway_metrics.ts";
 import type { CrashWatch } from "../quarantine/crash_watch.ts";
--- a/packages/kelpspar-gateway/src/requests/request_service.ts
+++ b/packages/kelpspar-gateway/src/requests/request_service.ts
@@ -5,7 +5,7 @@
 import type { RequestParts } from "./request_parts.ts";
 import type { OwnAnswer, RequestReply } from "./request_reply.ts";
 import type { ServingRequest } from "./serving_request.ts";
-import { pauseOfAll } from "../endpoints/pause_of_all.ts";
+import { pauseOfAll } from "../endpoints/shortest_pause.ts";
 import { chainOf, readerOf, stagesOf } from "./chain_of_request.ts";
 import { chooseTarget } from "./choose_target.ts";
 import { findPlace } from "./find_place.ts";
--- a/packages/kelpspar-gateway/src/tables/shared_tables.ts
+++ b/packages/kelpspar-gateway/src/tables/shared_tables.ts
@@ -1,5 +1,5 @@
 import type { RandomSource, TimerService } from "kelpspar-shared";
-import type { LapseWindow } from "../endpoints/lapse_window.ts";
+import type { LapseWindow } from "../endpoints/missing_entry_grace_period.ts";
 import type { AnomalyLog } from "../log/anomaly_log.ts";
 import type { GatewayLog } from "../log/gateway_log.ts";
 import type { ReadingPlan } from "./reading_plan.ts";
--- a/packages/kelpspar-gateway/src/tables/table_relay.ts
+++ b/packages/kelpspar-gateway/src/tables/table_relay.ts
@@ -1,5 +1,5 @@
 import type { TimerService } from "kelpspar-shared";
-import type { LapseWindow } from "../endpoints/lapse_window.ts";
+import type { LapseWindow } from "../endpoints/missing_entry_grace_period.ts";
 import type { ListFreshness } from "./list_freshness.ts";
 import type { StoreEra } from "./store_era.ts";
 import type { FollowAnswer, FollowRequest } from "./table_changes.ts";
--- a/packages/kelpspar-scenarios/src/guards/notice_guards.ts
+++ b/packages/kelpspar-scenarios/src/guards/notice_guards.ts
@@ -7,14 +7,14 @@
 export const NOTICE_GUARDS: readonly Guard[] = [
   {
     name: "a named limit binds",
-    file: `${GATEWAY}/endpoints/endpoint_gate.ts`,
+    file: `${GATEWAY}/endpoints/endpoint_rate_limiter.ts`,
     code: "if (named === undefined) return cold;",
     without: "if (named !== cold) return cold;",
     noticedBy: `${TESTS}/limited_load_test.ts`,
   },
   {
     name: "an endpoint that takes nothing is asked now and then",
-    file: `${GATEWAY}/endpoints/endpoint_gate.ts`,
+    file: `${GATEWAY}/endpoints/endpoint_rate_limiter.ts`,
     code: "return Math.max(LEAST_PER_SECOND, Math.min(named, cold ?? named));",
     without: "return Math.min(named, cold ?? named);",
     noticedBy: `${TESTS}/limited_load_test.ts`,
--- a/packages/kelpspar-scenarios/src/guards/quarantine_guards.ts
+++ b/packages/kelpspar-scenarios/src/guards/quarantine_guards.ts
@@ -43,7 +43,7 @@
   },
   {
     name: "daemons that know different crashes share them",
-    file: `${GATEWAY}/fleet/knowledge_sync.ts`,
+    file: `${GATEWAY}/fleet/gossip_sync.ts`,
     code: "if (checksum !== this.checksum) void this.#share(peer);",
     without: "",
     noticedBy: `${GATEWAY_TESTS}/quarantine_sync_test.ts`,
@@ -71,7 +71,7 @@
   },
   {
     name: "a pause keeps an endpoint out of the choice",
-    file: `${GATEWAY}/endpoints/prefer_sound.ts`,
+    file: `${GATEWAY}/endpoints/prefer_healthy.ts`,
     code: "endpoints.filter((one) => one.pauseLeft(now) === 0)",
     without: "endpoints",
     noticedBy: `${GATEWAY_TESTS}/notice_handlers_test.ts`,
