--- a/packages/kelpspar-gateway/src/requests/request_dependencies.ts
+++ b/packages/kelpspar-gateway/src/requests/request_dependencies.ts
@@ -1,7 +1,7 @@
 import type { RandomSource, TimerService } from "kelpspar-shared";
 import type { ActiveConfiguration } from "../configuration/active_configuration.ts";
-import type { EndpointGate } from "../endpoints/endpoint_gate.ts";
-import type { EndpointBook } from "../endpoints/endpoint_book.ts";
+import type { EndpointGate } from "../endpoints/endpoint_rate_limiter.ts";
+import type { EndpointBook } from "../endpoints/endpoint_registry.ts";
 import type { GatewayLog } from "../log/gateway_log.ts";
 import type { GatewayMetrics } from "../metrics/gateway_metrics.ts";
 import type { CrashDetector } from "../quarantine/crash_detector.ts";
--- a/packages/kelpspar-gateway/src/requests/request_service.ts
+++ b/packages/kelpspar-gateway/src/requests/request_service.ts
@@ -5,7 +5,7 @@
 import type { RequestDependencies } from "./request_dependencies.ts";
 import type { DaemonAnswer, RequestReply } from "./request_reply.ts";
 import type { ServingRequest } from "./serving_request.ts";
-import { pauseOfAll } from "../endpoints/pause_of_all.ts";
+import { pauseOfAll } from "../endpoints/shortest_pause.ts";
 import {
   createChainReader,
   createChainRequest,
