--- a/packages/kelpspar-gateway/src/__tests__/support/play_limited_load.ts
+++ b/packages/kelpspar-gateway/src/__tests__/support/play_limited_load.ts
@@ -1,8 +1,8 @@
 import type { EndpointChooser } from "../../endpoints/endpoint_rate_limiter.ts";
 import type { EndpointState } from "../../endpoints/endpoint_state.ts";
 import { SeededRandom } from "kelpspar-shared";
-import { EndpointBook } from "../../endpoints/endpoint_registry.ts";
-import { EndpointGate } from "../../endpoints/endpoint_rate_limiter.ts";
+import { EndpointRegistry } from "../../endpoints/endpoint_registry.ts";
+import { EndpointRateLimiter } from "../../endpoints/endpoint_rate_limiter.ts";
 import { EndpointLimits } from "../../endpoints/endpoint_limits.ts";
 import { configurationOf } from "./configuration_of.ts";
 
@@ -49,10 +49,10 @@
     engineSlots: load.isModel === true ? 64 : undefined,
   }]);
   const book = createBook(load.endpoints);
-  const endpoints = book.ofService(SERVICE);
+  const endpoints = book.availableFor(SERVICE);
   const sentAt = endpoints.map((): number[] => []);
-  const createGate = (chooser: EndpointChooser): EndpointGate =>
-    new EndpointGate({
+  const createGate = (chooser: EndpointChooser): EndpointRateLimiter =>
+    new EndpointRateLimiter({
       chooser,
       configuration,
       limits,
@@ -72,7 +72,7 @@
   let due = 0;
   for (let now = 0; now < load.milliseconds; now += STEP_MILLISECONDS) {
     for (const { entry } of endpoints) {
-      limits.tell(entry, load.limitAt(now), now);
+      limits.record(entry, load.limitAt(now), now);
     }
     const { restartEveryMilliseconds: every } = load;
     if (every !== undefined && now > 0 && now % every === 0) {
@@ -83,13 +83,13 @@
       asked++;
       const index = random.nextInteger(load.daemons);
       const coordinator = coordinators[index % coordinators.length];
-      const gates = [daemons[index], coordinator] as EndpointGate[];
+      const gates = [daemons[index], coordinator] as EndpointRateLimiter[];
       const sent = send(endpoints, gates, now);
       if (sent !== undefined) sentAt[sent]?.push(now);
     }
     // Each daemon looks at every endpoint, whether it needs it or not.
     for (const gate of daemons) {
-      for (const one of endpoints) gate.isOpen(one, now);
+      for (const one of endpoints) gate.isWithinLimit(one, now);
     }
   }
   return { sentAt, asked };
@@ -108,23 +108,23 @@
 
 function send(
   endpoints: readonly EndpointState[],
-  gates: readonly EndpointGate[],
+  gates: readonly EndpointRateLimiter[],
   now: number,
 ): number | undefined {
   for (const gate of gates) {
-    const index = endpoints.findIndex((one) => gate.isOpen(one, now));
+    const index = endpoints.findIndex((one) => gate.isWithinLimit(one, now));
     const chosen = endpoints[index];
     if (chosen === undefined) continue;
-    gate.chosen(chosen, now);
+    gate.recordRequest(chosen, now);
     return index;
   }
   return undefined;
 }
 
-function createBook(endpoints: number): EndpointBook {
-  const book = new EndpointBook();
+function createBook(endpoints: number): EndpointRegistry {
+  const book = new EndpointRegistry();
   for (let index = 0; index < endpoints; index++) {
-    book.put({
+    book.upsert({
       id: `i${index}`,
       bornAt: 1,
       service: SERVICE,
--- a/packages/kelpspar-gateway/src/__tests__/support/play_stage_load.ts
+++ b/packages/kelpspar-gateway/src/__tests__/support/play_stage_load.ts
@@ -8,9 +8,9 @@
 } from "./simulated_stages.ts";
 import { ManualTimer, SeededRandom } from "kelpspar-shared";
 import { ConfigurationKeeper } from "../../configuration/configuration_keeper.ts";
-import { EndpointGate } from "../../endpoints/endpoint_rate_limiter.ts";
+import { EndpointRateLimiter } from "../../endpoints/endpoint_rate_limiter.ts";
 import { EndpointLimits } from "../../endpoints/endpoint_limits.ts";
-import { EndpointBook } from "../../endpoints/endpoint_registry.ts";
+import { EndpointRegistry } from "../../endpoints/endpoint_registry.ts";
 import { PieceCoordinator } from "../../pieces/piece_coordinator.ts";
 import { ServiceRetryBudget } from "../../retries/service_retry_budget.ts";
 import { SimulatedStages } from "./simulated_stages.ts";
@@ -83,7 +83,7 @@
   const timer = new ManualTimer();
   const random = new SeededRandom(load.seed);
   const configuration = new ConfigurationKeeper();
-  const book = new EndpointBook();
+  const book = new EndpointRegistry();
   const stagesOf = new Map<string, readonly ChainStage[]>();
   const client = new SimulatedStages({
     services: load.services,
@@ -100,7 +100,7 @@
     configuration,
     book,
     client,
-    gate: new EndpointGate({
+    gate: new EndpointRateLimiter({
       chooser: "coordinator",
       limits: new EndpointLimits(),
       configuration,
@@ -133,7 +133,7 @@
   });
   for (const { name, zones } of load.services) {
     for (const [index, zone] of zones.entries()) {
-      book.put({
+      book.upsert({
         id: `${name}-${index}`,
         bornAt: 0,
         service: name,
--- a/packages/kelpspar-gateway/src/__tests__/support/request_world.ts
+++ b/packages/kelpspar-gateway/src/__tests__/support/request_world.ts
@@ -13,8 +13,8 @@
 import { ManualTimer, SeededRandom } from "kelpspar-shared";
 import { Readable } from "node:stream";
 import { ConfigurationKeeper } from "../../configuration/configuration_keeper.ts";
-import { EndpointGate } from "../../endpoints/endpoint_rate_limiter.ts";
-import { EndpointBook } from "../../endpoints/endpoint_registry.ts";
+import { EndpointRateLimiter } from "../../endpoints/endpoint_rate_limiter.ts";
+import { EndpointRegistry } from "../../endpoints/endpoint_registry.ts";
 import { EndpointLimits } from "../../endpoints/endpoint_limits.ts";
 import { GatewayMetrics } from "../../metrics/gateway_metrics.ts";
 import { CrashWatch } from "../../quarantine/crash_watch.ts";
@@ -94,7 +94,7 @@
   readonly timer: ManualTimer;
   readonly service: RequestService;
   readonly reply: RecordedReply;
-  readonly book: EndpointBook;
+  readonly book: EndpointRegistry;
   readonly calls: EndpointCall[];
   readonly released: string[];
   readonly quarantine: Quarantine;
@@ -132,9 +132,9 @@
     accounts: [{ name: "acme", callerKeys: ["key"], priority: undefined }],
   };
   if (options.isConfigured !== false) configuration.offer(first);
-  const book = new EndpointBook();
+  const book = new EndpointRegistry();
   for (const id of ["i1", "i2", "i3"]) {
-    book.put({
+    book.upsert({
       id,
       bornAt: 0,
       service: "model",
@@ -167,7 +167,7 @@
     configuration,
     book,
     endpoints,
-    gate: new EndpointGate({
+    gate: new EndpointRateLimiter({
       chooser: "daemon",
       limits: options.limits ?? new EndpointLimits(),
       configuration,
--- a/packages/kelpspar-gateway/src/__tests__/unit/chain_client_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/chain_client_test.ts
@@ -37,10 +37,10 @@
   };
   const address = { peer: "10.0.0.2:1" };
   const membership = {
-    ranked: () => [...heard, "self"],
-    heardLately: () => heard,
-    find: () => address,
-    silenceOf: () => 0,
+    rankedDaemons: () => [...heard, "self"],
+    liveMembers: () => heard,
+    findAddress: () => address,
+    silenceMillisecondsOf: () => 0,
     isStalled: () => false,
   } as unknown as FleetMembership;
   const client = new ChainClient({
--- a/packages/kelpspar-gateway/src/__tests__/unit/endpoint_gate_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/endpoint_gate_test.ts
@@ -5,15 +5,15 @@
 import { ManualTimer, SeededRandom } from "kelpspar-shared";
 import { test } from "node:test";
 import { chooseEndpoint } from "../../endpoints/choose_endpoint.ts";
-import { EndpointGate } from "../../endpoints/endpoint_rate_limiter.ts";
+import { EndpointRateLimiter } from "../../endpoints/endpoint_rate_limiter.ts";
 import { EndpointLimits } from "../../endpoints/endpoint_limits.ts";
-import { EndpointBook } from "../../endpoints/endpoint_registry.ts";
+import { EndpointRegistry } from "../../endpoints/endpoint_registry.ts";
 import { ReaderPlacement } from "../../placement/reader_placement.ts";
 import { configurationOf } from "../support/configuration_of.ts";
 
 const COLD_LIMIT = 6;
 const COLD_MILLISECONDS = 3_000;
-/** What the rules allow in any second at an endpoint of that limit. */
+/** Requests that an endpoint with that limit may get in any second. */
 const MOST_IN_A_SECOND = 1.5 * COLD_LIMIT + 5;
 
 function configure(limit: number | undefined): ConfigurationKeeper {
@@ -54,8 +54,8 @@
     readonly limits?: EndpointLimits;
     readonly random?: SeededRandom;
   },
-): EndpointGate {
-  return new EndpointGate({
+): EndpointRateLimiter {
+  return new EndpointRateLimiter({
     chooser,
     limits: options.limits ?? new EndpointLimits(),
     configuration: configure("limit" in options ? options.limit : COLD_LIMIT),
@@ -64,60 +64,61 @@
   });
 }
 
-/** Endpoints chosen by one daemon that has requests without end. */
+/** Endpoints chosen by one daemon with an unlimited supply of requests. */
 function playChoices(
-  book: EndpointBook,
-  gate: EndpointGate,
+  registry: EndpointRegistry,
+  gate: EndpointRateLimiter,
 ): readonly string[] {
   const chosen: string[] = [];
   for (let now = 0; now < 1_000; now += 10) {
     const choice = chooseEndpoint({
-      endpoints: book.ofService("plain"),
+      endpoints: registry.availableFor("plain"),
       tried: new Set(),
       zone: "a",
       affinity: undefined,
       random: new SeededRandom(now),
       now,
-      isOpen: (endpoint) => gate.isOpen(endpoint, now),
+      isWithinLimit: (endpoint) => gate.isWithinLimit(endpoint, now),
     });
     if (choice === undefined) continue;
-    gate.chosen(choice.endpoint, now);
+    gate.recordRequest(choice.endpoint, now);
     choice.endpoint.inFlight++;
     chosen.push(choice.endpoint.entry.id);
   }
   return chosen;
 }
 
-// Guards against endpoints that come back cold, get all and crash.
-test("a cold endpoint gets no more than it bears beside warm ones", () => {
-  const book = new EndpointBook();
-  book.put(entry("warm", "plain"), 0);
-  book.put(entry("cold", "plain", COLD_MILLISECONDS), 0);
-  const chosen = playChoices(book, createGate("daemon", {}));
+// Guards against cold endpoints that get all requests and crash.
+test("a cold endpoint next to warm ones gets no more than its limit", () => {
+  const registry = new EndpointRegistry();
+  registry.upsert(entry("warm", "plain"), 0);
+  registry.upsert(entry("cold", "plain", COLD_MILLISECONDS), 0);
+  const chosen = playChoices(registry, createGate("daemon", {}));
   const cold = chosen.filter((id) => id === "cold").length;
   expect(chosen.length).toEqual(100);
   expect(cold > 0 && cold <= MOST_IN_A_SECOND).toEqual(true);
 });
 
-// Guards against a refusal where nobody asked for a limit.
-test("a cold endpoint of a service without a limit is used like others", () => {
-  const book = new EndpointBook();
-  book.put(entry("cold", "plain", COLD_MILLISECONDS), 0);
+// Guards against refusals where no limit is configured.
+test("a cold endpoint of a service without a limit is used like any other", () => {
+  const registry = new EndpointRegistry();
+  registry.upsert(entry("cold", "plain", COLD_MILLISECONDS), 0);
   const gate = createGate("daemon", { limit: undefined });
-  expect(playChoices(book, gate).length).toEqual(100);
+  expect(playChoices(registry, gate).length).toEqual(100);
 });
 
-// Guards against a coordinator that places a burst at endpoints just started.
-test("a coordinator and 84 daemons flood no cold model endpoint", () => {
-  const book = new EndpointBook();
-  book.put(entry("warm", "model"), 0);
-  book.put(entry("cold", "model", COLD_MILLISECONDS), 0);
+// Guards against a coordinator that places a burst at endpoints that have just
+// started.
+test("a coordinator and 84 daemons don't overload a cold model endpoint", () => {
+  const registry = new EndpointRegistry();
+  registry.upsert(entry("warm", "model"), 0);
+  registry.upsert(entry("cold", "model", COLD_MILLISECONDS), 0);
   const timer = new ManualTimer();
   const configuration = configure(COLD_LIMIT);
   const gate = createGate("coordinator", {});
   const placement = new ReaderPlacement({
     configuration,
-    book,
+    book: registry,
     timer,
     gate,
   });
@@ -127,7 +128,7 @@
     () => createGate("daemon", { sharers: 85, random }),
   );
   const sentAt: number[] = [];
-  const cold = book.find("cold");
+  const cold = registry.find("cold");
   if (cold === undefined) throw new Error("No endpoint");
   for (let now = 0; now < COLD_MILLISECONDS; now += 10) {
     const reader = { service: "model", promptParts: [{ id: "p", tokens: 9 }] };
@@ -136,8 +137,8 @@
       placed.place.endpointId === "cold";
     if (isCold) sentAt.push(now);
     for (const gate of daemons) {
-      if (!gate.isOpen(cold, timer.now())) continue;
-      gate.chosen(cold, timer.now());
+      if (!gate.isWithinLimit(cold, timer.now())) continue;
+      gate.recordRequest(cold, timer.now());
       sentAt.push(now);
     }
     timer.jump(10);
--- a/packages/kelpspar-gateway/src/__tests__/unit/evacuated_zone_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/evacuated_zone_test.ts
@@ -1,7 +1,7 @@
 import type { EndpointEntry } from "../../endpoints/endpoint_entry.ts";
 import { expect } from "earl";
 import { test } from "node:test";
-import { EndpointBook } from "../../endpoints/endpoint_registry.ts";
+import { EndpointRegistry } from "../../endpoints/endpoint_registry.ts";
 import {
   createWorld,
   request,
@@ -9,7 +9,7 @@
   whole,
 } from "../support/request_world.ts";
 
-const NOBODY: ReadonlySet<string> = new Set();
+const NO_ZONES: ReadonlySet<string> = new Set();
 
 function entry(id: string, zone: string): EndpointEntry {
   return {
@@ -23,60 +23,60 @@
   };
 }
 
-function idsOf(book: EndpointBook): readonly string[] {
-  return book.ofService("model").map((state) => state.entry.id);
+function idsOf(registry: EndpointRegistry): readonly string[] {
+  return registry.availableFor("model").map((state) => state.entry.id);
 }
 
-// Guards against an endpoint of an evacuated zone that starts meanwhile.
-test("endpoints of an evacuated zone get no work, later ones neither", () => {
-  const book = new EndpointBook();
-  book.put(entry("i1", "a"), 0);
-  book.put(entry("i2", "b"), 0);
-  book.setEvacuated(new Set(["a"]), 0);
-  book.put(entry("i3", "a"), 0);
-  expect(idsOf(book)).toEqual(["i2"]);
-  expect(book.find("i1")?.isSound(0)).toEqual(false);
-  book.setEvacuated(NOBODY, 0);
-  expect(idsOf(book)).toEqual(["i1", "i2", "i3"]);
+// Guards against work for an endpoint that starts in an evacuated zone.
+test("endpoints of an evacuated zone get no work, even if they start later", () => {
+  const registry = new EndpointRegistry();
+  registry.upsert(entry("i1", "a"), 0);
+  registry.upsert(entry("i2", "b"), 0);
+  registry.setEvacuatedZones(new Set(["a"]), 0);
+  registry.upsert(entry("i3", "a"), 0);
+  expect(idsOf(registry)).toEqual(["i2"]);
+  expect(registry.find("i1")?.isHealthy(0)).toEqual(false);
+  registry.setEvacuatedZones(NO_ZONES, 0);
+  expect(idsOf(registry)).toEqual(["i1", "i2", "i3"]);
 });
 
-// Guards against a flood of endpoints that became cold while they got nothing.
-test("endpoints of a zone that is taken back count as cold for a while", () => {
-  const book = new EndpointBook();
-  book.put(entry("i1", "a"), 0);
-  book.put(entry("i2", "b"), 0);
-  book.setEvacuated(new Set(["a"]), 0);
-  book.setEvacuated(NOBODY, 1_000);
-  // An entry from before its return says that it isn't cold.
-  book.put(entry("i1", "a"), 1_100);
-  expect(book.find("i1")?.isCold(2_000)).toEqual(true);
-  expect(book.find("i2")?.isCold(2_000)).toEqual(false);
-  expect(book.find("i1")?.isCold(60_000)).toEqual(false);
+// Guards against overload of endpoints that became cold without work.
+test("endpoints are presumed cold for a while after an evacuation ends", () => {
+  const registry = new EndpointRegistry();
+  registry.upsert(entry("i1", "a"), 0);
+  registry.upsert(entry("i2", "b"), 0);
+  registry.setEvacuatedZones(new Set(["a"]), 0);
+  registry.setEvacuatedZones(NO_ZONES, 1_000);
+  // An entry written before the end of the evacuation reports no cold time.
+  registry.upsert(entry("i1", "a"), 1_100);
+  expect(registry.find("i1")?.isCold(2_000)).toEqual(true);
+  expect(registry.find("i2")?.isCold(2_000)).toEqual(false);
+  expect(registry.find("i1")?.isCold(60_000)).toEqual(false);
 });
 
-// Guards against an endpoint that is never used again for an absurd word.
-test("an endpoint is cold for as long as it says, within a limit", () => {
-  const book = new EndpointBook();
-  book.put({ ...entry("i1", "a"), coldMilliseconds: 500 }, 1_000);
-  expect(book.find("i1")?.isCold(1_499)).toEqual(true);
-  expect(book.find("i1")?.isCold(1_500)).toEqual(false);
-  book.put({ ...entry("i1", "a"), coldMilliseconds: 1e12 }, 2_000);
-  expect(book.find("i1")?.isCold(100_000)).toEqual(false);
-  book.put({ ...entry("i1", "a"), coldMilliseconds: -5 }, 200_000);
-  expect(book.find("i1")?.isCold(200_000)).toEqual(false);
+// Guards against an implausible cold time that blocks an endpoint for good.
+test("an endpoint is cold for the time that it reports, within a bound", () => {
+  const registry = new EndpointRegistry();
+  registry.upsert({ ...entry("i1", "a"), coldMilliseconds: 500 }, 1_000);
+  expect(registry.find("i1")?.isCold(1_499)).toEqual(true);
+  expect(registry.find("i1")?.isCold(1_500)).toEqual(false);
+  registry.upsert({ ...entry("i1", "a"), coldMilliseconds: 1e12 }, 2_000);
+  expect(registry.find("i1")?.isCold(100_000)).toEqual(false);
+  registry.upsert({ ...entry("i1", "a"), coldMilliseconds: -5 }, 200_000);
+  expect(registry.find("i1")?.isCold(200_000)).toEqual(false);
 });
 
 // Guards against callers that wait for a service whose zones are all evacuated.
 test("a request whose service is evacuated is refused at once", async () => {
   const world = createWorld([]);
-  world.book.setEvacuated(new Set(["a"]), 0);
+  world.book.setEvacuatedZones(new Set(["a"]), 0);
   await serve(world, request());
   expect(world.reply.status).toEqual(503);
   expect(world.chainsRun()).toEqual(0);
 });
 
-// Guards against a place that was chosen before the zone was evacuated.
-test("a request isn't sent to its place in a zone evacuated since", async () => {
+// Guards against a placement chosen before the zone was evacuated.
+test("a request isn't sent to its placement in a zone evacuated since", async () => {
   const chain = {
     type: "done",
     results: [],
@@ -88,9 +88,9 @@
   });
   for (const id of ["i2", "i3"]) {
     const known = world.book.find(id)?.entry;
-    if (known !== undefined) world.book.put({ ...known, zone: "b" }, 0);
+    if (known !== undefined) world.book.upsert({ ...known, zone: "b" }, 0);
   }
-  world.book.setEvacuated(new Set(["b"]), 0);
+  world.book.setEvacuatedZones(new Set(["b"]), 0);
   await serve(world);
   expect(world.calls.map((call) => call.endpoint.id)).toEqual(["i1"]);
   expect(world.calls[0]?.promptSource).toEqual(undefined);
--- a/packages/kelpspar-gateway/src/__tests__/unit/fleet_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/fleet_test.ts
@@ -4,9 +4,12 @@
 import { ManualTimer, SeededRandom } from "kelpspar-shared";
 import { test } from "node:test";
 import { ConfigurationKeeper } from "../../configuration/configuration_keeper.ts";
-import { EXCHANGE_MILLISECONDS, Fleet } from "../../fleet/fleet_gossip.ts";
+import {
+  EXCHANGE_INTERVAL_MILLISECONDS,
+  FleetGossip,
+} from "../../fleet/fleet_gossip.ts";
 import { FleetMembership } from "../../fleet/fleet_membership.ts";
-import { PartnerRounds } from "../../fleet/gossip_partners.ts";
+import { GossipPartners } from "../../fleet/gossip_partners.ts";
 import { StoreEra } from "../../tables/store_era.ts";
 
 function address(daemonId: string): DaemonAddress {
@@ -19,11 +22,11 @@
   };
 }
 
-/** A daemon that knows where `others` are, and whom it asked. */
+/** A daemon that knows `others` addresses, and the peers that it contacted. */
 function createFleet(others: number): {
-  readonly fleet: Fleet;
+  readonly fleet: FleetGossip;
   readonly peers: readonly string[];
-  readonly asked: string[];
+  readonly contacted: string[];
 } {
   const timer = new ManualTimer();
   const membership = new FleetMembership({
@@ -34,15 +37,15 @@
     { length: others },
     (_, index) => address(`d${index + 1}`),
   );
-  for (const one of addresses) membership.learn(one, timer.now());
-  const asked: string[] = [];
+  for (const one of addresses) membership.add(one, timer.now());
+  const contacted: string[] = [];
   const client: Pick<PeerClient, "exchange"> = {
     exchange(peer: string): Promise<FleetDigest> {
-      asked.push(peer);
+      contacted.push(peer);
       return new Promise(() => {});
     },
   };
-  const fleet = new Fleet({
+  const fleet = new FleetGossip({
     daemonId: "d0",
     membership,
     peers: client as PeerClient,
@@ -55,45 +58,46 @@
     random: new SeededRandom(7),
     storeAge: () => 0,
   });
-  return { fleet, peers: addresses.map(({ peer }) => peer), asked };
+  return { fleet, peers: addresses.map(({ peer }) => peer), contacted };
 }
 
-test("a daemon that starts in a large fleet greets a few", () => {
-  // Symptom: with 64 daemons restarted in turn the day took more processor
-  // time than it may.
-  // Sequence: each daemon that starts reads 63 rows of others and greets all;
-  // each of these reads its row and greets it.
-  // Cause: greetings grew with the square of the fleet.
-  const { fleet, peers, asked } = createFleet(72);
-  fleet.greetSome(peers);
-  expect(asked.length > 0).toEqual(true);
-  expect(asked.length <= 16).toEqual(true);
+test("a daemon that starts in a large fleet contacts a few peers", () => {
+  // Guards against a rolling restart of 64 daemons that exceeds its processor
+  // time: each starting daemon read 63 rows and contacted all others, and each
+  // of them read its row and contacted it, so that exchanges grew with the
+  // square of the fleet's size.
+  const { fleet, peers, contacted } = createFleet(72);
+  fleet.exchangeWithSome(peers);
+  expect(contacted.length > 0).toEqual(true);
+  expect(contacted.length <= 16).toEqual(true);
 });
 
-test("a daemon that leaves a large fleet tells a few", () => {
-  const { fleet, asked } = createFleet(72);
-  fleet.leave();
-  expect(asked.length > 0).toEqual(true);
-  expect(asked.length <= 16).toEqual(true);
+test("a daemon that leaves a large fleet contacts a few peers", () => {
+  const { fleet, contacted } = createFleet(72);
+  fleet.announceLeaving();
+  expect(contacted.length > 0).toEqual(true);
+  expect(contacted.length <= 16).toEqual(true);
 });
 
-test("in a small fleet all are greeted", () => {
-  const { fleet, peers, asked } = createFleet(7);
-  fleet.greetSome(peers);
-  expect(asked).toEqual([...peers]);
+test("a daemon in a small fleet contacts all peers", () => {
+  const { fleet, peers, contacted } = createFleet(7);
+  fleet.exchangeWithSome(peers);
+  expect(contacted).toEqual([...peers]);
 });
 
-/** How exchanges of a large fleet are played. */
-interface GossipPlay {
+/** Parameters of a simulated large fleet. */
+interface GossipSimulation {
   readonly count: number;
   readonly rounds: number;
-  /** Daemons that die halfway; the first ones. */
+  /** Number of daemons, the first ones, that die halfway. */
   readonly dying: number;
   readonly seed: number;
 }
 
-/** Plays a fleet's rounds; gives how often living ones are taken for silent. */
-function playGossip({ count, rounds, dying, seed }: GossipPlay): number {
+/** Simulates a fleet; returns how often a live daemon was taken for silent. */
+function simulateGossip(
+  { count, rounds, dying, seed }: GossipSimulation,
+): number {
   const own = { isLeaving: false, isReady: true, isStoreFresh: true };
   const random = new SeededRandom(seed);
   const ids = Array.from({ length: count }, (_, at) => `d${at}`);
@@ -103,11 +107,11 @@
       self: address(daemonId),
       incarnation: "x",
     }),
-    rounds: new PartnerRounds({ daemonId, random }),
+    rounds: new GossipPartners({ daemonId, random }),
   }));
   const byId = new Map(daemons.map((one) => [one.daemonId, one.membership]));
   for (const { membership } of daemons) {
-    for (const id of ids) membership.learn(address(id), 0);
+    for (const id of ids) membership.add(address(id), 0);
   }
   const digestOf = (member: FleetMembership, now: number): FleetDigest =>
     member.createDigest(own, {
@@ -117,52 +121,56 @@
     });
   let missed = 0;
   for (let round = 0; round < rounds; round++) {
-    const now = round * EXCHANGE_MILLISECONDS;
+    const now = round * EXCHANGE_INTERVAL_MILLISECONDS;
     const dead = round < rounds / 2 ? 0 : dying;
     const living = daemons.slice(dead);
     const livingIds = new Set(living.map((one) => one.daemonId));
     for (const { membership, rounds: partners } of living) {
-      membership.beat();
+      membership.advanceHeartbeat();
       for (let tries = 0; tries < 3; tries++) {
         const partner = partners.next({
-          promising: membership.promising(now),
+          likelyReachable: membership.likelyReachable(now),
           contacts: membership.contacts(),
         });
         if (partner === undefined) break;
         if (livingIds.has(partner.daemonId)) {
           const peer = byId.get(partner.daemonId) as FleetMembership;
-          peer.heard(digestOf(membership, now), now);
-          membership.heard(digestOf(peer, now), now);
+          peer.applyDigest(digestOf(membership, now), now);
+          membership.applyDigest(digestOf(peer, now), now);
           break;
         }
-        membership.doubt(partner.peer, { isRefused: true, now });
+        membership.reportFailedCall(partner.peer, {
+          isRefused: true,
+          now,
+        });
       }
     }
     if (round < 15) continue;
-    // As late as can be: just before the next round.
-    const late = now + EXCHANGE_MILLISECONDS - 1;
+    // Worst case: just before the next round.
+    const late = now + EXCHANGE_INTERVAL_MILLISECONDS - 1;
     for (const { membership } of living) {
-      const ranked = membership.ranked("stages", { own, now: late });
+      const ranked = membership.rankedDaemons("stages", { own, now: late });
       missed += living.length - ranked.filter((id) => livingIds.has(id)).length;
     }
   }
   return missed;
 }
 
-test("in a large fleet nobody that lives is taken for silent", () => {
-  // Symptom: daemons drop living ones from the addresses that callers get, and
-  // take the coordinator of stages for dead.
-  // Sequence: each begins a few exchanges a round; heartbeats reach the rest
-  // by hearsay only.
-  // Cause: fewer exchanges than the silence limits were made for.
-  expect(playGossip({ count: 73, rounds: 150, dying: 0, seed: 11 })).toEqual(0);
-  expect(playGossip({ count: 195, rounds: 60, dying: 0, seed: 12 })).toEqual(0);
+test("no live daemon of a large fleet is taken for silent", () => {
+  // Guards against daemons that drop live ones from the addresses for callers
+  // and take the coordinator of stages for dead: each starts a few exchanges a
+  // round, heartbeats reach the rest only by forwarding, and fewer exchanges
+  // are made than the heartbeat timeouts assume.
+  expect(simulateGossip({ count: 73, rounds: 150, dying: 0, seed: 11 }))
+    .toEqual(0);
+  expect(simulateGossip({ count: 195, rounds: 60, dying: 0, seed: 12 }))
+    .toEqual(0);
 });
 
-// Guards against a graph of partners that falls apart as daemons die.
-test("in a large fleet a third of which dies nobody else is taken for silent", () => {
+// Guards against a partner graph that becomes disconnected as daemons die.
+test("no live daemon is taken for silent when a third of a large fleet dies", () => {
   for (const seed of [1, 2, 3]) {
-    const play = { count: 85, rounds: 100, dying: 28, seed };
-    expect(playGossip(play)).toEqual(0);
+    const simulation = { count: 85, rounds: 100, dying: 28, seed };
+    expect(simulateGossip(simulation)).toEqual(0);
   }
 });
--- a/packages/kelpspar-gateway/src/__tests__/unit/limited_chains_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/limited_chains_test.ts
@@ -4,8 +4,8 @@
 import { expect } from "earl";
 import { ManualTimer, SeededRandom } from "kelpspar-shared";
 import { test } from "node:test";
-import { EndpointBook } from "../../endpoints/endpoint_registry.ts";
-import { EndpointGate } from "../../endpoints/endpoint_rate_limiter.ts";
+import { EndpointRegistry } from "../../endpoints/endpoint_registry.ts";
+import { EndpointRateLimiter } from "../../endpoints/endpoint_rate_limiter.ts";
 import { EndpointLimits } from "../../endpoints/endpoint_limits.ts";
 import { mostPlaceWait } from "../../pieces/most_place_wait.ts";
 import { PieceCoordinator } from "../../pieces/piece_coordinator.ts";
@@ -39,7 +39,7 @@
   pieces: number,
 ): Promise<Play> {
   const timer = new ManualTimer();
-  const book = new EndpointBook();
+  const book = new EndpointRegistry();
   const limits = new EndpointLimits();
   const configuration = configure();
   const ids = ["stage-0", "stage-1"];
@@ -55,8 +55,8 @@
       slots: 1,
       isDraining: false,
     };
-    book.put(entry, 0);
-    if (limited.includes(id)) limits.tell(entry, LIMIT, 0);
+    book.upsert(entry, 0);
+    if (limited.includes(id)) limits.record(entry, LIMIT, 0);
   }
   const callsAt = new Map<string, number[]>();
   const placedAt = new Map<string, number[]>();
@@ -64,7 +64,7 @@
     configuration,
     book,
     timer,
-    gate: new EndpointGate({
+    gate: new EndpointRateLimiter({
       chooser: "coordinator",
       configuration,
       limits,
--- a/packages/kelpspar-gateway/src/__tests__/unit/limited_request_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/limited_request_test.ts
@@ -10,7 +10,7 @@
 
 function limitsOf(...ids: readonly string[]): EndpointLimits {
   const limits = new EndpointLimits();
-  for (const id of ids) limits.tell({ id, bornAt: 0 }, LIMIT, 0);
+  for (const id of ids) limits.record({ id, bornAt: 0 }, LIMIT, 0);
   return limits;
 }
 
--- a/packages/kelpspar-gateway/src/__tests__/unit/limited_trials_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/limited_trials_test.ts
@@ -1,13 +1,13 @@
 import { expect } from "earl";
 import { test } from "node:test";
-import { EndpointBook } from "../../endpoints/endpoint_registry.ts";
+import { EndpointRegistry } from "../../endpoints/endpoint_registry.ts";
 import { LimitedTrials } from "../../requests/limited_trials.ts";
 
 // Guards against an endpoint that stays unused long after its limit ended.
 test("a service with a limited endpoint is tried once a second", () => {
-  const book = new EndpointBook();
+  const book = new EndpointRegistry();
   for (const id of ["i1", "i2"]) {
-    book.put({
+    book.upsert({
       id,
       bornAt: 1,
       service: "plain",
--- a/packages/kelpspar-gateway/src/__tests__/unit/list_times_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/list_times_test.ts
@@ -1,17 +1,20 @@
 import { expect } from "earl";
 import { test } from "node:test";
-import { listTimes } from "../../endpoints/list_timing.ts";
+import { computeListTiming } from "../../endpoints/list_timing.ts";
 
-test("all waits for the list together end before bounds hold again", () => {
+test("all waits for the list together end before the bounds are enforced again", () => {
   for (const drainMilliseconds of [1_000, 1_500, 2_000, 3_000]) {
     for (const contactMilliseconds of [3_000, 4_000]) {
-      const { paceMilliseconds, waitMilliseconds, limitMilliseconds } =
-        listTimes({
-          drainMilliseconds,
-          contactMilliseconds,
-          sendMilliseconds: 250,
-          pauseMilliseconds: 225,
-        });
+      const {
+        paceMilliseconds: paceMilliseconds,
+        waitMilliseconds,
+        limitMilliseconds: limitMilliseconds,
+      } = computeListTiming({
+        drainMilliseconds,
+        contactMilliseconds,
+        sendMilliseconds: 250,
+        pauseMilliseconds: 225,
+      });
       const sum = paceMilliseconds + waitMilliseconds + limitMilliseconds +
         225 + 250;
       expect(sum < contactMilliseconds).toEqual(true);
--- a/packages/kelpspar-gateway/src/__tests__/unit/peer_client_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/peer_client_test.ts
@@ -30,7 +30,7 @@
   priority: 1,
   reader: undefined,
 };
-/** A short call is overdue after 600 ms; this is well beyond. */
+/** Well beyond the 600 ms timeout of a short call. */
 const BUSY_MILLISECONDS = 900;
 const CHAIN_MILLISECONDS = 2_000;
 
@@ -38,8 +38,8 @@
 let chainsRun = 0;
 let busyUntil = 0;
 let server: Server;
-/** Stands before the server, so that connections can fall silent. */
-let way: TcpServer;
+/** Proxy in front of the server, so that connections can go dead. */
+let proxy: TcpServer;
 let peer = "";
 
 async function answer(
@@ -69,14 +69,14 @@
 before(async () => {
   server = createServer((message, response) => void answer(message, response));
   const { port } = await listening(server);
-  way = createTcpServer((socket) => {
+  proxy = createTcpServer((socket) => {
     const onward = connect(port, "127.0.0.1");
     socket.pipe(onward).pipe(socket);
     socket.on("error", () => onward.destroy());
     onward.on("error", () => socket.destroy());
     sockets.add(onward);
   });
-  peer = `127.0.0.1:${(await listening(way)).port}`;
+  peer = `127.0.0.1:${(await listening(proxy)).port}`;
 });
 
 beforeEach(() => {
@@ -84,21 +84,20 @@
   busyUntil = 0;
 });
 
-// The timer of a call that was overdue outlives the tests.
+// The timer of an overdue call outlives the tests.
 after(() => {
   for (const socket of sockets) socket.destroy();
-  way.close();
+  proxy.close();
   server.closeAllConnections();
   server.close();
   setImmediate(() => process.exit());
 });
 
-test("a chain goes on at a peer that answers late", async () => {
-  // Symptom: "coordinator lost … The client is destroyed" on a calm day, four
-  // times, and the stages of these requests were run twice.
-  // Sequence: the coordinator had no time for 0.6 s; an exchange of digests
-  // timed out and destroyed the connections to it.
-  // Cause: an overdue answer was taken for a connection that fell silent.
+test("a chain continues at a peer that answers late", async () => {
+  // Guards against stages that run twice after "coordinator lost … The client
+  // is destroyed" without an outage: the coordinator was busy for 0.6 s, an
+  // exchange of digests timed out, and the overdue answer was taken for a dead
+  // connection, so that all connections to it were destroyed.
   const client = new PeerClient(new SystemTimer());
   const chain = client.runChain(peer, CHAIN, new AbortController().signal);
   await pause(100);
@@ -110,9 +109,9 @@
   expect(chainsRun).toEqual(1);
 });
 
-test("a chain on a connection that fell silent is given up once the peer answers on another", async () => {
-  // The asker would wait for the rest of the deadline otherwise, since the
-  // peer lives.
+test("a chain on a dead connection fails once the peer answers on another one", async () => {
+  // Otherwise the caller would wait until the deadline, because the peer is
+  // live.
   const client = new PeerClient(new SystemTimer());
   const startedAt = performance.now();
   const chain = failed(
@@ -120,7 +119,7 @@
   );
   await pause(50);
   expect(await failed(client.exchange(peer, DIGEST))).toEqual(false);
-  // What the peer answers on them goes nowhere from here on.
+  // From here on the peer's answers on these connections are lost.
   await pause(50);
   for (const socket of sockets) socket.unpipe().pause();
   expect(await failed(client.exchange(peer, DIGEST))).toEqual(true);
@@ -129,7 +128,7 @@
   expect(performance.now() - startedAt < 1_500).toEqual(true);
 });
 
-// Guards against a daemon that ends when two calls to a peer were overdue.
+// Guards against a crash of the daemon after two overdue calls to a peer.
 test("a connection that several overdue calls close is closed once", async () => {
   const connections = new PeerConnections({
     createClient: () => ({}),
@@ -139,7 +138,7 @@
     const connection = connections.open(peer);
     if (end === "destroyed") connections.drop(peer, connection);
     else connections.retire(peer, connection);
-    // A rejection that nobody takes ends the process, and fails the test.
+    // An unhandled rejection ends the process, and fails the test.
     for (let calls = 0; calls < 2; calls++) {
       connections.closeRetired(connection);
       await pause(20);
@@ -152,8 +151,12 @@
   return promise.then(() => false, () => true);
 }
 
-function listening(one: Server | TcpServer): Promise<AddressInfo> {
+function listening(tcpServer: Server | TcpServer): Promise<AddressInfo> {
   return new Promise((resolve) =>
-    one.listen(0, "127.0.0.1", () => resolve(one.address() as AddressInfo))
+    tcpServer.listen(
+      0,
+      "127.0.0.1",
+      () => resolve(tcpServer.address() as AddressInfo),
+    )
   );
 }
--- a/packages/kelpspar-gateway/src/__tests__/unit/piece_coordinator_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/piece_coordinator_test.ts
@@ -8,9 +8,9 @@
 import { ManualTimer, SeededRandom } from "kelpspar-shared";
 import { test } from "node:test";
 import { ConfigurationKeeper } from "../../configuration/configuration_keeper.ts";
-import { EndpointGate } from "../../endpoints/endpoint_rate_limiter.ts";
+import { EndpointRateLimiter } from "../../endpoints/endpoint_rate_limiter.ts";
 import { EndpointLimits } from "../../endpoints/endpoint_limits.ts";
-import { EndpointBook } from "../../endpoints/endpoint_registry.ts";
+import { EndpointRegistry } from "../../endpoints/endpoint_registry.ts";
 import { PieceCoordinator } from "../../pieces/piece_coordinator.ts";
 import { ServiceRetryBudget } from "../../retries/service_retry_budget.ts";
 
@@ -77,7 +77,7 @@
 interface World {
   readonly timer: ManualTimer;
   readonly client: HeldPieceClient;
-  readonly book: EndpointBook;
+  readonly book: EndpointRegistry;
   readonly run: (attemptId: string, pieces: readonly number[]) => void;
   /** How chains ended, by their attempt. */
   readonly outcomes: ReadonlyMap<string, string>;
@@ -86,7 +86,7 @@
 function createWorld(room = 10_000): World {
   const timer = new ManualTimer();
   const client = new HeldPieceClient();
-  const book = new EndpointBook();
+  const book = new EndpointRegistry();
   const configuration = new ConfigurationKeeper();
   const services = { encode: terms(1, room), rerank: terms(6, room) };
   configuration.offer({
@@ -106,7 +106,7 @@
     accounts: undefined,
   });
   for (const id of ["encode-0", "encode-1", "rerank-0"]) {
-    book.put({
+    book.upsert({
       id,
       bornAt: 0,
       service: id.slice(0, -2),
@@ -126,7 +126,7 @@
     configuration,
     book,
     client,
-    gate: new EndpointGate({
+    gate: new EndpointRateLimiter({
       chooser: "coordinator",
       limits: new EndpointLimits(),
       configuration,
@@ -185,7 +185,7 @@
   client.make("encode-0");
   client.make("encode-1");
   await timer.settle();
-  book.leave({ id: "encode-1", bornAt: 0 });
+  book.retire({ id: "encode-1", bornAt: 0 });
   await timer.settle();
   client.make("rerank-0");
   await timer.advance(100);
@@ -212,7 +212,7 @@
   await timer.settle();
   for (const id of ["encode-0", "encode-1"]) {
     const entry = book.find(id)?.entry;
-    if (entry !== undefined) book.put({ ...entry, isDraining: true }, 0);
+    if (entry !== undefined) book.upsert({ ...entry, isDraining: true }, 0);
   }
   await timer.settle();
   client.make("encode-1");
@@ -255,8 +255,8 @@
 test("pieces wait for no endpoint of an evacuated zone", async () => {
   const { timer, client, book, run } = createWorld();
   const known = book.find("encode-0")?.entry;
-  if (known !== undefined) book.put({ ...known, zone: "b" }, 0);
-  book.setEvacuated(new Set(["b"]), 0);
+  if (known !== undefined) book.upsert({ ...known, zone: "b" }, 0);
+  book.setEvacuatedZones(new Set(["b"]), 0);
   run("a", [2, 0]);
   await timer.advance(100);
   const sentTo = client.open.map(({ call }) => call.endpoint.id);
@@ -270,7 +270,7 @@
   run("other", [1, 0]);
   run("waits", [1, 0]);
   await timer.advance(10);
-  book.setEvacuated(new Set(["a"]), 0);
+  book.setEvacuatedZones(new Set(["a"]), 0);
   await timer.advance(10);
   expect(outcomes.get("waits")).toEqual("no_endpoint");
   client.make("encode-0");
--- a/packages/kelpspar-gateway/src/__tests__/unit/prompt_home_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/prompt_home_test.ts
@@ -3,9 +3,9 @@
 import { ManualTimer, SeededRandom } from "kelpspar-shared";
 import { test } from "node:test";
 import { ConfigurationKeeper } from "../../configuration/configuration_keeper.ts";
-import { EndpointGate } from "../../endpoints/endpoint_rate_limiter.ts";
+import { EndpointRateLimiter } from "../../endpoints/endpoint_rate_limiter.ts";
 import { EndpointLimits } from "../../endpoints/endpoint_limits.ts";
-import { EndpointBook } from "../../endpoints/endpoint_registry.ts";
+import { EndpointRegistry } from "../../endpoints/endpoint_registry.ts";
 import { ReaderPlacement } from "../../placement/reader_placement.ts";
 
 const ENDPOINTS = 12;
@@ -26,14 +26,14 @@
 
 /** A coordinator that was just started: it knows of no prompt. */
 function createPlacement(): ReaderPlacement {
-  const book = new EndpointBook();
-  for (let index = 0; index < ENDPOINTS; index++) book.put(entry(index), 0);
+  const book = new EndpointRegistry();
+  for (let index = 0; index < ENDPOINTS; index++) book.upsert(entry(index), 0);
   const configuration = new ConfigurationKeeper();
   return new ReaderPlacement({
     configuration,
     book,
     timer: new ManualTimer(),
-    gate: new EndpointGate({
+    gate: new EndpointRateLimiter({
       chooser: "coordinator",
       limits: new EndpointLimits(),
       configuration,
--- a/packages/kelpspar-gateway/src/__tests__/unit/quarantine_sync_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/quarantine_sync_test.ts
@@ -3,7 +3,7 @@
 import { expect } from "earl";
 import { ManualTimer, SeededRandom } from "kelpspar-shared";
 import { test } from "node:test";
-import { EXCHANGE_MILLISECONDS } from "../../fleet/fleet_gossip.ts";
+import { EXCHANGE_INTERVAL_MILLISECONDS } from "../../fleet/fleet_gossip.ts";
 import { Quarantine } from "../../quarantine/quarantine.ts";
 import { QuarantineSync } from "../../quarantine/quarantine_sync.ts";
 
@@ -100,7 +100,7 @@
       const chance = new SeededRandom(3);
       const { members } = createFleet(count, () => chance.next() < lossShare);
       const rounds = await roundsUntilHeld(members);
-      expect(rounds * EXCHANGE_MILLISECONDS < CONTACT_MILLISECONDS)
+      expect(rounds * EXCHANGE_INTERVAL_MILLISECONDS < CONTACT_MILLISECONDS)
         .toEqual(true);
     }
   }
--- a/packages/kelpspar-gateway/src/endpoints/choose_endpoint.ts
+++ b/packages/kelpspar-gateway/src/endpoints/choose_endpoint.ts
@@ -1,51 +1,51 @@
 import type { RandomSource } from "kelpspar-shared";
 import type { EndpointState } from "./endpoint_state.ts";
-import { preferSound } from "./prefer_healthy.ts";
+import { preferHealthy } from "./prefer_healthy.ts";
 import { RendezvousNodes } from "kelpspar-decisions/routing";
 
 /**
- * How much fuller than the average an endpoint may be and still get the
- * requests whose prompt it holds. Beyond it reading the prompt again elsewhere
+ * Ratio to the average load up to which an endpoint gets the requests whose
+ * prompt it has cached. Above it, reading the prompt again at another endpoint
  * costs less than waiting.
  */
-const AFFINITY_LOAD_BOUND = 1.6;
-/** Requests that an endpoint may hold whatever the average says. */
-const AFFINITY_LOAD_FLOOR = 6;
-/** Slowness from which an endpoint loses its affinity. */
-const AFFINITY_SLOWNESS = 2;
-/** What a call across zones costs beside its time, as a share of a call. */
-const FAR_ZONE_COST = 0.15;
+const AFFINITY_LOAD_FACTOR = 1.6;
+/** Calls in flight that an endpoint may have regardless of the average load. */
+const AFFINITY_MINIMUM_LOAD = 6;
+/** Slowness from which an endpoint gets no requests by affinity. */
+const AFFINITY_MAXIMUM_SLOWNESS = 2;
+/** Extra cost of a call across zones, as a share of a call's cost. */
+const CROSS_ZONE_COST = 0.15;
 
-/** What a choice is made from. */
+/** Inputs of `chooseEndpoint`. */
 export interface ChooseEndpointOptions {
   readonly endpoints: readonly EndpointState[];
-  /** Ids that were tried already. */
+  /** Ids of endpoints that were already tried. */
   readonly tried: ReadonlySet<string>;
   readonly zone: string;
-  /** Requests with the same text go to the same endpoint if it has room. */
+  /** Requests with the same key go to the same endpoint if it has capacity. */
   readonly affinity: string | undefined;
   readonly random: RandomSource;
   readonly now: number;
-  /** False for a cold endpoint that has got all that it may for now. */
-  readonly isOpen: (endpoint: EndpointState) => boolean;
+  /** False for an endpoint that has used up its rate limit for now. */
+  readonly isWithinLimit: (endpoint: EndpointState) => boolean;
 }
 
-/** The endpoint chosen, and the one that has the prompt if it is another. */
+/** The chosen endpoint, and the one with the cached prompt if it differs. */
 export interface EndpointChoice {
   readonly endpoint: EndpointState;
-  /** Chosen by the coordinator, not by this daemon. */
+  /** True if the coordinator chose it, not this daemon. */
   readonly isPlaced?: boolean;
   readonly home: EndpointState | undefined;
 }
 
-/** Chooses the endpoint of a request; undefined when none is left to try. */
+/** Chooses the endpoint of a request; undefined if none is left to try. */
 export function chooseEndpoint(
   options: ChooseEndpointOptions,
 ): EndpointChoice | undefined {
-  const untried = options.endpoints.filter((one) =>
-    !options.tried.has(one.entry.id) && options.isOpen(one)
+  const untried = options.endpoints.filter((endpoint) =>
+    !options.tried.has(endpoint.entry.id) && options.isWithinLimit(endpoint)
   );
-  const candidates = preferSound(untried, options.now);
+  const candidates = preferHealthy(untried, options.now);
   if (candidates.length === 0) return undefined;
   return options.affinity === undefined
     ? { endpoint: chooseLeastLoaded(candidates, options), home: undefined }
@@ -57,19 +57,25 @@
   affinity: string,
   options: ChooseEndpointOptions,
 ): EndpointChoice {
-  const byId = new Map(candidates.map((one) => [one.entry.id, one]));
+  const byId = new Map(
+    candidates.map((endpoint) => [endpoint.entry.id, endpoint]),
+  );
   const ranked = new RendezvousNodes(byId.keys())
     .best(affinity, candidates.length)
     .map((id) => byId.get(id) as EndpointState);
-  const inFlight = candidates.reduce((sum, one) => sum + one.inFlight, 0);
-  const bound = Math.max(
-    AFFINITY_LOAD_FLOOR,
-    AFFINITY_LOAD_BOUND * inFlight / candidates.length,
+  const inFlight = candidates.reduce(
+    (sum, endpoint) => sum + endpoint.inFlight,
+    0,
+  );
+  const maximumInFlight = Math.max(
+    AFFINITY_MINIMUM_LOAD,
+    AFFINITY_LOAD_FACTOR * inFlight / candidates.length,
   );
   const home = ranked[0] as EndpointState;
   const endpoint =
-    ranked.find((one) =>
-      one.inFlight < bound && one.slowness(options.now) < AFFINITY_SLOWNESS
+    ranked.find((candidate) =>
+      candidate.inFlight < maximumInFlight &&
+      candidate.slowness(options.now) < AFFINITY_MAXIMUM_SLOWNESS
     ) ?? chooseLeastLoaded(candidates, options);
   return { endpoint, home: endpoint === home ? undefined : home };
 }
@@ -90,6 +96,6 @@
 function costOf(state: EndpointState, options: ChooseEndpointOptions): number {
   const { entry, inFlight } = state;
   const load = 1 + inFlight / Math.max(1, entry.slots);
-  const far = entry.zone === options.zone ? 0 : FAR_ZONE_COST;
-  return load * state.slowness(options.now) + far;
+  const zoneCost = entry.zone === options.zone ? 0 : CROSS_ZONE_COST;
+  return load * state.slowness(options.now) + zoneCost;
 }
--- a/packages/kelpspar-gateway/src/endpoints/endpoint_entry.ts
+++ b/packages/kelpspar-gateway/src/endpoints/endpoint_entry.ts
@@ -1,8 +1,8 @@
-/** An endpoint's own entry in the list of endpoints. */
+/** An endpoint's own entry in the endpoint list. */
 export interface EndpointEntry {
-  /** An endpoint may start again under the id that it had; see `bornAt`. */
+  /** Unchanged when the endpoint restarts; see `bornAt`. */
   readonly id: string;
-  /** When this life of the endpoint began, Unix milliseconds, by its clock. */
+  /** Start of this incarnation, Unix milliseconds by the endpoint's clock. */
   readonly bornAt: number;
   readonly service: string;
   /** `address:port`. */
@@ -10,6 +10,6 @@
   readonly zone: string;
   readonly slots: number;
   readonly isDraining: boolean;
-  /** How much longer it is cold, as of its writing, milliseconds. */
+  /** Remaining cold time when the entry was written. */
   readonly coldMilliseconds?: number;
 }
--- a/packages/kelpspar-gateway/src/endpoints/endpoint_leavings.ts
+++ b/packages/kelpspar-gateway/src/endpoints/endpoint_leavings.ts
@@ -1,61 +1,64 @@
-import type { EndpointLife } from "./return_tracker.ts";
+import type { EndpointIncarnation } from "./return_tracker.ts";
 import { hashText } from "kelpspar-decisions/routing";
 
-/** A life of an endpoint that leaves, and how long ago it said so. */
-export interface AgedLeaving extends EndpointLife {
-  /** An age, since daemons' clocks differ. */
+/** A leaving incarnation of an endpoint, and the age of its report. */
+export interface AgedLeaving extends EndpointIncarnation {
+  /** An age rather than a time, because daemons' clocks differ. */
   readonly ageMilliseconds: number;
 }
 
-/** Told of a life that another daemon heard to be leaving. */
-export type LeavingListener = (life: EndpointLife) => void;
+/** Called for a leaving incarnation that another daemon reported. */
+export type LeavingListener = (incarnation: EndpointIncarnation) => void;
 
-/** Until then the list of endpoints has told all daemons, milliseconds. */
-const KEPT_MILLISECONDS = 60_000;
+/** Time within which the endpoint list informs all daemons. */
+const RETENTION_MILLISECONDS = 60_000;
 
 /**
- * Lives of endpoints that said in an answer that they leave. The list of
- * endpoints may say otherwise for as long as the store is away.
+ * Incarnations of endpoints that reported leaving in a response. The endpoint
+ * list may not show this while the store is unavailable.
  */
 export class EndpointLeavings {
-  readonly #toldAt = new Map<string, EndpointLife & { readonly at: number }>();
+  readonly #reported = new Map<
+    string,
+    EndpointIncarnation & { readonly at: number }
+  >();
   readonly #listeners = new Set<LeavingListener>();
   #checksum = 0;
 
-  /** 0 when none is kept; equal for daemons that know the same ones. */
+  /** 0 without any leaving; equal for daemons with the same leavings. */
   get checksum(): number {
     return this.#checksum;
   }
 
-  /** Takes in what an answer said; false when it was known. */
-  tell({ id, bornAt }: EndpointLife, at: number): boolean {
+  /** Records a reported leaving; returns false if it was known. */
+  record({ id, bornAt }: EndpointIncarnation, at: number): boolean {
     const key = `${id} ${bornAt}`;
-    if (this.#toldAt.has(key)) return false;
-    this.#toldAt.set(key, { id, bornAt, at });
-    this.#settle();
+    if (this.#reported.has(key)) return false;
+    this.#reported.set(key, { id, bornAt, at });
+    this.#updateChecksum();
     return true;
   }
 
-  /** What is known, for other daemons. */
+  /** The known leavings, for other daemons. */
   page(now: number): readonly AgedLeaving[] {
-    this.#forget(now);
-    return [...this.#toldAt.values()].map(({ id, bornAt, at }) => ({
+    this.#removeExpired(now);
+    return [...this.#reported.values()].map(({ id, bornAt, at }) => ({
       id,
       bornAt,
       ageMilliseconds: Math.max(0, now - at),
     }));
   }
 
-  /** Takes in what another daemon knows; false when nothing of it is new. */
-  take(page: readonly AgedLeaving[], now: number): boolean {
-    let isNews = false;
-    for (const { ageMilliseconds, ...life } of page) {
-      if (ageMilliseconds >= KEPT_MILLISECONDS) continue;
-      if (!this.tell(life, now - ageMilliseconds)) continue;
-      isNews = true;
-      for (const listener of this.#listeners) listener(life);
+  /** Merges another daemon's leavings; returns false if none is new. */
+  merge(page: readonly AgedLeaving[], now: number): boolean {
+    let hasChanged = false;
+    for (const { ageMilliseconds, ...incarnation } of page) {
+      if (ageMilliseconds >= RETENTION_MILLISECONDS) continue;
+      if (!this.record(incarnation, now - ageMilliseconds)) continue;
+      hasChanged = true;
+      for (const listener of this.#listeners) listener(incarnation);
     }
-    return isNews;
+    return hasChanged;
   }
 
   registerListener(listener: LeavingListener): () => void {
@@ -63,15 +66,15 @@
     return () => this.#listeners.delete(listener);
   }
 
-  #forget(now: number): void {
-    for (const [key, { at }] of this.#toldAt) {
-      if (now - at >= KEPT_MILLISECONDS) this.#toldAt.delete(key);
+  #removeExpired(now: number): void {
+    for (const [key, { at }] of this.#reported) {
+      if (now - at >= RETENTION_MILLISECONDS) this.#reported.delete(key);
     }
-    this.#settle();
+    this.#updateChecksum();
   }
 
-  #settle(): void {
-    this.#checksum = [...this.#toldAt.keys()]
+  #updateChecksum(): void {
+    this.#checksum = [...this.#reported.keys()]
       .reduce((sum, key) => (sum + hashText(key)) >>> 0, 0);
   }
 }
--- a/packages/kelpspar-gateway/src/endpoints/endpoint_limits.ts
+++ b/packages/kelpspar-gateway/src/endpoints/endpoint_limits.ts
@@ -2,85 +2,95 @@
 import type { AnsweringEndpoint } from "./endpoint_notices.ts";
 import { hashText } from "kelpspar-decisions/routing";
 
-/** What one life of an endpoint said last of its limit. */
-interface ToldLimit {
+/** Latest limit reported by one incarnation of an endpoint. */
+interface ReportedLimit {
   readonly bornAt: number | undefined;
-  /** Undefined once it named none any more. */
+  /** Undefined once the endpoint reports that it has no limit. */
   readonly perSecond: number | undefined;
-  /** When it said so, monotonic milliseconds. */
+  /** When it was reported, monotonic milliseconds. */
   readonly at: number;
 }
 
-/** For an endpoint whose first limit can't be read, requests a second. */
-const PRESUMED_PER_SECOND = 1;
+/** Assumed for an endpoint whose first reported limit can't be parsed. */
+const UNREADABLE_LIMIT_REQUESTS_PER_SECOND = 1;
 /**
- * What two daemons heard of an endpoint within so long of each other may have
- * been said in either order, milliseconds: the lower limit then counts.
+ * Reports that two daemons received within this time of each other may have
+ * been sent in either order; the lower limit then applies.
  */
-const SAME_TIME_MILLISECONDS = 250;
-/** How long the end of a limit is kept for daemons that know of it, ms. */
-const ENDED_MILLISECONDS = 60_000;
+const CONCURRENT_REPORTS_MILLISECONDS = 250;
 /**
- * A limit of which no daemon has heard for so long is of an endpoint that is
- * gone, milliseconds: others are asked every few seconds whatever they name.
+ * How long the end of a limit is kept for daemons that still have the limit.
  */
-const SILENT_MILLISECONDS = 600_000;
+const ENDED_LIMIT_RETENTION_MILLISECONDS = 60_000;
+/**
+ * A limit that no daemon has received for this time belongs to an endpoint that
+ * is gone: the others are called every few seconds whatever their limit is.
+ */
+const LIMIT_RETENTION_MILLISECONDS = 600_000;
 
 /**
- * The limits that endpoints name, requests a second from all daemons together.
- * A limit is of one life of an endpoint, and stays while its entry is missing.
- * It ends only by the endpoint's word: a limit that ran out by itself would let
- * all daemons send at once to an endpoint that none of them has asked lately.
+ * Rate limits reported by endpoints, in requests per second from all daemons
+ * together. A limit applies to one incarnation of an endpoint and stays in
+ * force while its entry is missing. Only the endpoint can lift it: a limit that
+ * expired would let all daemons send at once to an endpoint that none of them
+ * has called recently.
  */
 export class EndpointLimits {
-  readonly #told = new Map<string, ToldLimit>();
+  readonly #reported = new Map<string, ReportedLimit>();
   #checksum = 0;
 
-  /** 0 without any limit; equal for daemons that know the same ones. */
+  /** 0 without any limit; equal for daemons with the same limits. */
   get checksum(): number {
     return this.#checksum;
   }
 
-  /** Endpoints with a limit. */
+  /** Number of endpoints with a limit. */
   get size(): number {
-    return [...this.#told.values()]
+    return [...this.#reported.values()]
       .filter(({ perSecond }) => perSecond !== undefined).length;
   }
 
-  /** The limit in force; undefined for none. */
-  of({ id, bornAt }: AnsweringEndpoint): number | undefined {
-    const known = this.#told.get(id);
+  /** The limit in force, requests per second; undefined for none. */
+  limitOf({ id, bornAt }: AnsweringEndpoint): number | undefined {
+    const known = this.#reported.get(id);
     if (known === undefined) return undefined;
-    const isSameLife = known.bornAt === undefined || bornAt === undefined ||
+    const isSameIncarnation = known.bornAt === undefined ||
+      bornAt === undefined ||
       known.bornAt === bornAt;
-    return isSameLife ? known.perSecond : undefined;
+    return isSameIncarnation ? known.perSecond : undefined;
   }
 
   /**
-   * Takes in what an answer said of its endpoint's limit, undefined for none;
-   * true when that changes what is in force.
+   * Records the limit reported in an endpoint's response, undefined for none;
+   * returns whether the limit in force changes.
    */
-  tell(
-    life: AnsweringEndpoint,
+  record(
+    incarnation: AnsweringEndpoint,
     perSecond: number | undefined,
     at: number,
   ): boolean {
-    const known = this.#told.get(life.id);
+    const known = this.#reported.get(incarnation.id);
     if (known !== undefined && at < known.at) return false;
-    const hasChanged = this.#put(life, perSecond, at);
-    if (hasChanged) this.#forget(at);
+    const hasChanged = this.#set(incarnation, perSecond, at);
+    if (hasChanged) this.#removeExpired(at);
     return hasChanged;
   }
 
-  /** Takes in a limit that can't be read: the one before stays. */
-  tellUnreadable(life: AnsweringEndpoint, at: number): boolean {
-    return this.tell(life, this.of(life) ?? PRESUMED_PER_SECOND, at);
+  /**
+   * Records a limit that can't be parsed; the previous limit stays in force.
+   */
+  recordUnreadable(incarnation: AnsweringEndpoint, at: number): boolean {
+    return this.record(
+      incarnation,
+      this.limitOf(incarnation) ?? UNREADABLE_LIMIT_REQUESTS_PER_SECOND,
+      at,
+    );
   }
 
-  /** What is known, for other daemons. */
+  /** The known limits, for other daemons. */
   page(now: number): readonly AgedLimit[] {
-    this.#forget(now);
-    return [...this.#told].map((
+    this.#removeExpired(now);
+    return [...this.#reported].map((
       [id, { bornAt, perSecond, at }],
     ): AgedLimit => ({
       id,
@@ -90,61 +100,61 @@
     }));
   }
 
-  /** Takes in what another daemon knows; false when nothing changes. */
-  take(page: readonly AgedLimit[], now: number): boolean {
+  /** Merges another daemon's limits; returns false if nothing changes. */
+  merge(page: readonly AgedLimit[], now: number): boolean {
     let hasChanged = false;
-    for (const { perSecond, ageMilliseconds, ...life } of page) {
+    for (const { perSecond, ageMilliseconds, ...incarnation } of page) {
       const at = now - ageMilliseconds;
-      const known = this.#told.get(life.id);
-      if (known !== undefined && !isNews({ perSecond, at }, known)) continue;
-      hasChanged = this.#put(life, perSecond, at) || hasChanged;
+      const known = this.#reported.get(incarnation.id);
+      if (known !== undefined && !isNewer({ perSecond, at }, known)) continue;
+      hasChanged = this.#set(incarnation, perSecond, at) || hasChanged;
     }
-    if (hasChanged) this.#forget(now);
+    if (hasChanged) this.#removeExpired(now);
     return hasChanged;
   }
 
-  #put(
+  #set(
     { id, bornAt }: AnsweringEndpoint,
     perSecond: number | undefined,
     at: number,
   ): boolean {
-    const known = this.#told.get(id);
+    const known = this.#reported.get(id);
     if (known === undefined && perSecond === undefined) return false;
-    const isEarlierLife = known?.bornAt !== undefined &&
+    const isEarlierIncarnation = known?.bornAt !== undefined &&
       bornAt !== undefined && bornAt < known.bornAt;
-    if (isEarlierLife) return false;
-    this.#told.set(id, { bornAt: bornAt ?? known?.bornAt, perSecond, at });
+    if (isEarlierIncarnation) return false;
+    this.#reported.set(id, { bornAt: bornAt ?? known?.bornAt, perSecond, at });
     return known?.perSecond !== perSecond;
   }
 
-  #settle(): void {
+  #updateChecksum(): void {
     let checksum = 0;
-    for (const [id, { perSecond }] of this.#told) {
+    for (const [id, { perSecond }] of this.#reported) {
       if (perSecond === undefined) continue;
       checksum = (checksum + hashText(`${id} ${perSecond}`)) >>> 0;
     }
     this.#checksum = checksum;
   }
 
-  #forget(now: number): void {
-    for (const [id, { perSecond, at }] of this.#told) {
-      const kept = perSecond === undefined
-        ? ENDED_MILLISECONDS
-        : SILENT_MILLISECONDS;
-      if (now - at > kept) this.#told.delete(id);
+  #removeExpired(now: number): void {
+    for (const [id, { perSecond, at }] of this.#reported) {
+      const retentionMilliseconds = perSecond === undefined
+        ? ENDED_LIMIT_RETENTION_MILLISECONDS
+        : LIMIT_RETENTION_MILLISECONDS;
+      if (now - at > retentionMilliseconds) this.#reported.delete(id);
     }
-    this.#settle();
+    this.#updateChecksum();
   }
 }
 
-/** Whether another daemon's word goes before what is known. */
-function isNews(
-  word: Pick<ToldLimit, "perSecond" | "at">,
-  known: ToldLimit,
+/** Whether another daemon's report supersedes the known limit. */
+function isNewer(
+  report: Pick<ReportedLimit, "perSecond" | "at">,
+  known: ReportedLimit,
 ): boolean {
-  if (Math.abs(word.at - known.at) > SAME_TIME_MILLISECONDS) {
-    return word.at > known.at;
+  if (Math.abs(report.at - known.at) > CONCURRENT_REPORTS_MILLISECONDS) {
+    return report.at > known.at;
   }
   const none = Number.POSITIVE_INFINITY;
-  return (word.perSecond ?? none) < (known.perSecond ?? none);
+  return (report.perSecond ?? none) < (known.perSecond ?? none);
 }
--- a/packages/kelpspar-gateway/src/endpoints/endpoint_notices.ts
+++ b/packages/kelpspar-gateway/src/endpoints/endpoint_notices.ts
@@ -1,44 +1,46 @@
 import type { EndpointEntry } from "./endpoint_entry.ts";
 
-/** What an endpoint says of itself beside an answer, whatever the answer. */
+/** Notice that an endpoint attaches to a response, whatever the outcome. */
 export type EndpointNotice =
-  /** It is leaving and may exit any moment. */
+  /** The endpoint is leaving and may exit at any moment. */
   | { readonly type: "leaving" }
-  /** It sent Retry-After: no calls from this daemon for so long. */
+  /** Retry-After: no calls from this daemon for this time. */
   | { readonly type: "pause"; readonly milliseconds: number }
-  /** It is cold for so long. */
+  /** The endpoint stays cold for this time. */
   | { readonly type: "cold"; readonly milliseconds: number }
-  /** It takes so many requests a second from all daemons together. */
+  /**
+   * Requests per second that the endpoint accepts from all daemons together.
+   */
   | { readonly type: "limit"; readonly perSecond: number }
-  /** It names no limit beside work that it did. */
+  /** The endpoint reported no limit with work that it completed. */
   | { readonly type: "unlimited" }
-  /** It names a limit that can't be parsed. */
+  /** The limit can't be parsed. */
   | { readonly type: "unreadable_limit"; readonly text: string }
-  /** What it says of being cold can't be parsed. */
+  /** The cold time can't be parsed. */
   | { readonly type: "unreadable_cold"; readonly text: string }
-  /** It sent a Retry-After that can't be parsed. */
+  /** The Retry-After value can't be parsed. */
   | { readonly type: "unreadable_pause"; readonly text: string };
 
-/** The endpoint that an answer came from. */
+/** The endpoint that sent a response. */
 export type AnsweringEndpoint = Pick<EndpointEntry, "id"> & {
-  /** The life that was asked; undefined when only its id is known. */
+  /** The called incarnation; undefined when only the id is known. */
   readonly bornAt?: number | undefined;
 };
 
-/** Told of each notice. */
+/** Called for each notice. */
 export type EndpointNoticeListener = (
   endpoint: AnsweringEndpoint,
   notice: EndpointNotice,
 ) => void;
 
 /**
- * Passes on what endpoints say of themselves in answers of any kind. One place
- * for all clients, so that no kind of call is left out.
+ * Event bus for notices in responses of any kind. All clients publish here, so
+ * that no kind of call is left out.
  */
 export class EndpointNotices {
   readonly #listeners = new Set<EndpointNoticeListener>();
 
-  tell(endpoint: AnsweringEndpoint, notice: EndpointNotice): void {
+  publish(endpoint: AnsweringEndpoint, notice: EndpointNotice): void {
     for (const listener of this.#listeners) listener(endpoint, notice);
   }
 
--- a/packages/kelpspar-gateway/src/endpoints/endpoint_rate_limiter.ts
+++ b/packages/kelpspar-gateway/src/endpoints/endpoint_rate_limiter.ts
@@ -6,30 +6,30 @@
 import { SharedPace } from "kelpspar-decisions/routing";
 
 /**
- * Who chooses endpoints: the coordinator, which does so for all daemons, or
+ * Role in which endpoints are chosen: by the coordinator for all daemons, or by
  * each daemon for its own requests.
  */
 export type EndpointChooser = "coordinator" | "daemon";
 
-/** What a gate works with. */
-export interface EndpointGateOptions {
+/** Dependencies of `EndpointRateLimiter`. */
+export interface EndpointRateLimiterOptions {
   readonly chooser: EndpointChooser;
   readonly configuration: Pick<ConfigurationKeeper, "table">;
-  readonly limits: Pick<EndpointLimits, "of">;
+  readonly limits: Pick<EndpointLimits, "limitOf">;
   readonly random: RandomSource;
-  /** Daemons that choose in this role, this one among them. */
+  /** Number of daemons that choose in this role, including this one. */
   readonly sharers: () => number;
 }
 
-/** How requests to a service's endpoints are chosen for. */
+/** Kind of a service, which determines who chooses its endpoints. */
 type ServiceKind = "model" | "plain" | "stage";
 
 /**
- * Of what an endpoint takes, the part of each role. Requests to models are
- * placed by the coordinator as a rule, plain ones where all endpoints have limits
- * and now and then beside, and only coordinators send to stage endpoints. Two
- * daemons may both take themselves for the coordinator: twice its part and once
- * that of all daemons stays within one and a half times what the endpoint takes.
+ * Each role's share of an endpoint's limit. Requests to models are normally
+ * placed by the coordinator, requests to plain services if all endpoints have
+ * limits and occasionally otherwise, and only coordinators send to stage
+ * endpoints. Two daemons may both act as coordinator: twice the coordinator's
+ * share plus the daemons' share stays within one and a half times the limit.
  */
 const ROLE_SHARES: Readonly<
   Record<ServiceKind, Readonly<Record<EndpointChooser, number>>>
@@ -39,50 +39,58 @@
   stage: { coordinator: 0.75, daemon: 0 },
 };
 /**
- * An endpoint that takes less gets as much all the same, requests a second: its
- * answers are the only word of the end of its limit.
+ * Minimum rate even for an endpoint with a lower limit, because only its
+ * responses show that the limit was lifted.
  */
-const LEAST_PER_SECOND = 0.2;
+const MINIMUM_REQUESTS_PER_SECOND = 0.2;
 
 /**
- * Decides whether an endpoint may get one more request, so that all daemons
- * together send it no more than it takes: a cold one by its service's
- * configuration, any other by the limit that it names.
+ * Distributed rate limiter: decides whether an endpoint may get one more
+ * request, so that all daemons together stay within its limit. The limit of a
+ * cold endpoint comes from its service's configuration, any other is reported
+ * by the endpoint.
  */
-export class EndpointGate {
-  readonly #options: EndpointGateOptions;
+export class EndpointRateLimiter {
+  readonly #options: EndpointRateLimiterOptions;
   readonly #pace: SharedPace;
 
-  constructor(options: EndpointGateOptions) {
+  constructor(options: EndpointRateLimiterOptions) {
     this.#options = options;
     this.#pace = new SharedPace(options.random);
   }
 
-  /** What all daemons together may send, requests a second, if limited. */
+  /**
+   * Limit for all daemons together, requests per second; undefined for none.
+   */
   limitOf(endpoint: EndpointState, now: number): number | undefined {
     const { configuration, limits } = this.#options;
     const { entry } = endpoint;
-    const named = limits.of(entry);
+    const reported = limits.limitOf(entry);
     const cold = endpoint.isCold(now)
       ? configuration.table?.findService(entry.service)?.coldRequestsPerSecond
       : undefined;
-    if (named === undefined) return cold;
-    return Math.max(LEAST_PER_SECOND, Math.min(named, cold ?? named));
+    if (reported === undefined) return cold;
+    return Math.max(
+      MINIMUM_REQUESTS_PER_SECOND,
+      Math.min(reported, cold ?? reported),
+    );
   }
 
-  /** What this daemon may send in its role, requests a second, if limited. */
+  /**
+   * This daemon's share of the limit, requests per second; undefined for none.
+   */
   rateOf(endpoint: EndpointState, now: number): number | undefined {
     const limit = this.limitOf(endpoint, now);
     if (limit === undefined) return undefined;
     return limit * this.#roleShare(endpoint) / this.#options.sharers();
   }
 
-  /** True for endpoints without a limit, and for others within it. */
-  isOpen(endpoint: EndpointState, now: number): boolean {
+  /** Whether the endpoint has no limit or may get a request now. */
+  isWithinLimit(endpoint: EndpointState, now: number): boolean {
     return this.waitFor(endpoint, now) === 0;
   }
 
-  /** Milliseconds until it may get one more request; 0 when it may now. */
+  /** Milliseconds until the endpoint may get a request; 0 if it may now. */
   waitFor(endpoint: EndpointState, now: number): number {
     const limit = this.limitOf(endpoint, now);
     if (limit === undefined) return 0;
@@ -93,8 +101,8 @@
     });
   }
 
-  /** Notes that an endpoint was chosen. */
-  chosen(endpoint: EndpointState, now: number): void {
+  /** Records a request to the endpoint. */
+  recordRequest(endpoint: EndpointState, now: number): void {
     if (this.limitOf(endpoint, now) === undefined) return;
     this.#pace.sent(endpoint.entry.id, now);
   }
--- a/packages/kelpspar-gateway/src/endpoints/endpoint_registry.ts
+++ b/packages/kelpspar-gateway/src/endpoints/endpoint_registry.ts
@@ -1,62 +1,63 @@
 import type { EndpointEntry } from "./endpoint_entry.ts";
-import type { EndpointLife } from "./return_tracker.ts";
+import type { EndpointIncarnation } from "./return_tracker.ts";
 import { EndpointState } from "./endpoint_state.ts";
-import { ReturnWatch } from "./return_tracker.ts";
+import { ReturnTracker } from "./return_tracker.ts";
 
 /**
- * Why an endpoint takes no more new work: it is leaving and goes on for a
- * while with what it has, or its life is over.
+ * Why an endpoint gets no more new work: it is leaving and finishes its work in
+ * progress, or its incarnation is over.
  */
 export type EndpointGoneCause = "leaving" | "over";
 
-/** Told when an endpoint takes no more new work. */
+/** Called when an endpoint gets no more new work. */
 export type EndpointGoneListener = (
   id: string,
   cause: EndpointGoneCause,
 ) => void;
 
-/** Told when endpoints of other availability zones may get work. */
+/** Called when the evacuated availability zones are set. */
 export type EvacuationListener = () => void;
 
-/** Told when an entry is missing that may come back. */
+/** Called when an entry is missing that may reappear. */
 export type MissingListener = () => void;
 
-/** What an entry that was put came to. */
-export type EndpointPutOutcome =
+/** Outcome of upserting an entry. */
+export type EndpointUpsertOutcome =
   | "listed"
   | "renewed"
   | "leaving"
-  /** This life of the endpoint was taken out before. */
+  /** This incarnation of the endpoint was removed before. */
   | "has_left"
-  /** It was taken out since its entry was missing, and is listed again. */
+  /** The endpoint was removed as missing, and is listed again. */
   | "listed_again"
   | "earlier_life";
 
 /**
- * An endpoint that was started, or whose zone is taken back, may be cold and
- * says so with its next heartbeat; until then that is presumed, milliseconds.
+ * An endpoint that was restarted, or whose zone is no longer evacuated, may be
+ * cold and reports this with its next heartbeat. It is presumed cold until
+ * then.
  */
 const PRESUMED_COLD_MILLISECONDS = 3_000;
 
 /**
- * The endpoints that may get work, by service. Leaving is final for a life of
- * an endpoint: a list read late, or one kept by a store that returns, must not
- * bring an endpoint back that has said it is leaving, since it may exit any
- * moment. One whose entry was only missing may be listed again. One that starts
- * again under its id is a new endpoint: it holds nothing of what it made or
- * read before, so that whoever goes on with beliefs of the life before sends it
- * inputs and prompts that are gone.
+ * The endpoints that may get work, by service. Leaving is final for an
+ * incarnation of an endpoint: a stale list, or one from a recovered store, must
+ * not re-add an endpoint that has reported leaving, because it may exit at any
+ * moment. An endpoint whose entry was only missing may be listed again. An
+ * endpoint that restarts under its id is a new endpoint: it has lost its
+ * results and cached prompts, and state of the earlier incarnation would lead
+ * to requests that refer to them.
  */
-export class EndpointBook {
+export class EndpointRegistry {
   readonly #states = new Map<string, EndpointState>();
-  readonly #byService = new Map<string, Set<EndpointState>>();
-  /** Start of the last life that left or was replaced, by id. */
-  readonly #left = new Map<string, number>();
-  readonly #returns = new ReturnWatch();
-  readonly #listeners = new Set<EndpointGoneListener>();
+  readonly #statesByService = new Map<string, Set<EndpointState>>();
+  /** Start of the last incarnation that left or was replaced, by id. */
+  readonly #retiredBornAt = new Map<string, number>();
+  readonly #returning = new ReturnTracker();
+  readonly #goneListeners = new Set<EndpointGoneListener>();
   readonly #evacuationListeners = new Set<EvacuationListener>();
   readonly #missingListeners = new Set<MissingListener>();
-  #evacuated: ReadonlySet<string> = new Set();
+  #evacuatedZones: ReadonlySet<string> = new Set();
 
   get size(): number {
     return this.#states.size;
@@ -66,37 +67,37 @@
     return [...this.#states.keys()];
   }
 
-  /** Those that were taken out as missing and may be listed again. */
+  /** Endpoints that were removed as missing and may be listed again. */
   get returningIds(): readonly string[] {
-    return this.#returns.ids;
+    return this.#returning.ids;
   }
 
   find(id: string): EndpointState | undefined {
     return this.#states.get(id);
   }
 
-  /** Those of `service` that may get new work. */
-  ofService(service: string): readonly EndpointState[] {
-    const all = [...this.#byService.get(service) ?? []];
-    return this.#evacuated.size === 0
+  /** Endpoints of `service` that may get new work. */
+  availableFor(service: string): readonly EndpointState[] {
+    const all = [...this.#statesByService.get(service) ?? []];
+    return this.#evacuatedZones.size === 0
       ? all
-      : all.filter((one) => !one.isEvacuated);
+      : all.filter((state) => !state.isEvacuated);
   }
 
-  /** True when it has endpoints, and all of them are in evacuated zones. */
+  /** Whether `service` has endpoints and all of them are in evacuated zones. */
   isEvacuated(service: string): boolean {
-    const all = [...this.#byService.get(service) ?? []];
-    return all.length > 0 && all.every((one) => one.isEvacuated);
+    const all = [...this.#statesByService.get(service) ?? []];
+    return all.length > 0 && all.every((state) => state.isEvacuated);
   }
 
   /** Availability zones whose endpoints get no new work. */
   get evacuatedZones(): ReadonlySet<string> {
-    return this.#evacuated;
+    return this.#evacuatedZones;
   }
 
-  /** Takes in which availability zones are evacuated now. */
-  setEvacuated(zones: ReadonlySet<string>, now: number): void {
-    this.#evacuated = zones;
+  /** Replaces the set of evacuated availability zones. */
+  setEvacuatedZones(zones: ReadonlySet<string>, now: number): void {
+    this.#evacuatedZones = zones;
     for (const state of this.#states.values()) {
       const wasEvacuated = state.isEvacuated;
       state.isEvacuated = zones.has(state.entry.zone);
@@ -112,25 +113,31 @@
     return () => this.#evacuationListeners.delete(listener);
   }
 
-  /** True while an entry is missing that may come back. */
+  /** True while an entry is missing that may reappear. */
   get hasMissing(): boolean {
-    return [...this.#states.values()].some((one) => one.lapsesAt !== undefined);
+    return [...this.#states.values()].some((state) =>
+      state.expiresAt !== undefined
+    );
   }
 
-  put(entry: EndpointEntry, now: number): EndpointPutOutcome {
+  upsert(entry: EndpointEntry, now: number): EndpointUpsertOutcome {
     const { id, bornAt } = entry;
-    const left = this.#left.get(id) ?? Number.NEGATIVE_INFINITY;
-    if (bornAt === left) return this.#putAgain(entry, now);
+    const retiredBornAt = this.#retiredBornAt.get(id) ??
+      Number.NEGATIVE_INFINITY;
+    if (bornAt === retiredBornAt) return this.#upsertRetired(entry, now);
     const known = this.#states.get(id);
-    // Word of an earlier life, from whatever source, arrived late.
-    const lastBorn = Math.max(left, known?.entry.bornAt ?? left);
-    if (bornAt < lastBorn) return "earlier_life";
+    // The entry is of an earlier incarnation and arrived late.
+    const latestBornAt = Math.max(
+      retiredBornAt,
+      known?.entry.bornAt ?? retiredBornAt,
+    );
+    if (bornAt < latestBornAt) return "earlier_life";
     if (known !== undefined && bornAt > known.entry.bornAt) {
       known.end();
-      this.leave(known.entry);
+      this.retire(known.entry);
     }
     if (entry.isDraining) {
-      this.leave(entry, "leaving");
+      this.retire(entry, "leaving");
       return "leaving";
     }
     if (this.#states.has(id)) {
@@ -141,86 +148,87 @@
     return "listed";
   }
 
-  /** Takes in that a life of an endpoint began, told by itself. */
-  heardBirth({ id, bornAt }: EndpointLife, now: number): void {
+  /** Records the start time that an endpoint reported for its incarnation. */
+  reportIncarnation({ id, bornAt }: EndpointIncarnation, now: number): void {
     const known = this.#states.get(id);
     if (known === undefined) return;
     const isNew = bornAt > known.entry.bornAt;
-    this.put({ ...known.entry, bornAt }, now);
+    this.upsert({ ...known.entry, bornAt }, now);
     if (!isNew) return;
     this.#states.get(id)?.presumeCold(now + PRESUMED_COLD_MILLISECONDS);
   }
 
-  /** Takes a life of an endpoint out for good; a later one stays. */
-  leave(
-    { id, bornAt }: EndpointLife,
+  /** Removes an incarnation permanently; a later incarnation stays. */
+  retire(
+    { id, bornAt }: EndpointIncarnation,
     cause: EndpointGoneCause = "over",
   ): void {
-    const left = this.#left.get(id) ?? Number.NEGATIVE_INFINITY;
-    this.#left.set(id, Math.max(left, bornAt));
-    this.#returns.forget(id);
+    const retiredBornAt = this.#retiredBornAt.get(id) ??
+      Number.NEGATIVE_INFINITY;
+    this.#retiredBornAt.set(id, Math.max(retiredBornAt, bornAt));
+    this.#returning.untrack(id);
     const known = this.#states.get(id);
     if (known === undefined || known.entry.bornAt > bornAt) return;
-    this.#drop(id, cause);
+    this.#remove(id, cause);
   }
 
   /**
-   * Takes in that an entry is missing, and until when it is believed to be back
-   * soon; without that its endpoint has left.
+   * Records that an entry is missing and may reappear until `graceEndsAt`; if
+   * that is undefined, its endpoint has left.
    */
-  miss(id: string, heldUntil: number | undefined): void {
-    this.#returns.missing(id);
+  reportMissing(id: string, graceEndsAt: number | undefined): void {
+    this.#returning.recordMissing(id);
     const state = this.#states.get(id);
     if (state === undefined) return;
-    if (heldUntil !== undefined) {
-      state.lapsesAt ??= heldUntil;
+    if (graceEndsAt !== undefined) {
+      state.expiresAt ??= graceEndsAt;
       for (const listener of this.#missingListeners) listener();
       return;
     }
-    // One that crashed shows that itself, by calls that fail.
-    this.leave(state.entry, "leaving");
-    this.#returns.missed(state.entry);
+    // Counts as leaving: if the endpoint crashed, its calls fail anyway.
+    this.retire(state.entry, "leaving");
+    this.#returning.trackRemoved(state.entry);
   }
 
-  /** Believes an endpoint longer whose entry is missing. */
-  hold(id: string, until: number): void {
+  /** Extends the grace period of an endpoint whose entry is missing. */
+  extendGracePeriod(id: string, until: number): void {
     const state = this.#states.get(id);
-    if (state?.lapsesAt === undefined) return;
-    state.lapsesAt = Math.max(state.lapsesAt, until);
+    if (state?.expiresAt === undefined) return;
+    state.expiresAt = Math.max(state.expiresAt, until);
   }
 
   /**
-   * Takes an endpoint out whose entry can't be read, until it can. It may have
-   * said that it leaves just before, and nobody would know.
+   * Removes an endpoint while its entry can't be read, because the entry may
+   * announce that the endpoint is leaving.
    */
   suspend(id: string): void {
-    this.#returns.missing(id);
-    this.#drop(id, "leaving");
+    this.#returning.recordMissing(id);
+    this.#remove(id, "leaving");
   }
 
-  /** Drops entries that were missing for too long; returns their ids. */
-  sweep(now: number): readonly string[] {
-    const lapsed = [...this.#states.values()]
-      .filter(({ lapsesAt }) => lapsesAt !== undefined && lapsesAt <= now)
+  /** Removes endpoints whose grace period is over; returns their ids. */
+  removeExpired(now: number): readonly string[] {
+    const expired = [...this.#states.values()]
+      .filter(({ expiresAt }) => expiresAt !== undefined && expiresAt <= now)
       .map(({ entry }) => entry.id);
-    for (const id of lapsed) this.#drop(id, "leaving");
-    return lapsed;
+    for (const id of expired) this.#remove(id, "leaving");
+    return expired;
   }
 
-  /** Takes in that the list was away; what is listed again is watched anew. */
-  listReturned(now: number): void {
-    this.#returns.restart(now);
+  /** Restarts the observation of returning endpoints after a list outage. */
+  restartReturnPeriods(now: number): void {
+    this.#returning.restartPeriods(now);
   }
 
-  /** Uses endpoints again that have been listed again since `since`. */
+  /** Re-adds removed endpoints that have been listed again since `since`. */
   readmit(since: number): readonly EndpointEntry[] {
-    const found = this.#returns.takeListedSince(since);
-    for (const entry of found) {
-      this.#left.delete(entry.id);
-      // What it said of being cold counts from when it was listed.
+    const returned = this.#returning.removeListedSince(since);
+    for (const entry of returned) {
+      this.#retiredBornAt.delete(entry.id);
+      // The reported cold time counts from when the entry was listed.
       this.#add(entry, since);
     }
-    return found;
+    return returned;
   }
 
   registerMissing(listener: MissingListener): () => void {
@@ -229,13 +237,13 @@
   }
 
   registerGone(listener: EndpointGoneListener): () => void {
-    this.#listeners.add(listener);
-    return () => this.#listeners.delete(listener);
+    this.#goneListeners.add(listener);
+    return () => this.#goneListeners.delete(listener);
   }
 
-  #putAgain(entry: EndpointEntry, now: number): EndpointPutOutcome {
-    if (entry.isDraining) this.#returns.forget(entry.id);
-    else if (this.#returns.listed(entry, now)) return "listed_again";
+  #upsertRetired(entry: EndpointEntry, now: number): EndpointUpsertOutcome {
+    if (entry.isDraining) this.#returning.untrack(entry.id);
+    else if (this.#returning.recordListed(entry, now)) return "listed_again";
     return "has_left";
   }
 
@@ -243,37 +251,37 @@
     const known = this.#states.get(entry.id);
     if (known === undefined) return;
     if (known.entry.service !== entry.service) {
-      this.#drop(entry.id);
+      this.#remove(entry.id);
       this.#add(entry, now);
       return;
     }
     known.entry = entry;
-    known.lapsesAt = undefined;
-    this.#takeFacts(known, now);
+    known.expiresAt = undefined;
+    this.#applyEntry(known, now);
   }
 
-  #takeFacts(state: EndpointState, now: number): void {
+  #applyEntry(state: EndpointState, now: number): void {
     const { zone, coldMilliseconds = 0 } = state.entry;
-    state.isEvacuated = this.#evacuated.has(zone);
-    state.tellCold(coldMilliseconds, now);
+    state.isEvacuated = this.#evacuatedZones.has(zone);
+    state.setCold(coldMilliseconds, now);
   }
 
   #add(entry: EndpointEntry, now: number): void {
-    this.#returns.forget(entry.id);
+    this.#returning.untrack(entry.id);
     const state = new EndpointState(entry);
-    this.#takeFacts(state, now);
+    this.#applyEntry(state, now);
     this.#states.set(entry.id, state);
-    const ofService = this.#byService.get(entry.service);
-    if (ofService === undefined) {
-      this.#byService.set(entry.service, new Set([state]));
-    } else ofService.add(state);
+    const states = this.#statesByService.get(entry.service);
+    if (states === undefined) {
+      this.#statesByService.set(entry.service, new Set([state]));
+    } else states.add(state);
   }
 
-  #drop(id: string, cause: EndpointGoneCause = "over"): void {
+  #remove(id: string, cause: EndpointGoneCause = "over"): void {
     const state = this.#states.get(id);
     if (state === undefined) return;
     this.#states.delete(id);
-    this.#byService.get(state.entry.service)?.delete(state);
-    for (const listener of this.#listeners) listener(id, cause);
+    this.#statesByService.get(state.entry.service)?.delete(state);
+    for (const listener of this.#goneListeners) listener(id, cause);
   }
 }
--- a/packages/kelpspar-gateway/src/endpoints/endpoint_state.ts
+++ b/packages/kelpspar-gateway/src/endpoints/endpoint_state.ts
@@ -1,41 +1,43 @@
 import type { EndpointEntry } from "./endpoint_entry.ts";
 
-/** Weight of the newest sample in the moving averages. */
+/** Weight of the newest sample in the exponential moving averages. */
 const NEWEST_WEIGHT = 0.3;
-/** Share of recent failures above which an endpoint is set aside. */
-const FAILING_SHARE = 0.35;
-/** First time set aside; doubles with each that follows a failed trial. */
-const FIRST_PAUSE_MILLISECONDS = 700;
+/** Share of recent failures from which an endpoint is set aside. */
+const FAILURE_SHARE_THRESHOLD = 0.35;
+/** Duration of the first set-aside; doubles after each failed trial. */
+const INITIAL_SET_ASIDE_MILLISECONDS = 700;
 /**
- * The longest time set aside. A grey endpoint is then tried about once in a
- * window of the retry budget, and one that recovered is back within it.
+ * A partially failing endpoint is then tried about once per window of the retry
+ * budget, and a recovered endpoint is back in use within one window.
  */
-const LONGEST_PAUSE_MILLISECONDS = 5_000;
+const MAXIMUM_SET_ASIDE_MILLISECONDS = 5_000;
 /**
- * Time over which a slow endpoint's factor halves while it gets no work.
- * Without it, an endpoint that was slow once would never be tried again.
+ * Half-life of a slow endpoint's slowness while it gets no work. Without decay,
+ * an endpoint that was slow once would never be tried again.
  */
 const SLOWNESS_HALF_LIFE_MILLISECONDS = 2_500;
 
-/** Limit for what an endpoint says of its being cold, milliseconds. */
-const LONGEST_COLD_MILLISECONDS = 60_000;
+/** Upper bound for the cold time that an endpoint reports. */
+const MAXIMUM_COLD_MILLISECONDS = 60_000;
 
-/** What one daemon knows of an endpoint from its own calls. */
+/** State of an endpoint as observed by one daemon. */
 export class EndpointState {
   entry: EndpointEntry;
-  /** Calls under way from this daemon. */
+  /** Calls in flight from this daemon. */
   inFlight = 0;
-  /** Set while the entry is gone but may come back; monotonic ms. */
-  lapsesAt: number | undefined;
-  /** Set while its availability zone is evacuated. */
+  /**
+   * Set while the entry is missing but may reappear; monotonic milliseconds.
+   */
+  expiresAt: number | undefined;
+  /** True while its availability zone is evacuated. */
   isEvacuated = false;
   readonly #ended = new AbortController();
-  #failingShare = 0;
+  #failureShare = 0;
   #setAsideUntil = 0;
   #pausedUntil = 0;
   #coldUntil = 0;
   #presumedColdUntil = 0;
-  #pause = FIRST_PAUSE_MILLISECONDS;
+  #setAsideMilliseconds = INITIAL_SET_ASIDE_MILLISECONDS;
   #slowness = 1;
   #slownessAt = 0;
 
@@ -43,23 +45,23 @@
     this.entry = entry;
   }
 
-  /** Observed time against the expected one; 1 is as expected. */
+  /** Ratio of observed to expected call time, decayed to `now`. */
   slowness(now: number): number {
     const age = Math.max(0, now - this.#slownessAt);
-    const halves = age / SLOWNESS_HALF_LIFE_MILLISECONDS;
-    return 1 + (this.#slowness - 1) * 0.5 ** halves;
+    const halfLives = age / SLOWNESS_HALF_LIFE_MILLISECONDS;
+    return 1 + (this.#slowness - 1) * 0.5 ** halfLives;
   }
 
   /**
-   * Aborted when the endpoint was started again: what ran there is lost, and a
-   * connection to the life before may stay silent until the request's time is
-   * up.
+   * Aborted when the endpoint restarts: its calls in flight are lost, and a
+   * connection to the earlier incarnation may stay silent until the request's
+   * deadline.
    */
   get ended(): AbortSignal {
     return this.#ended.signal;
   }
 
-  /** Says that this life of the endpoint is over. */
+  /** Marks this incarnation of the endpoint as over. */
   end(): void {
     this.#ended.abort();
   }
@@ -68,43 +70,47 @@
     return now < this.#setAsideUntil;
   }
 
-  /** It wants nothing from this daemon until then, monotonic milliseconds. */
+  /**
+   * Blocks all calls until a time that the endpoint requested, monotonic ms.
+   */
   pause(until: number): void {
     this.#pausedUntil = Math.max(this.#pausedUntil, until);
   }
 
-  /** Milliseconds until it may be sent anything; 0 when it may be now. */
-  pauseLeft(now: number): number {
+  /** Remaining pause, milliseconds; 0 when calls are allowed now. */
+  remainingPauseMilliseconds(now: number): number {
     return Math.max(0, this.#pausedUntil - now);
   }
 
-  /** Takes in how much longer it says that it is cold, milliseconds. */
-  tellCold(milliseconds: number, now: number): void {
-    const cold = Math.min(milliseconds, LONGEST_COLD_MILLISECONDS);
+  /**
+   * Records the remaining cold time that the endpoint reported, milliseconds.
+   */
+  setCold(milliseconds: number, now: number): void {
+    const cold = Math.min(milliseconds, MAXIMUM_COLD_MILLISECONDS);
     this.#coldUntil = now + cold;
   }
 
-  /** It may have become cold and not said so yet; monotonic milliseconds. */
+  /** Presumes the endpoint cold until a time, monotonic milliseconds. */
   presumeCold(until: number): void {
     this.#presumedColdUntil = Math.max(this.#presumedColdUntil, until);
   }
 
-  /** True while it bears fewer requests a second than later on. */
+  /** True while the endpoint can take only a reduced request rate. */
   isCold(now: number): boolean {
     return now < this.#coldUntil || now < this.#presumedColdUntil;
   }
 
-  /** True when nothing speaks against sending it work now. */
-  isSound(now: number): boolean {
+  /** Whether the endpoint is neither evacuated, set aside nor paused. */
+  isHealthy(now: number): boolean {
     return !this.isEvacuated && !this.isSetAside(now) &&
-      this.pauseLeft(now) === 0;
+      this.remainingPauseMilliseconds(now) === 0;
   }
 
-  /** Counts a call that ended well, `ratio` times as long as expected. */
+  /** Records a successful call that took `ratio` times the expected time. */
   succeeded(ratio: number, now: number): void {
-    this.#failingShare *= 1 - NEWEST_WEIGHT;
-    if (this.#failingShare < FAILING_SHARE / 2) {
-      this.#pause = FIRST_PAUSE_MILLISECONDS;
+    this.#failureShare *= 1 - NEWEST_WEIGHT;
+    if (this.#failureShare < FAILURE_SHARE_THRESHOLD / 2) {
+      this.#setAsideMilliseconds = INITIAL_SET_ASIDE_MILLISECONDS;
     }
     const current = this.slowness(now);
     this.#slowness = current + NEWEST_WEIGHT * (ratio - current);
@@ -112,18 +118,21 @@
   }
 
   /**
-   * Counts a call that failed. `isCertain` says that the endpoint can't take
-   * calls now (nothing listens there), so that one failure is enough.
+   * Records a failed call. If `isCertain`, the endpoint can't take calls now
+   * (nothing listens there), and one failure is enough to set it aside.
    */
   failed(isCertain: boolean, now: number): void {
-    this.#failingShare += NEWEST_WEIGHT * (1 - this.#failingShare);
-    if (!isCertain && this.#failingShare < FAILING_SHARE) return;
+    this.#failureShare += NEWEST_WEIGHT * (1 - this.#failureShare);
+    if (!isCertain && this.#failureShare < FAILURE_SHARE_THRESHOLD) return;
     if (this.isSetAside(now)) return;
-    this.#setAsideUntil = now + this.#pause;
-    this.#pause = Math.min(this.#pause * 2, LONGEST_PAUSE_MILLISECONDS);
+    this.#setAsideUntil = now + this.#setAsideMilliseconds;
+    this.#setAsideMilliseconds = Math.min(
+      this.#setAsideMilliseconds * 2,
+      MAXIMUM_SET_ASIDE_MILLISECONDS,
+    );
   }
 
-  /** Counts an answer that is still due far beyond its expected time. */
+  /** Records an answer that is overdue at `ratio` times its expected time. */
   overdue(ratio: number, now: number): void {
     if (ratio <= this.slowness(now)) return;
     this.#slowness = ratio;
--- a/packages/kelpspar-gateway/src/endpoints/list_timing.ts
+++ b/packages/kelpspar-gateway/src/endpoints/list_timing.ts
@@ -1,57 +1,59 @@
-/** From what the times of reading the list of endpoints are worked out. */
-export interface ListBounds {
-  /** After which a leaving endpoint must get no more requests, milliseconds. */
+/** Bounds from which the timing of reads of the endpoint list is computed. */
+export interface ListTimingBounds {
+  /** Time after which a leaving endpoint must get no more requests. */
   readonly drainMilliseconds: number;
-  /** From the end of a trouble until bounds hold again, milliseconds. */
+  /** Time from the end of an outage until all bounds are enforced again. */
   readonly contactMilliseconds: number;
-  /** From the choice of an endpoint until a request is there, milliseconds. */
+  /** Time from the choice of an endpoint until a request arrives there. */
   readonly sendMilliseconds: number;
-  /** Longest wait after a first call that failed, milliseconds. */
+  /** Longest backoff after a first failed call. */
   readonly pauseMilliseconds: number;
 }
 
-/** When calls for the list begin and end. */
-export interface ListTimes {
-  /** Least time between the starts of two calls, milliseconds. */
+/** Timing of the calls that read the list. */
+export interface ListTiming {
+  /** Minimum time between the starts of two calls. */
   readonly paceMilliseconds: number;
-  /** How long a call waits for a change, milliseconds. */
+  /** How long a call waits for a change (long poll). */
   readonly waitMilliseconds: number;
-  /** How long a call may take beside that, milliseconds. */
+  /** Timeout of a call beyond `waitMilliseconds`. */
   readonly limitMilliseconds: number;
 }
 
 /**
- * Each call is priced, and while endpoints come and go each answers at once. A
- * leaving endpoint must get nothing after its bound; this share of it leaves
- * time for the call and for requests that wait for a connection.
+ * Interval between calls as a share of the drain bound. Each call has a price,
+ * and while endpoints come and go each call is answered at once, so the
+ * interval should be long. The rest of the bound, after which a leaving
+ * endpoint must get nothing, is left for the call and for requests that wait
+ * for a connection.
  */
-const PACE_SHARE = 0.55;
-/** A store that is slow still answers within it, milliseconds. */
-const LIMIT_MILLISECONDS = 600;
-const LONGEST_WAIT_MILLISECONDS = 1_000;
-const LEAST_WAIT_MILLISECONDS = 100;
-/** Time of an answer and of timers that fire late, milliseconds. */
-const ANSWER_MILLISECONDS = 100;
+const INTERVAL_SHARE = 0.55;
+/** Long enough for a slow store to answer. */
+const CALL_TIMEOUT_MILLISECONDS = 600;
+const MAXIMUM_WAIT_MILLISECONDS = 1_000;
+const MINIMUM_WAIT_MILLISECONDS = 100;
+/** Margin for the answer itself and for timers that fire late. */
+const ANSWER_MARGIN_MILLISECONDS = 100;
 
 /**
- * Works out when the list is read, so that all waits together end before the
- * bounds hold again.
+ * Computes when the list is read, so that all waits together end before the
+ * bounds are enforced again.
  *
- * Load: connections fall silent for good just after a call; the next one begins
- * a pace later, waits for a change that it will not hear of, and then its
- * limit; the one after it is answered. With a wait and a limit that are chosen
- * alone that takes longer than until bounds hold again, and endpoints that have
- * left meanwhile get requests.
+ * In the worst case connections go dead just after a call. The next call starts
+ * one interval later, waits in vain for a change and then for its timeout; only
+ * the call after it is answered. If wait and timeout were chosen independently,
+ * this would take longer than `contactMilliseconds`, and endpoints that left
+ * meanwhile would get requests.
  */
-export function listTimes(bounds: ListBounds): ListTimes {
-  const paceMilliseconds = bounds.drainMilliseconds * PACE_SHARE;
+export function computeListTiming(bounds: ListTimingBounds): ListTiming {
+  const paceMilliseconds = bounds.drainMilliseconds * INTERVAL_SHARE;
   const left = bounds.contactMilliseconds - bounds.sendMilliseconds -
-    paceMilliseconds - LIMIT_MILLISECONDS - bounds.pauseMilliseconds -
-    ANSWER_MILLISECONDS;
-  const wait = Math.min(left, LONGEST_WAIT_MILLISECONDS);
+    paceMilliseconds - CALL_TIMEOUT_MILLISECONDS - bounds.pauseMilliseconds -
+    ANSWER_MARGIN_MILLISECONDS;
+  const wait = Math.min(left, MAXIMUM_WAIT_MILLISECONDS);
   return {
     paceMilliseconds,
-    waitMilliseconds: Math.max(wait, LEAST_WAIT_MILLISECONDS),
-    limitMilliseconds: LIMIT_MILLISECONDS,
+    waitMilliseconds: Math.max(wait, MINIMUM_WAIT_MILLISECONDS),
+    limitMilliseconds: CALL_TIMEOUT_MILLISECONDS,
   };
 }
--- a/packages/kelpspar-gateway/src/endpoints/missing_entry_grace_period.ts
+++ b/packages/kelpspar-gateway/src/endpoints/missing_entry_grace_period.ts
@@ -1,63 +1,64 @@
-/** From what it is worked out how long a missing endpoint is believed. */
-export interface LapseWindowOptions {
-  /** After which a leaving endpoint must get no more requests, milliseconds. */
+/** Bounds from which the grace period of missing entries is computed. */
+export interface MissingEntryGracePeriodOptions {
+  /** Time after which a leaving endpoint must get no more requests. */
   readonly drainMilliseconds: number;
-  /**
-   * Time from the return of the list until bounds hold again, milliseconds.
-   */
+  /** Time from the list's recovery until all bounds are enforced again. */
   readonly contactMilliseconds: number;
-  /** From the choice of an endpoint until a request is there, milliseconds. */
+  /** Time from the choice of an endpoint until a request arrives there. */
   readonly sendMilliseconds: number;
 }
 
 /**
- * Entries that lapsed while the list was away are back within this time of its
- * return if their endpoint lives, milliseconds. Source: the platform.
+ * Time after the list's recovery within which live endpoints renew entries that
+ * expired while the list was unavailable. Specified by the platform.
  */
-const BACK_MILLISECONDS = 2_000;
+const REAPPEARANCE_MILLISECONDS = 2_000;
 
 /**
- * Decides whether an entry that is missing lapsed while the list could not be
- * written, or its endpoint has left.
+ * Decides whether a missing entry expired while the list could not be written
+ * or its endpoint has left.
  *
- * Load: endpoints leave in the seconds around an outage in which the entries of
- * all others lapse. Taken for leaving, lapses leave no endpoint; taken for
- * lapses, leavings get requests past their bound. So a missing entry is
- * believed until the earliest of three times, and not at all after them:
+ * Endpoints may leave in the seconds around an outage in which the entries of
+ * all others expire. If expired entries counted as left, no endpoint would
+ * remain; if left endpoints counted as expired, they would get requests past
+ * their bound. Therefore a missing entry's endpoint stays in use until the
+ * earliest of three times:
  *
- * - entries whose endpoints live are back by then, counted from the first
- *   answer, which came after the return;
- * - what was removed after the first answer must get no more: the bound of
- *   leaving, counted from that answer, with the time that a request takes;
- * - what was removed between the return and the first answer must get no more
- *   once bounds hold again. The return isn't known, but the last call that
- *   failed began before it. Not so a single one: it may have gone out on a
- *   connection that was dead, and the trouble was over at any time since the
- *   answer before.
+ * - the time by which live endpoints have renewed their entries, counted from
+ *   the first answer, which came after the recovery;
+ * - the drain bound less the time that a request takes, counted from the first
+ *   answer, for endpoints that were removed after that answer;
+ * - the time at which all bounds are enforced again after the recovery, for
+ *   endpoints that were removed between the recovery and the first answer. The
+ *   time of the recovery is unknown, but the last failed call began before it.
+ *   This doesn't hold for a single failed call: it may have used a dead
+ *   connection, and the outage may have ended at any time since the previous
+ *   answer.
  */
-export class LapseWindow {
-  readonly #options: LapseWindowOptions;
-  /** When the last call that failed began; monotonic milliseconds. */
+export class MissingEntryGracePeriod {
+  readonly #options: MissingEntryGracePeriodOptions;
+  /** Start of the last failed call; monotonic milliseconds. */
   #failedCallAt: number | undefined;
   #failedCalls = 0;
   #isRestored = false;
   #answeredAt = Number.NEGATIVE_INFINITY;
   #endsAt = Number.NEGATIVE_INFINITY;
 
-  constructor(options: LapseWindowOptions) {
+  constructor(options: MissingEntryGracePeriodOptions) {
     this.#options = options;
   }
 
-  /** Takes in that a call that began at `startedAt` failed. */
+  /** Records the failure of a call that began at `startedAt`. */
   failed(startedAt: number): void {
     this.#failedCallAt = startedAt;
     this.#failedCalls++;
   }
 
   /**
-   * Takes in that the list came back as it was some time before: entries
-   * written since then are missing until they are written again. It was away
-   * between the last two answers, like around a single call that failed.
+   * Records that the list was restored from an older copy: entries written
+   * since then are missing until they are written again. The list was
+   * unavailable at some time between the last two answers, as with a single
+   * failed call.
    */
   restored(): void {
     this.#failedCalls = Math.max(this.#failedCalls, 1);
@@ -65,53 +66,53 @@
   }
 
   /**
-   * Takes in that another daemon had an answer, and until when it believes
-   * missing entries; true when a time of believing begins here.
+   * Records that another daemon got an answer, and the end of its grace period;
+   * returns whether a grace period begins here.
    */
-  confirmed(now: number, heldUntil: number | undefined): boolean {
-    const wasHeld = this.heldUntil(now) !== undefined;
-    // A source that was started since knows nothing of entries before.
+  confirmed(now: number, peerEndsAt: number | undefined): boolean {
+    const wasActive = this.endsAt(now) !== undefined;
+    // A peer that started after the restore doesn't know earlier entries.
     if (this.#isRestored) this.answered(now);
     this.#answeredAt = now;
     this.#failedCallAt = undefined;
     this.#failedCalls = 0;
-    this.#endsAt = Math.max(this.#endsAt, heldUntil ?? this.#endsAt);
-    return !wasHeld && this.heldUntil(now) !== undefined;
+    this.#endsAt = Math.max(this.#endsAt, peerEndsAt ?? this.#endsAt);
+    return !wasActive && this.endsAt(now) !== undefined;
   }
 
-  /** Takes in that a call was answered; true for the first after a failure. */
+  /** Records an answered call; returns true for the first after a failure. */
   answered(now: number): boolean {
-    const awayAt = this.#lastAwayAt();
+    const unavailableAt = this.#lastUnavailableAt();
     this.#answeredAt = now;
     this.#failedCallAt = undefined;
     this.#failedCalls = 0;
     this.#isRestored = false;
-    if (awayAt === undefined) return false;
+    if (unavailableAt === undefined) return false;
     const { contactMilliseconds, sendMilliseconds } = this.#options;
     this.#endsAt = Math.min(
-      this.backBy(now),
-      awayAt + contactMilliseconds - sendMilliseconds,
+      this.reappearsBy(now),
+      unavailableAt + contactMilliseconds - sendMilliseconds,
     );
     return true;
   }
 
-  /** When an entry must be back whose endpoint lives, if it is missing now. */
-  backBy(now: number): number {
+  /** Time by which a live endpoint renews an entry that is missing now. */
+  reappearsBy(now: number): number {
     const { drainMilliseconds, sendMilliseconds } = this.#options;
     return now +
-      Math.min(BACK_MILLISECONDS, drainMilliseconds - sendMilliseconds);
+      Math.min(REAPPEARANCE_MILLISECONDS, drainMilliseconds - sendMilliseconds);
   }
 
-  /** A time at which, or after which, the list was away for sure. */
-  #lastAwayAt(): number | undefined {
+  /** Latest known time at or after which the list was unavailable. */
+  #lastUnavailableAt(): number | undefined {
     return this.#failedCalls === 1 ? this.#answeredAt : this.#failedCallAt;
   }
 
   /**
-   * Until when an entry that is found missing now may come back; undefined
+   * Time until which an entry that is found missing now may reappear; undefined
    * when its endpoint has left.
    */
-  heldUntil(now: number): number | undefined {
+  endsAt(now: number): number | undefined {
     return now < this.#endsAt ? this.#endsAt : undefined;
   }
 }
--- a/packages/kelpspar-gateway/src/endpoints/notice_handlers.ts
+++ b/packages/kelpspar-gateway/src/endpoints/notice_handlers.ts
@@ -1,7 +1,7 @@
 import type { TimerService } from "kelpspar-shared";
 import type { AnomalyLog } from "../log/anomaly_log.ts";
 import type { GatewayLog } from "../log/gateway_log.ts";
-import type { EndpointBook } from "./endpoint_registry.ts";
+import type { EndpointRegistry } from "./endpoint_registry.ts";
 import type { EndpointLeavings } from "./endpoint_leavings.ts";
 import type { EndpointLimits } from "./endpoint_limits.ts";
 import type {
@@ -10,19 +10,19 @@
   EndpointNoticeListener,
 } from "./endpoint_notices.ts";
 
-/** Upper limit of Retry-After, so that a wrong value is not for good. */
-const LONGEST_PAUSE_MILLISECONDS = 600_000;
+/** Upper bound for Retry-After, so that a wrong value has no lasting effect. */
+const MAXIMUM_PAUSE_MILLISECONDS = 600_000;
 
-/** What notices act on. */
+/** Dependencies of `createNoticeListener`. */
 export interface NoticeHandlersOptions {
-  readonly book: EndpointBook;
+  readonly registry: EndpointRegistry;
   readonly limits: EndpointLimits;
   readonly leavings: EndpointLeavings;
   readonly timer: TimerService;
   readonly log: GatewayLog;
   readonly anomalies: Pick<AnomalyLog, "note">;
-  /** Told of what other daemons are to know. */
-  readonly onNews?: () => void;
+  /** Called after a change that other daemons need. */
+  readonly onChange?: () => void;
 }
 
 type Handlers = {
@@ -33,54 +33,61 @@
 };
 
 /**
- * Takes notices of endpoints into the book. Leaving is final for the life that
- * told it, whatever the list of endpoints says later.
+ * Creates a listener that applies endpoint notices to the registry. Leaving is
+ * final for the incarnation that reported it, whatever the endpoint list says
+ * later.
  */
 export function createNoticeListener(
   options: NoticeHandlersOptions,
 ): EndpointNoticeListener {
-  const { book, limits, leavings, timer, log, anomalies } = options;
-  const onNews = options.onNews ?? ((): void => {});
-  const lifeOf = ({ id, bornAt }: AnsweringEndpoint): AnsweringEndpoint => ({
+  const { registry, limits, leavings, timer, log, anomalies } = options;
+  const onChange = options.onChange ?? ((): void => {});
+  const identify = (
+    { id, bornAt }: AnsweringEndpoint,
+  ): AnsweringEndpoint => ({
     id,
-    bornAt: bornAt ?? book.find(id)?.entry.bornAt,
+    bornAt: bornAt ?? registry.find(id)?.entry.bornAt,
   });
-  leavings.registerListener((life) => {
-    book.leave(life, "leaving");
-    log.info("endpoint leaving", { endpoint: life.id, source: "daemon" });
+  leavings.registerListener((incarnation) => {
+    registry.retire(incarnation, "leaving");
+    log.info("endpoint leaving", {
+      endpoint: incarnation.id,
+      source: "daemon",
+    });
   });
   const handlers: Handlers = {
     leaving: ({ id, bornAt }) => {
-      const known = book.find(id)?.entry;
-      const life = bornAt ?? known?.bornAt;
-      if (life === undefined) return;
-      // Holds for one that isn't in use now too: its entry may be back later.
-      book.leave({ id, bornAt: life }, "leaving");
-      if (leavings.tell({ id, bornAt: life }, timer.now())) onNews();
-      if (known?.bornAt !== life) return;
+      const known = registry.find(id)?.entry;
+      const startedAt = bornAt ?? known?.bornAt;
+      if (startedAt === undefined) return;
+      // Also recorded for an endpoint that isn't in use, whose entry may
+      // reappear.
+      registry.retire({ id, bornAt: startedAt }, "leaving");
+      if (leavings.record({ id, bornAt: startedAt }, timer.now())) onChange();
+      if (known?.bornAt !== startedAt) return;
       log.info("endpoint leaving", { endpoint: id, source: "answer" });
     },
     pause: ({ id }, { milliseconds }) => {
       const now = timer.now();
-      const until = now + Math.min(milliseconds, LONGEST_PAUSE_MILLISECONDS);
-      book.find(id)?.pause(until);
+      const until = now + Math.min(milliseconds, MAXIMUM_PAUSE_MILLISECONDS);
+      registry.find(id)?.pause(until);
       log.info("endpoint wants a pause", { endpoint: id, milliseconds });
     },
     cold: ({ id }, { milliseconds }) => {
-      book.find(id)?.tellCold(milliseconds, timer.now());
+      registry.find(id)?.setCold(milliseconds, timer.now());
     },
     limit: (endpoint, { perSecond }) => {
-      if (!limits.tell(lifeOf(endpoint), perSecond, timer.now())) return;
-      onNews();
+      if (!limits.record(identify(endpoint), perSecond, timer.now())) return;
+      onChange();
       log.info("endpoint names a limit", { endpoint: endpoint.id, perSecond });
     },
     unlimited: (endpoint) => {
-      if (!limits.tell(lifeOf(endpoint), undefined, timer.now())) return;
-      onNews();
+      if (!limits.record(identify(endpoint), undefined, timer.now())) return;
+      onChange();
       log.info("endpoint names no limit any more", { endpoint: endpoint.id });
     },
     unreadable_limit: (endpoint, { text }) => {
-      if (limits.tellUnreadable(lifeOf(endpoint), timer.now())) onNews();
+      if (limits.recordUnreadable(identify(endpoint), timer.now())) onChange();
       anomalies.note("limit_unreadable", { endpoint: endpoint.id, text });
     },
     unreadable_cold: ({ id }, { text }) => {
--- a/packages/kelpspar-gateway/src/endpoints/notice_page.ts
+++ b/packages/kelpspar-gateway/src/endpoints/notice_page.ts
@@ -1,18 +1,18 @@
 import type { AgedLeaving } from "./endpoint_leavings.ts";
 import { z } from "zod";
 
-/** What an endpoint said of its limit, and how long ago. */
+/** An endpoint's reported limit and the age of the report. */
 export interface AgedLimit {
   readonly id: string;
-  /** Begin of its life, Unix milliseconds; undefined when not known. */
+  /** Start of the incarnation, Unix milliseconds; undefined when unknown. */
   readonly bornAt: number | undefined;
-  /** Requests a second from all daemons together; undefined for no limit. */
+  /** Requests per second from all daemons together; undefined for no limit. */
   readonly perSecond: number | undefined;
-  /** An age, since daemons' clocks differ. */
+  /** An age rather than a time, because daemons' clocks differ. */
   readonly ageMilliseconds: number;
 }
 
-/** What a daemon knows of endpoints' limits and leavings. */
+/** The limits and leavings of endpoints that a daemon knows. */
 export interface NoticePage {
   readonly limits: readonly AgedLimit[];
   readonly leavings: readonly AgedLeaving[];
@@ -20,7 +20,7 @@
 
 const amountSchema = z.number().nonnegative();
 
-/** A page as daemons send it to one another; null for undefined. */
+/** Message format of a page; null stands for undefined. */
 export const noticeMessageSchema = z.object({
   limits: z.array(z.object({
     id: z.string(),
@@ -40,10 +40,10 @@
 
 export function toNoticeMessage(page: NoticePage): NoticeMessage {
   return {
-    limits: page.limits.map((one) => ({
-      ...one,
-      bornAt: one.bornAt ?? null,
-      perSecond: one.perSecond ?? null,
+    limits: page.limits.map((limit) => ({
+      ...limit,
+      bornAt: limit.bornAt ?? null,
+      perSecond: limit.perSecond ?? null,
     })),
     leavings: [...page.leavings],
   };
@@ -51,10 +51,10 @@
 
 export function fromNoticeMessage(message: NoticeMessage): NoticePage {
   return {
-    limits: message.limits.map((one) => ({
-      ...one,
-      bornAt: one.bornAt ?? undefined,
-      perSecond: one.perSecond ?? undefined,
+    limits: message.limits.map((limit) => ({
+      ...limit,
+      bornAt: limit.bornAt ?? undefined,
+      perSecond: limit.perSecond ?? undefined,
     })),
     leavings: message.leavings,
   };
--- a/packages/kelpspar-gateway/src/endpoints/notice_sync.ts
+++ b/packages/kelpspar-gateway/src/endpoints/notice_sync.ts
@@ -5,14 +5,14 @@
 import type { EndpointLeavings } from "./endpoint_leavings.ts";
 import type { EndpointLimits } from "./endpoint_limits.ts";
 import type { NoticePage } from "./notice_page.ts";
-import { KnowledgeSync } from "../fleet/gossip_sync.ts";
+import { GossipSync } from "../fleet/gossip_sync.ts";
 
-/** Daemons that are told at once of what an answer said here, */
-const PEERS_TOLD = 8;
-/** and of what another daemon told. */
-const PEERS_TOLD_ON = 2;
+/** Number of daemons that a notice received here is sent to at once. */
+const LOCAL_NOTICE_PEERS = 8;
+/** Number of daemons that a notice from another daemon is forwarded to. */
+const FORWARDING_PEERS = 2;
 
-/** What a sync works with. */
+/** Dependencies of `NoticeSync`. */
 export interface NoticeSyncOptions {
   readonly limits: EndpointLimits;
   readonly leavings: EndpointLeavings;
@@ -24,16 +24,16 @@
 }
 
 /**
- * Keeps all daemons at the same knowledge of what endpoints say of themselves
- * to all. The coordinator is rarely answered by an endpoint itself.
+ * Replicates endpoint limits and leavings to all daemons. The coordinator needs
+ * this, because it rarely receives responses from endpoints itself.
  */
-export class NoticeSync extends KnowledgeSync<NoticePage> {
+export class NoticeSync extends GossipSync<NoticePage> {
   constructor(options: NoticeSyncOptions) {
     const { limits, leavings, peers, timer } = options;
     super({
       ...options,
       name: "notices",
-      knowledge: {
+      gossipState: {
         get checksum() {
           return (limits.checksum + leavings.checksum) >>> 0;
         },
@@ -41,18 +41,18 @@
           limits: limits.page(timer.now()),
           leavings: leavings.page(timer.now()),
         }),
-        take: (page) => {
-          const hasLimits = limits.take(page.limits, timer.now());
-          const hasLeavings = leavings.take(page.leavings, timer.now());
-          if (hasLimits || hasLeavings) this.tellSome(PEERS_TOLD_ON);
+        merge: (page) => {
+          const hasLimits = limits.merge(page.limits, timer.now());
+          const hasLeavings = leavings.merge(page.leavings, timer.now());
+          if (hasLimits || hasLeavings) this.shareWithSome(FORWARDING_PEERS);
         },
       },
       share: (peer, page) => peers.shareNotices(peer, page),
     });
   }
 
-  /** Tells others of what an answer said here. */
-  heard(): void {
-    this.tellSome(PEERS_TOLD);
+  /** Shares a notice that this daemon received from an endpoint. */
+  shareLocalNotice(): void {
+    this.shareWithSome(LOCAL_NOTICE_PEERS);
   }
 }
--- a/packages/kelpspar-gateway/src/endpoints/prefer_healthy.ts
+++ b/packages/kelpspar-gateway/src/endpoints/prefer_healthy.ts
@@ -1,15 +1,17 @@
 import type { EndpointState } from "./endpoint_state.ts";
 
 /**
- * Of several endpoints those that get work now: the sound ones, else all that
- * want no pause. One that was set aside may still serve, and refusing is a
- * certain loss.
+ * Selects the endpoints that may get work now: the healthy ones, or else all
+ * that requested no pause. An endpoint that was set aside may still succeed,
+ * while a refused request certainly fails.
  */
-export function preferSound(
+export function preferHealthy(
   endpoints: readonly EndpointState[],
   now: number,
 ): readonly EndpointState[] {
-  const awake = endpoints.filter((one) => one.pauseLeft(now) === 0);
-  const sound = awake.filter((one) => one.isSound(now));
-  return sound.length > 0 ? sound : awake;
+  const unpaused = endpoints.filter((endpoint) =>
+    endpoint.remainingPauseMilliseconds(now) === 0
+  );
+  const healthy = unpaused.filter((endpoint) => endpoint.isHealthy(now));
+  return healthy.length > 0 ? healthy : unpaused;
 }
--- a/packages/kelpspar-gateway/src/endpoints/return_tracker.ts
+++ b/packages/kelpspar-gateway/src/endpoints/return_tracker.ts
@@ -1,72 +1,79 @@
 import type { EndpointEntry } from "./endpoint_entry.ts";
 
-/** One life of an endpoint, from a start to an end. */
-export type EndpointLife = Pick<EndpointEntry, "id" | "bornAt">;
+/** One incarnation of an endpoint, from its start to its end. */
+export type EndpointIncarnation = Pick<EndpointEntry, "id" | "bornAt">;
 
-interface Return {
+interface RemovedEndpoint {
   readonly bornAt: number;
-  /** What it is listed with again, and since when. */
-  listed: { readonly entry: EndpointEntry; readonly since: number } | undefined;
+  /** The entry that is listed again, and the start of its observation. */
+  listed:
+    | { readonly entry: EndpointEntry; readonly since: number }
+    | undefined;
 }
 
 /**
- * Endpoints that were taken out because their entry was missing, and are
- * listed again.
+ * Tracks endpoints that were removed because their entry was missing and that
+ * are listed again.
  *
- * Load: writes of endpoints come late or not at all while the list can be read,
- * so that entries of endpoints that live lapse and are back later. Without this
- * they get nothing for the rest of their life. A heartbeat that was under
- * way when its endpoint left can list it again as well; that entry lapses, so
- * that only one that stays longer shows a living endpoint.
+ * While the list can be read, writes of endpoints may be late or lost, so that
+ * entries of live endpoints expire and reappear later. Without this tracker
+ * these endpoints would get no work for the rest of their incarnation. A
+ * heartbeat in flight while its endpoint leaves can also list it again; such an
+ * entry expires, so only an entry that stays longer proves a live endpoint.
  */
-export class ReturnWatch {
-  readonly #returns = new Map<string, Return>();
+export class ReturnTracker {
+  readonly #removed = new Map<string, RemovedEndpoint>();
 
   get ids(): readonly string[] {
-    return [...this.#returns.keys()];
+    return [...this.#removed.keys()];
   }
 
-  /** Takes in that a life was taken out because its entry was missing. */
-  missed({ id, bornAt }: EndpointLife): void {
-    this.#returns.set(id, { bornAt, listed: undefined });
+  /** Starts tracking an incarnation that was removed as missing. */
+  trackRemoved({ id, bornAt }: EndpointIncarnation): void {
+    this.#removed.set(id, { bornAt, listed: undefined });
   }
 
-  /** Takes in that an endpoint has said that it leaves, or is over. */
-  forget(id: string): void {
-    this.#returns.delete(id);
+  /** Stops tracking an endpoint that reported leaving or has ended. */
+  untrack(id: string): void {
+    this.#removed.delete(id);
   }
 
-  /** Takes in an entry; true when it is watched from now on. */
-  listed(entry: EndpointEntry, now: number): boolean {
-    const known = this.#returns.get(entry.id);
-    if (known?.bornAt !== entry.bornAt) return false;
-    const since = known.listed?.since ?? now;
-    const isFirst = known.listed === undefined;
-    known.listed = { entry, since };
+  /** Records an entry; returns true if its observation starts now. */
+  recordListed(entry: EndpointEntry, now: number): boolean {
+    const removed = this.#removed.get(entry.id);
+    if (removed?.bornAt !== entry.bornAt) return false;
+    const since = removed.listed?.since ?? now;
+    const isFirst = removed.listed === undefined;
+    removed.listed = { entry, since };
     return isFirst;
   }
 
-  /** Takes in that an entry is missing again. */
-  missing(id: string): void {
-    const known = this.#returns.get(id);
-    if (known !== undefined) known.listed = undefined;
+  /** Records that an entry is missing again. */
+  recordMissing(id: string): void {
+    const removed = this.#removed.get(id);
+    if (removed !== undefined) removed.listed = undefined;
   }
 
-  /** Counts anew: while the list was away none of them could be seen to lapse. */
-  restart(now: number): void {
-    for (const one of this.#returns.values()) {
-      if (one.listed !== undefined) {
-        one.listed = { entry: one.listed.entry, since: now };
+  /**
+   * Restarts all observation periods, because no expiry was visible meanwhile.
+   */
+  restartPeriods(now: number): void {
+    for (const removed of this.#removed.values()) {
+      if (removed.listed !== undefined) {
+        removed.listed = {
+          entry: removed.listed.entry,
+          since: now,
+        };
       }
     }
   }
 
-  /** Takes those out of the watch that have been listed since `since`. */
-  takeListedSince(since: number): readonly EndpointEntry[] {
-    const found = [...this.#returns.values()].flatMap(({ listed }) =>
-      listed !== undefined && listed.since <= since ? [listed.entry] : []
-    );
-    for (const { id } of found) this.#returns.delete(id);
+  /** Removes and returns the entries that have been listed since `since`. */
+  removeListedSince(since: number): readonly EndpointEntry[] {
+    const found = [...this.#removed.values()].flatMap((
+      { listed },
+    ) => listed !== undefined && listed.since <= since ? [listed.entry] : []);
+    for (const { id } of found) this.#removed.delete(id);
     return found;
   }
 }
--- a/packages/kelpspar-gateway/src/endpoints/shortest_pause.ts
+++ b/packages/kelpspar-gateway/src/endpoints/shortest_pause.ts
@@ -1,13 +1,15 @@
 import type { EndpointState } from "./endpoint_state.ts";
 
 /**
- * Milliseconds until the first of several endpoints may be sent anything: 0
- * when one may be now, or when there are none.
+ * Shortest remaining pause of several endpoints, milliseconds: 0 if one of them
+ * may be called now or if there are none.
  */
-export function pauseOfAll(
+export function shortestPause(
   endpoints: readonly EndpointState[],
   now: number,
 ): number {
   if (endpoints.length === 0) return 0;
-  return Math.min(...endpoints.map((one) => one.pauseLeft(now)));
+  return Math.min(
+    ...endpoints.map((endpoint) => endpoint.remainingPauseMilliseconds(now)),
+  );
 }
--- a/packages/kelpspar-gateway/src/fleet/fleet_digest.ts
+++ b/packages/kelpspar-gateway/src/fleet/fleet_digest.ts
@@ -1,48 +1,48 @@
 import { z } from "zod";
 
-/** How to reach a daemon; the same for all of its lives on a VM. */
+/** How to reach a daemon; unchanged by restarts on the same VM. */
 export const daemonAddressSchema = z.object({
-  /** Name of the VM; a daemon restarted there replaces the one before. */
+  /** Name of the VM; a daemon restarted there replaces its predecessor. */
   daemonId: z.string(),
   /** `address:port` for callers. */
   front: z.string(),
   /** `address:port` for other daemons. */
   peer: z.string(),
   zone: z.string(),
-  /** Processor share that it has, cores. */
+  /** Processor capacity assigned to the daemon, in cores. */
   cores: z.number(),
 });
 
 /** How to reach a daemon. */
 export type DaemonAddress = z.infer<typeof daemonAddressSchema>;
 
-/** A daemon's own word of itself, as it is passed on by others. */
+/** State that a daemon reports about itself and that others forward. */
 export interface Heartbeat {
   readonly daemonId: string;
-  /** New with each start of the daemon. */
+  /** Unique to each start of the daemon. */
   readonly incarnation: string;
-  /** Grows by one each digest interval of an incarnation. */
+  /** Increases by one in each digest interval of an incarnation. */
   readonly sequence: number;
   readonly isLeaving: boolean;
-  /** False while it knows no configuration and can't serve. */
+  /** False while the daemon has no configuration and can't serve. */
   readonly isReady: boolean;
-  /** False when the store hasn't answered it lately. */
+  /** False when the store hasn't answered the daemon recently. */
   readonly isStoreFresh: boolean;
 }
 
-/** What daemons tell one another. */
+/** Gossip message that daemons exchange. */
 export const fleetDigestSchema = z.object({
   self: daemonAddressSchema,
   configurationVersion: z.number(),
-  /** Rises each time that the store comes back from an older copy. */
+  /** Increases each time the store is restored from an older copy. */
   storeEra: z.number().optional(),
-  /** Of the crashes that it knows of; absent when it knows of none. */
+  /** Checksum of the crashes that the sender knows; absent without any. */
   crashChecksum: z.number().optional(),
-  /** Of what endpoints told it and others; absent without any. */
+  /** Checksum of the sender's endpoint notices; absent without any. */
   noticeChecksum: z.number().optional(),
   /**
-   * The newest heartbeats it knows, its own first, packed; an answer leaves
-   * out those that the asker has.
+   * The newest heartbeats that the sender knows, its own first, packed. A
+   * response omits those that the requester already has.
    */
   heartbeats: z.string(),
 });
--- a/packages/kelpspar-gateway/src/fleet/fleet_gossip.ts
+++ b/packages/kelpspar-gateway/src/fleet/fleet_gossip.ts
@@ -8,32 +8,34 @@
 import type { FleetMembership } from "./fleet_membership.ts";
 import type { OwnState } from "./member_record.ts";
 import type { PeerClient } from "./peer_client.ts";
-import { isRefused } from "./is_connection_refused.ts";
-import { PartnerRounds } from "./gossip_partners.ts";
+import { isConnectionRefused } from "./is_connection_refused.ts";
+import { GossipPartners } from "./gossip_partners.ts";
 
-/** How often digests are exchanged, milliseconds. */
-export const EXCHANGE_MILLISECONDS = 400;
+export const EXCHANGE_INTERVAL_MILLISECONDS = 400;
 /**
- * Up to so many others, each pair exchanges every time. Beyond that each daemon
- * begins one exchange every time: heartbeats reach all in about log2 of the
- * fleet's size rounds, while a daemon's traffic doesn't grow with it.
+ * With up to this many peers, each pair exchanges in each interval. In larger
+ * fleets each daemon starts one exchange per interval: heartbeats reach all
+ * daemons in about log2 of the fleet's size rounds, while a daemon's traffic
+ * doesn't grow with the fleet.
  */
-const MOST_DIRECT = 8;
+const FULL_MESH_PEERS = 8;
 /**
- * Partners tried in one round: when many daemons end at once, rounds spent on
- * them would leave living ones unheard.
+ * Partners tried in one round. When many daemons die at once, rounds wasted on
+ * them would leave live daemons without an exchange.
  */
-const PARTNER_TRIES = 3;
+const MAXIMUM_PARTNER_ATTEMPTS = 3;
 /**
- * A configuration that a peer has had for so long is fetched from it, ms. The
- * store tells all daemons within milliseconds as a rule.
+ * A newer configuration is fetched from a peer after this time. Normally the
+ * store delivers it to all daemons within milliseconds.
+ */
+const CONFIGURATION_LAG_MILLISECONDS = 350;
+/**
+ * Age of the store data from which a daemon's endpoint list counts as stale.
  */
-const BEHIND_MILLISECONDS = 350;
-/** A store older than this makes a daemon's list of endpoints doubtful, ms. */
 const STORE_STALE_MILLISECONDS = 3_500;
 
-/** What a fleet works with. */
-export interface FleetOptions {
+/** Dependencies of `FleetGossip`. */
+export interface FleetGossipOptions {
   readonly daemonId: string;
   readonly membership: FleetMembership;
   readonly peers: PeerClient;
@@ -47,71 +49,74 @@
   readonly storeAge: () => number;
 }
 
-/** Keeps this daemon and the others in each other's sight. */
-export class Fleet {
-  readonly #options: FleetOptions;
-  readonly #rounds: PartnerRounds;
+/** Exchanges digests with other daemons to maintain the fleet membership. */
+export class FleetGossip {
+  readonly #options: FleetGossipOptions;
+  readonly #partners: GossipPartners;
   #isLeaving = false;
-  readonly #busy = new Set<string>();
-  /** What is being fetched from a peer. */
+  /** Peers with an exchange in progress. */
+  readonly #exchanging = new Set<string>();
+  /** Kinds of data that are being fetched from a peer. */
   readonly #fetching = new Set<string>();
-  #heard = new Set<string>();
-  /** Since when others have had a newer configuration. */
+  #liveIds = new Set<string>();
+  /** When a peer's newer configuration was first seen. */
   #behindSince: number | undefined;
 
-  constructor(options: FleetOptions) {
+  constructor(options: FleetGossipOptions) {
     this.#options = options;
-    this.#rounds = new PartnerRounds(options);
+    this.#partners = new GossipPartners(options);
   }
 
   get isLeaving(): boolean {
     return this.#isLeaving;
   }
 
-  /** Tells others at once that this daemon takes no more callers. */
-  leave(): void {
+  /** Announces at once that this daemon accepts no more callers. */
+  announceLeaving(): void {
     this.#isLeaving = true;
-    this.greetSome(
-      this.#options.membership.contacts().map((one) => one.peer),
+    this.exchangeWithSome(
+      this.#options.membership.contacts().map((contact) => contact.peer),
     );
   }
 
-  /** Begins to exchange digests; returns the teardown. */
+  /** Starts the periodic exchanges; returns the teardown. */
   register(): () => void {
     const { timer } = this.#options;
     return timer.registerInterval(() => {
       this.#sweep();
-      this.#exchangeDue();
-    }, EXCHANGE_MILLISECONDS);
+      this.#startDueExchanges();
+    }, EXCHANGE_INTERVAL_MILLISECONDS);
   }
 
-  /** Exchanges with daemons now: they are new, or must show that they live. */
-  greet(peers: readonly string[]): void {
+  /**
+   * Exchanges now with daemons that are new or whose liveness is in question.
+   */
+  exchangeWithAll(peers: readonly string[]): void {
     for (const peer of new Set(peers)) {
-      if (!this.#busy.has(peer)) void this.#exchangeWith(peer);
+      if (!this.#exchanging.has(peer)) void this.#exchangeWith(peer);
     }
   }
 
   /**
-   * Exchanges now with all of these in a small fleet and with about
-   * `MOST_DIRECT` of them in a large one; the others hear of it from those.
-   * What goes wrong otherwise: a daemon that starts among 72 others is greeted
-   * by all and greets all, which takes longer than its start, and in a rolling
-   * restart of all daemons most of their time.
+   * Exchanges now with all of `peers` in a small fleet and with about
+   * `FULL_MESH_PEERS` random ones in a large fleet; gossip informs the others.
+   * If a daemon that starts exchanged with each of 72 others, and each of them
+   * with it, this would take longer than its start, and most of the daemons'
+   * time during a rolling restart.
    */
-  greetSome(peers: readonly string[]): void {
+  exchangeWithSome(peers: readonly string[]): void {
     const { membership, random } = this.#options;
-    const share = MOST_DIRECT / Math.max(1, membership.contacts().length);
-    this.greet(peers.filter(() => random.next() < share));
+    const share = FULL_MESH_PEERS / Math.max(1, membership.contacts().length);
+    this.exchangeWithAll(peers.filter(() => random.next() < share));
   }
 
-  /** Answers another daemon's digest with this one's. */
+  /** Applies another daemon's digest and returns this daemon's. */
   exchange(digest: FleetDigest): FleetDigest {
-    this.#take(digest);
-    return this.#digest(digest);
+    this.#applyDigest(digest);
+    return this.#createDigest(digest);
   }
 
-  /** What this daemon says of itself. */
+  /** State that this daemon reports about itself. */
   get ownState(): OwnState {
     const { configuration, storeAge } = this.#options;
     return {
@@ -121,7 +126,7 @@
     };
   }
 
-  #digest(asker?: FleetDigest): FleetDigest {
+  #createDigest(asker?: FleetDigest): FleetDigest {
     const { membership, configuration, era, crashes, notices, timer } =
       this.#options;
     return membership.createDigest(this.ownState, {
@@ -134,9 +139,9 @@
     });
   }
 
-  #take(digest: FleetDigest): void {
+  #applyDigest(digest: FleetDigest): void {
     const { membership, timer, configuration } = this.#options;
-    membership.heard(digest, timer.now());
+    membership.applyDigest(digest, timer.now());
     this.#options.era.told(digest.storeEra);
     this.#options.crashes.told(digest.self.peer, digest.crashChecksum);
     this.#options.notices.told(digest.self.peer, digest.noticeChecksum);
@@ -148,71 +153,75 @@
       return;
     }
     this.#behindSince ??= timer.now();
-    const isLate = timer.now() - this.#behindSince >= BEHIND_MILLISECONDS ||
+    const isLate =
+      timer.now() - this.#behindSince >= CONFIGURATION_LAG_MILLISECONDS ||
       configuration.table === undefined;
     if (isLate) void this.#fetchConfiguration(digest.self.peer);
   }
 
   /**
-   * A daemon that the store turns away gets configurations from its peers; it
-   * would go on with revoked keys and old routes otherwise.
+   * A daemon that can't reach the store fetches configurations from its peers;
+   * otherwise it would keep using revoked keys and old routes.
    */
   #fetchConfiguration(peer: string): Promise<void> {
     const { peers, configuration, log } = this.#options;
-    return this.#fetch("configuration", peer, async () => {
-      const found = await peers.configuration(peer);
-      if (found === null || !configuration.offer(found)) return;
+    return this.#fetchOnce("configuration", peer, async () => {
+      const fetched = await peers.configuration(peer);
+      if (fetched === null || !configuration.offer(fetched)) return;
       log.info("configuration in force", {
-        version: found.version,
+        version: fetched.version,
         source: `daemon ${peer}`,
       });
     });
   }
 
-  #exchangeDue(): void {
+  #startDueExchanges(): void {
     const { daemonId, membership, timer } = this.#options;
-    membership.beat();
+    membership.advanceHeartbeat();
     const contacts = membership.contacts();
-    if (contacts.length > MOST_DIRECT) {
+    if (contacts.length > FULL_MESH_PEERS) {
       void this.#exchangeWithPartner();
       return;
     }
-    const heard = new Set(
-      membership.heardLately(timer.now()).map((one) => one.address.daemonId),
+    const liveIds = new Set(
+      membership.liveMembers(timer.now()).map((member) =>
+        member.address.daemonId
+      ),
     );
-    // One of a pair is enough while both hear each other; who hears nothing
-    // asks by itself, since the other may not know of it.
-    const due = contacts.filter((one) =>
-      one.daemonId > daemonId || !heard.has(one.daemonId)
+    // While both daemons of a pair are live to each other, the one with the
+    // lower name starts the exchange. Otherwise this daemon starts it, because
+    // the other may not know of it.
+    const due = contacts.filter((contact) =>
+      contact.daemonId > daemonId || !liveIds.has(contact.daemonId)
     );
-    this.greet(due.map((one) => one.peer));
+    this.exchangeWithAll(due.map((contact) => contact.peer));
   }
 
-  /** One exchange, with another partner when one fails. */
+  /** Exchanges with one partner; tries another one if the exchange fails. */
   async #exchangeWithPartner(): Promise<void> {
     const { membership, timer } = this.#options;
-    for (let tries = 0; tries < PARTNER_TRIES; tries++) {
-      const partner = this.#rounds.next({
-        promising: membership.promising(timer.now()),
+    for (let attempt = 0; attempt < MAXIMUM_PARTNER_ATTEMPTS; attempt++) {
+      const partner = this.#partners.next({
+        likelyReachable: membership.likelyReachable(timer.now()),
         contacts: membership.contacts(),
       });
-      if (partner === undefined || this.#busy.has(partner.peer)) return;
+      if (partner === undefined || this.#exchanging.has(partner.peer)) return;
       if (await this.#exchangeWith(partner.peer)) return;
     }
   }
 
-  /** Asks a peer where the daemons are that are only heard of. */
+  /** Fetches the addresses of daemons that are known by heartbeat only. */
   #fetchAddresses(peer: string): Promise<void> {
     const { peers, membership, timer } = this.#options;
-    return this.#fetch("addresses", peer, async () => {
+    return this.#fetchOnce("addresses", peer, async () => {
       for (const address of await peers.addresses(peer)) {
-        membership.learn(address, timer.now());
+        membership.add(address, timer.now());
       }
     });
   }
 
-  /** Fetches one thing from one peer at a time. */
-  async #fetch(
+  /** Fetches data of a kind, unless a fetch of that kind is in progress. */
+  async #fetchOnce(
     what: "addresses" | "configuration",
     peer: string,
     load: () => Promise<void>,
@@ -223,41 +232,49 @@
       await load();
     } catch (error) {
       const reason = String(error);
-      this.#options.log.warn(`${what} of peer not read`, { peer, reason });
+      this.#options.log.warn(`failed to fetch ${what} from peer`, {
+        peer,
+        reason,
+      });
     } finally {
       this.#fetching.delete(what);
     }
   }
 
-  /** False when the peer didn't answer. */
+  /** Returns false if the peer didn't answer. */
   async #exchangeWith(peer: string): Promise<boolean> {
-    this.#busy.add(peer);
+    this.#exchanging.add(peer);
     const { membership, timer } = this.#options;
     try {
-      this.#take(await this.#options.peers.exchange(peer, this.#digest()));
+      this.#applyDigest(
+        await this.#options.peers.exchange(peer, this.#createDigest()),
+      );
       return true;
     } catch (error) {
-      // The membership judges silence and the fleet's sweep logs it.
-      membership.doubt(peer, { isRefused: isRefused(error), now: timer.now() });
+      // The membership detects silent daemons, and `#sweep` logs them.
+      membership.reportFailedCall(peer, {
+        isRefused: isConnectionRefused(error),
+        now: timer.now(),
+      });
       return false;
     } finally {
-      this.#busy.delete(peer);
+      this.#exchanging.delete(peer);
     }
   }
 
   #sweep(): void {
     const { membership, timer, log } = this.#options;
     const now = timer.now();
-    membership.sweep(now);
-    const heard = new Set(
-      membership.heardLately(now).map((one) => one.address.daemonId),
+    membership.removeExpired(now);
+    const liveIds = new Set(
+      membership.liveMembers(now).map((member) => member.address.daemonId),
     );
-    for (const daemonId of heard) {
-      if (!this.#heard.has(daemonId)) log.info("daemon heard", { daemonId });
+    for (const daemonId of liveIds) {
+      if (!this.#liveIds.has(daemonId)) log.info("daemon heard", { daemonId });
     }
-    for (const daemonId of this.#heard) {
-      if (!heard.has(daemonId)) log.warn("daemon silent", { daemonId });
+    for (const daemonId of this.#liveIds) {
+      if (!liveIds.has(daemonId)) log.warn("daemon silent", { daemonId });
     }
-    this.#heard = heard;
+    this.#liveIds = liveIds;
   }
 }
--- a/packages/kelpspar-gateway/src/fleet/fleet_membership.ts
+++ b/packages/kelpspar-gateway/src/fleet/fleet_membership.ts
@@ -3,55 +3,55 @@
 import type { ReaderCandidate } from "../tables/reading_plan.ts";
 import type { FleetView } from "./fleet_view.ts";
 import type { Member, MemberRecord, OwnState } from "./member_record.ts";
-import type { SilenceLimits } from "./heartbeat_timeouts.ts";
+import type { HeartbeatTimeouts } from "./heartbeat_timeouts.ts";
 import { createFleetView, rankTrusted } from "./fleet_view.ts";
-import { createRecord } from "./member_record.ts";
+import { createMemberRecord } from "./member_record.ts";
 import {
   daemonKey,
   isLaterSequence,
-  lackingHeartbeats,
-  packedLife,
+  missingHeartbeats,
   packHeartbeats,
+  packIncarnation,
   unpackHeartbeats,
 } from "./packed_heartbeats.ts";
-import { silenceLimits } from "./heartbeat_timeouts.ts";
+import { heartbeatTimeouts } from "./heartbeat_timeouts.ts";
 
-/** Who this daemon is. */
+/** Identity of this daemon. */
 export interface FleetMembershipOptions {
   readonly self: DaemonAddress;
   readonly incarnation: string;
 }
 
-/** Silence after which a daemon is forgotten, milliseconds. */
-const FORGOTTEN_AFTER_MILLISECONDS = 60_000;
-/** A gap between sweeps of this length means that this daemon stood still. */
-const PAUSE_MILLISECONDS = 900;
-/** A heartbeat of a daemon whose address isn't known yet. */
+/** Silence after which a daemon's record is removed. */
+const MEMBER_EXPIRY_MILLISECONDS = 60_000;
+/** A longer gap between sweeps means that this process was paused. */
+const PROCESS_PAUSE_MILLISECONDS = 900;
+/** Heartbeat of a daemon whose address isn't known yet. */
 interface UnresolvedHeartbeat {
   readonly heartbeat: PackedHeartbeat;
-  readonly heardAt: number;
+  readonly seenAt: number;
 }
 
-/** How long a heartbeat waits for its daemon's address, milliseconds. */
+/** How long a heartbeat is kept while its daemon's address is unknown. */
 const UNRESOLVED_MILLISECONDS = 3_000;
-/** A view may be so old while nothing that it holds changed, milliseconds. */
-const VIEW_MILLISECONDS = 50;
-/** A daemon that was learned of so lately may be heard any moment, ms. */
-const HOPEFUL_MILLISECONDS = 3_000;
+/** How long a view is reused while nothing in it changes. */
+const VIEW_CACHE_MILLISECONDS = 50;
+/** How long a daemon without a heartbeat counts as newly discovered. */
+const NEW_MEMBER_GRACE_MILLISECONDS = 3_000;
 
 /**
- * Which daemons live. Addresses come from seeds, the store and other daemons;
- * life comes from heartbeats alone, which daemons pass on to each other, so
- * that each needs to speak to a few others only.
+ * Tracks which daemons are live. Addresses come from seeds, the store and other
+ * daemons. Liveness comes only from heartbeats, which daemons forward to each
+ * other, so that each needs to contact only a few others.
  *
- * What goes wrong: a daemon that stood still finds all others silent when it
- * wakes and names only itself to callers. A gap between sweeps shows that, and
- * silence counts anew from there.
+ * A daemon whose process was paused would find all others silent when it
+ * resumes and would name only itself to callers. A gap between sweeps reveals
+ * the pause, and silence is then counted from its end.
  */
 export class FleetMembership {
   readonly #options: FleetMembershipOptions;
   readonly #records = new Map<string, MemberRecord>();
-  readonly #byKey = new Map<DaemonKey, MemberRecord>();
+  readonly #recordsByKey = new Map<DaemonKey, MemberRecord>();
   readonly #unresolved = new Map<DaemonKey, UnresolvedHeartbeat>();
   readonly #ownKey: DaemonKey;
   #view: FleetView | undefined;
@@ -64,8 +64,8 @@
     this.#ownKey = daemonKey(options.self.daemonId);
   }
 
-  /** Takes in where a daemon may be. */
-  learn(address: DaemonAddress, now: number): void {
+  /** Adds or updates the address of a daemon. */
+  add(address: DaemonAddress, now: number): void {
     const { daemonId } = address;
     if (daemonId === this.#options.self.daemonId) return;
     const known = this.#records.get(daemonId);
@@ -73,153 +73,154 @@
       known.address = address;
       return;
     }
-    const record = createRecord(address, now);
+    const record = createMemberRecord(address, now);
     this.#records.set(daemonId, record);
-    this.#byKey.set(record.key, record);
+    this.#recordsByKey.set(record.key, record);
     this.#view = undefined;
     const unresolved = this.#unresolved.get(record.key);
     if (unresolved === undefined) return;
     this.#unresolved.delete(record.key);
-    this.#takeHeartbeat(record, unresolved.heartbeat, {
+    this.#applyHeartbeat(record, unresolved.heartbeat, {
       isOwn: false,
-      now: unresolved.heardAt,
+      now: unresolved.seenAt,
     });
   }
 
-  /** Takes in a digest that a daemon sent itself. */
-  heard(digest: FleetDigest, now: number): void {
-    this.learn(digest.self, now);
+  /** Applies a digest that its daemon sent directly. */
+  applyDigest(digest: FleetDigest, now: number): void {
+    this.add(digest.self, now);
     const sender = this.#records.get(digest.self.daemonId);
     for (const heartbeat of unpackHeartbeats(digest.heartbeats)) {
       const { key } = heartbeat;
       if (key === this.#ownKey) continue;
-      const record = this.#byKey.get(key);
+      const record = this.#recordsByKey.get(key);
       if (record === undefined) {
-        this.#unresolved.set(key, { heartbeat, heardAt: now });
+        this.#unresolved.set(key, { heartbeat, seenAt: now });
       } else {
         const isOwn = record === sender;
-        this.#takeHeartbeat(record, heartbeat, { isOwn, now });
+        this.#applyHeartbeat(record, heartbeat, { isOwn, now });
       }
     }
   }
 
-  /** Daemons that are heard of, but not where they are. */
+  /** True while there are heartbeats of daemons without a known address. */
   get hasUnknownAddresses(): boolean {
     return this.#unresolved.size > 0;
   }
 
   /**
-   * Takes in that a call to a daemon failed: until it is heard again it runs
-   * no stages, and gets no callers if nothing listens there any more.
+   * Records a failed call to a daemon. Until its next heartbeat the daemon runs
+   * no stages; if the connection was refused, it isn't offered to callers
+   * either.
    */
-  doubt(
+  reportFailedCall(
     peer: string,
     options: { readonly isRefused: boolean; readonly now: number },
   ): void {
     for (const record of this.#records.values()) {
       if (record.address.peer !== peer) continue;
       this.#view = undefined;
-      record.doubtedAt = options.now;
-      if (options.isRefused) record.heardAt = Number.NEGATIVE_INFINITY;
+      record.suspectedAt = options.now;
+      if (options.isRefused) record.lastHeartbeatAt = Number.NEGATIVE_INFINITY;
     }
   }
 
-  /** Forgets the long dead; call it a few times a second. */
-  sweep(now: number): void {
+  /** Removes expired records; to be called a few times a second. */
+  removeExpired(now: number): void {
     const gap = now - (this.#sweptAt ?? now);
-    if (gap > PAUSE_MILLISECONDS) this.#countSilenceFrom(now);
+    if (gap > PROCESS_PAUSE_MILLISECONDS) this.#countSilenceFrom(now);
     this.#sweptAt = now;
     for (const [id, record] of this.#records) {
-      const since = Math.max(record.heardAt, record.knownSince);
-      if (now - since <= FORGOTTEN_AFTER_MILLISECONDS) continue;
+      const since = Math.max(record.lastHeartbeatAt, record.knownSince);
+      if (now - since <= MEMBER_EXPIRY_MILLISECONDS) continue;
       this.#records.delete(id);
-      this.#byKey.delete(record.key);
+      this.#recordsByKey.delete(record.key);
       this.#view = undefined;
     }
-    for (const [key, { heardAt }] of this.#unresolved) {
-      if (now - heardAt > UNRESOLVED_MILLISECONDS) this.#unresolved.delete(key);
+    for (const [key, { seenAt }] of this.#unresolved) {
+      if (now - seenAt > UNRESOLVED_MILLISECONDS) this.#unresolved.delete(key);
     }
   }
 
-  /** Every daemon there may be, for digests. */
+  /** Addresses of all known daemons, reachable or not. */
   contacts(): readonly DaemonAddress[] {
     return [...this.#records.values()].map(({ address }) => address);
   }
 
-  /** Other daemons that there may be, those without a known address too. */
+  /** Number of other known daemons, including those without an address. */
   get size(): number {
     return this.#records.size + this.#unresolved.size;
   }
 
-  /** Daemons heard from lately, leaving ones too. */
-  heardLately(now: number): readonly Member[] {
-    return this.#viewAt(now).heard;
+  /** Daemons with a recent heartbeat, including leaving ones. */
+  liveMembers(now: number): readonly Member[] {
+    return this.#viewAt(now).liveMembers;
   }
 
   /**
-   * Daemons that are worth an exchange: heard lately or never heard yet, and no
-   * call to them has failed since. Among those that are heard alone, daemons
-   * that start together stay in pairs that know of each other only.
+   * Daemons worth an exchange: live or without any heartbeat yet, and without a
+   * failed call since. If only live daemons qualified, daemons that start
+   * together would remain in pairs that know only each other.
    */
-  promising(now: number): readonly DaemonAddress[] {
-    const { silent } = this.#limits();
+  likelyReachable(now: number): readonly DaemonAddress[] {
+    const { silent } = this.#timeouts();
     return [...this.#records.values()].flatMap((record) => {
-      const { address, heartbeat, heardAt, doubtedAt } = record;
-      if (doubtedAt > heardAt) return [];
-      const since = Math.max(heardAt, this.#silenceCountsFrom);
+      const { address, heartbeat, lastHeartbeatAt, suspectedAt } = record;
+      if (suspectedAt > lastHeartbeatAt) return [];
+      const since = Math.max(lastHeartbeatAt, this.#silenceCountsFrom);
       return heartbeat === undefined || now - since <= silent ? [address] : [];
     });
   }
 
-  /** Daemons that callers may use, this one left out. */
+  /** Other daemons that callers may use. */
   serving(now: number): readonly DaemonAddress[] {
-    return this.heardLately(now)
+    return this.liveMembers(now)
       .filter(({ heartbeat }) => !heartbeat.isLeaving && heartbeat.isReady)
       .map(({ address }) => address);
   }
 
   /**
-   * Other daemons that may read the store's tables for this one. Those that
-   * were learned of just now count as heard: when all start at once nobody has
-   * been heard, and each would read for itself.
+   * Other daemons that may read the store's tables for this one. Newly
+   * discovered daemons count as live: when all daemons start at once, none has
+   * a heartbeat from another, and each would read the tables itself.
    */
   readerCandidates(now: number): readonly ReaderCandidate[] {
-    const heard = this.heardLately(now)
+    const live = this.liveMembers(now)
       .filter(({ heartbeat }) => !heartbeat.isLeaving)
       .map(({ address, heartbeat }) => ({
         address,
         isStoreFresh: heartbeat.isStoreFresh && heartbeat.isReady,
       }));
-    const hopeful = [...this.#records.values()].flatMap((record) => {
-      const { address, heartbeat, doubtedAt, knownSince } = record;
-      const isHopeful = heartbeat === undefined &&
-        doubtedAt === Number.NEGATIVE_INFINITY &&
-        now - knownSince <= HOPEFUL_MILLISECONDS;
-      return isHopeful ? [{ address, isStoreFresh: true }] : [];
+    const discovered = [...this.#records.values()].flatMap((record) => {
+      const { address, heartbeat, suspectedAt, knownSince } = record;
+      const isNew = heartbeat === undefined &&
+        suspectedAt === Number.NEGATIVE_INFINITY &&
+        now - knownSince <= NEW_MEMBER_GRACE_MILLISECONDS;
+      return isNew ? [{ address, isStoreFresh: true }] : [];
     });
-    return [...heard, ...hopeful];
+    return [...live, ...discovered];
   }
 
-  /** Whether a daemon may not be waited for any more. */
+  /** Whether to stop waiting for a daemon. */
   isStalled(daemonId: string, now: number): boolean {
     if (daemonId === this.#options.self.daemonId) return false;
     return !this.#viewAt(now).trustedIds.has(daemonId);
   }
 
-  /** Since a daemon's heartbeat last moved on, milliseconds. */
-  silenceOf(daemonId: string, now: number): number {
+  /** Time since a daemon's last new heartbeat, milliseconds. */
+  silenceMillisecondsOf(daemonId: string, now: number): number {
     const record = this.#records.get(daemonId);
     return record === undefined ? Number.POSITIVE_INFINITY : now -
-      Math.max(record.heardAt, this.#silenceCountsFrom);
+      Math.max(record.lastHeartbeatAt, this.#silenceCountsFrom);
   }
 
   /**
-   * Daemons that may run a key's stages, best first, this one among them.
-   * Those that the store turned away come last: their list of endpoints is
-   * old. Among the others those with most processor share come first, since
-   * one of them does this work for all.
+   * Daemons that may run a key's stages, best first, including this one. Those
+   * without a fresh store come last, because their endpoint list is stale.
+   * Among the others those with the most cores come first, because one of them
+   * does this work for all.
    */
-  ranked(
+  rankedDaemons(
     key: string,
     options: { readonly own: OwnState; readonly now: number },
   ): readonly string[] {
@@ -232,18 +233,18 @@
     return ranking;
   }
 
-  find(daemonId: string): DaemonAddress | undefined {
+  findAddress(daemonId: string): DaemonAddress | undefined {
     return this.#records.get(daemonId)?.address;
   }
 
-  /** Moves this daemon's own heartbeat on. */
-  beat(): void {
+  /** Advances this daemon's own heartbeat sequence. */
+  advanceHeartbeat(): void {
     this.#sequence++;
   }
 
   /**
-   * This daemon's digest now; without what `asker` has already if it answers
-   * one.
+   * Creates this daemon's digest. A response to the digest `asker` omits the
+   * heartbeats that it already contains.
    */
   createDigest(
     own: OwnState,
@@ -259,62 +260,64 @@
     const { self, incarnation } = this.#options;
     const heartbeat = {
       key: this.#ownKey,
-      incarnation: packedLife(incarnation),
+      incarnation: packIncarnation(incarnation),
       sequence: this.#sequence,
       ...own,
     };
-    const known = this.#heartbeatsHeard(options.now);
-    const lacking = options.asker === undefined
+    const known = this.#liveHeartbeats(options.now);
+    const missing = options.asker === undefined
       ? known
-      : lackingHeartbeats(known, options.asker.heartbeats);
+      : missingHeartbeats(known, options.asker.heartbeats);
     return {
       self,
       configurationVersion: options.configurationVersion,
       storeEra: options.storeEra,
       crashChecksum: options.crashChecksum,
       noticeChecksum: options.noticeChecksum,
-      heartbeats: packHeartbeats([heartbeat, ...lacking]),
+      heartbeats: packHeartbeats([heartbeat, ...missing]),
     };
   }
 
-  #heartbeatsHeard(now: number): readonly PackedHeartbeat[] {
-    return this.heardLately(now).flatMap(({ address }) =>
+  #liveHeartbeats(now: number): readonly PackedHeartbeat[] {
+    return this.liveMembers(now).flatMap(({ address }) =>
       this.#records.get(address.daemonId)?.heartbeat ?? []
     );
   }
 
-  #takeHeartbeat(
+  #applyHeartbeat(
     record: MemberRecord,
     heartbeat: PackedHeartbeat,
     options: { readonly isOwn: boolean; readonly now: number },
   ): void {
     const { incarnation, sequence } = heartbeat;
-    if (record.retired.has(incarnation)) return;
+    if (record.retiredIncarnations.has(incarnation)) return;
     const known = record.heartbeat;
-    const isSameLife = known?.incarnation === incarnation;
-    if (isSameLife && !isLaterSequence(sequence, known.sequence)) {
-      // What a daemon says itself proves its life whatever was heard before.
+    const isSameRun = known?.incarnation === incarnation;
+    if (isSameRun && !isLaterSequence(sequence, known.sequence)) {
+      // A digest from the daemon itself proves that it is live, even if the
+      // same heartbeat arrived before through another daemon.
       if (options.isOwn && known.sequence === sequence) {
-        this.#heardNow(record, options.now);
+        this.#recordLiveness(record, options.now);
       }
       return;
     }
-    // Others may pass on a life that has ended; it is never taken up again.
-    if (known !== undefined && !isSameLife) {
-      record.retired.add(known.incarnation);
+    // Other daemons may forward heartbeats of an ended incarnation, which must
+    // never become current again.
+    if (known !== undefined && !isSameRun) {
+      record.retiredIncarnations.add(known.incarnation);
     }
-    if (!isSameLife || !isSameState(known, heartbeat)) this.#view = undefined;
+    if (!isSameRun || !isSameState(known, heartbeat)) this.#view = undefined;
     record.heartbeat = heartbeat;
-    this.#heardNow(record, options.now);
+    this.#recordLiveness(record, options.now);
   }
 
-  #heardNow(record: MemberRecord, now: number): void {
-    const { stalled } = this.#limits();
-    // A view that left it out is void.
-    const wasSilent = now - record.heardAt > stalled ||
-      record.doubtedAt > record.heardAt;
+  #recordLiveness(record: MemberRecord, now: number): void {
+    const { stalled } = this.#timeouts();
+    // A cached view without this daemon is outdated.
+    const wasSilent = now - record.lastHeartbeatAt > stalled ||
+      record.suspectedAt > record.lastHeartbeatAt;
     if (wasSilent) this.#view = undefined;
-    record.heardAt = now;
+    record.lastHeartbeatAt = now;
   }
 
   #countSilenceFrom(now: number): void {
@@ -322,18 +325,18 @@
     this.#view = undefined;
   }
 
-  #limits(): SilenceLimits {
-    return silenceLimits(this.#records.size + 1);
+  #timeouts(): HeartbeatTimeouts {
+    return heartbeatTimeouts(this.#records.size + 1);
   }
 
   #viewAt(now: number): FleetView {
     const known = this.#view;
     const isCurrent = known !== undefined && now >= known.at &&
-      now - known.at < VIEW_MILLISECONDS;
+      now - known.at < VIEW_CACHE_MILLISECONDS;
     if (isCurrent) return known;
     const view = createFleetView({
       records: this.#records.values(),
-      limits: this.#limits(),
+      limits: this.#timeouts(),
       silenceCountsFrom: this.#silenceCountsFrom,
       now,
     });
@@ -343,6 +346,7 @@
 }
 
 function isSameState(known: OwnState, told: OwnState): boolean {
-  return known.isLeaving === told.isLeaving && known.isReady === told.isReady &&
+  return known.isLeaving === told.isLeaving &&
+    known.isReady === told.isReady &&
     known.isStoreFresh === told.isStoreFresh;
 }
--- a/packages/kelpspar-gateway/src/fleet/fleet_view.ts
+++ b/packages/kelpspar-gateway/src/fleet/fleet_view.ts
@@ -1,24 +1,27 @@
 import type { DaemonAddress } from "./fleet_digest.ts";
 import type { Member, MemberRecord } from "./member_record.ts";
-import type { SilenceLimits } from "./heartbeat_timeouts.ts";
+import type { HeartbeatTimeouts } from "./heartbeat_timeouts.ts";
 import { rankByCores } from "./rank_by_cores.ts";
 
-/** Lists of daemons at one moment, worked out once for many questions. */
+/** Snapshot of the live daemons at one time, shared by many queries. */
 export interface FleetView {
   readonly at: number;
-  readonly heard: readonly Member[];
-  /** Those of them that may run stages: heard sooner, and not in doubt. */
-  readonly trusted: readonly Member[];
+  readonly liveMembers: readonly Member[];
+  /**
+   * Live daemons that may run stages: within the shorter timeout, and without a
+   * failed call since their last heartbeat.
+   */
+  readonly trustedMembers: readonly Member[];
   readonly trustedIds: ReadonlySet<string>;
-  /** What `rankTrusted` gave, by its key and this daemon's own state. */
+  /** Cached results of `rankTrusted` by key and this daemon's own state. */
   readonly rankings: Map<string, readonly string[]>;
 }
 
-/** What a view is made from. */
+/** Inputs of `createFleetView`. */
 export interface FleetViewOptions {
   readonly records: Iterable<MemberRecord>;
-  readonly limits: SilenceLimits;
-  /** Silence before it doesn't count; monotonic milliseconds. */
+  readonly limits: HeartbeatTimeouts;
+  /** Silence before this time doesn't count; monotonic milliseconds. */
   readonly silenceCountsFrom: number;
   readonly now: number;
 }
@@ -26,32 +29,40 @@
 export function createFleetView(options: FleetViewOptions): FleetView {
   const { limits, now } = options;
   const records = [...options.records];
-  const undoubted = records.filter((one) => one.doubtedAt <= one.heardAt);
-  const trusted = within(undoubted, limits.stalled, options);
+  const unsuspected = records.filter((record) =>
+    record.suspectedAt <= record.lastHeartbeatAt
+  );
+  const trustedMembers = membersWithinTimeout(
+    unsuspected,
+    limits.stalled,
+    options,
+  );
   return {
     at: now,
-    heard: within(records, limits.silent, options),
-    trusted,
-    trustedIds: new Set(trusted.map((one) => one.address.daemonId)),
+    liveMembers: membersWithinTimeout(records, limits.silent, options),
+    trustedMembers,
+    trustedIds: new Set(
+      trustedMembers.map((member) => member.address.daemonId),
+    ),
     rankings: new Map<string, readonly string[]>(),
   };
 }
 
-function within(
+function membersWithinTimeout(
   records: readonly MemberRecord[],
   milliseconds: number,
   { silenceCountsFrom, now }: FleetViewOptions,
 ): readonly Member[] {
-  return records.flatMap(({ address, heartbeat, heardAt }) => {
-    const isUnknown = heartbeat === undefined ||
-      heardAt === Number.NEGATIVE_INFINITY;
-    if (isUnknown) return [];
-    const since = Math.max(heardAt, silenceCountsFrom);
+  return records.flatMap(({ address, heartbeat, lastHeartbeatAt }) => {
+    const hasNoHeartbeat = heartbeat === undefined ||
+      lastHeartbeatAt === Number.NEGATIVE_INFINITY;
+    if (hasNoHeartbeat) return [];
+    const since = Math.max(lastHeartbeatAt, silenceCountsFrom);
     return now - since <= milliseconds ? [{ address, heartbeat }] : [];
   });
 }
 
-/** Trusted daemons and this one, those with a fresh store first. */
+/** Ranks trusted daemons and this one; those with a fresh store come first. */
 export function rankTrusted(
   key: string,
   { self, isStoreFresh, view }: {
@@ -60,19 +71,19 @@
     readonly view: FleetView;
   },
 ): readonly string[] {
-  const others = view.trusted.filter(({ heartbeat }) =>
+  const others = view.trustedMembers.filter(({ heartbeat }) =>
     heartbeat.isReady && !heartbeat.isLeaving
   );
-  const all = [
+  const candidates = [
     { address: self, isStoreFresh },
     ...others.map(({ address, heartbeat }) => ({
       address,
       isStoreFresh: heartbeat.isStoreFresh,
     })),
   ];
-  const fresh = all.filter((one) => one.isStoreFresh);
-  const stale = all.filter((one) => !one.isStoreFresh);
+  const fresh = candidates.filter((candidate) => candidate.isStoreFresh);
+  const stale = candidates.filter((candidate) => !candidate.isStoreFresh);
   return [fresh, stale].flatMap((group) =>
-    rankByCores(key, group.map((one) => one.address))
+    rankByCores(key, group.map((candidate) => candidate.address))
   );
 }
--- a/packages/kelpspar-gateway/src/fleet/gossip_partners.ts
+++ b/packages/kelpspar-gateway/src/fleet/gossip_partners.ts
@@ -2,39 +2,40 @@
 import type { DaemonAddress } from "./fleet_digest.ts";
 import { RendezvousNodes } from "kelpspar-decisions/routing";
 
-/** Daemons that each one exchanges with in turn. */
-const PARTNERS = 6;
+/** Number of daemons that each daemon exchanges digests with in turn. */
+const PARTNER_COUNT = 6;
 /**
- * Each round is with any daemon instead, by this chance: partners are chosen
- * among those that are heard, and parts of a fleet that don't hear each other
- * would stay apart.
+ * Probability that a round uses a random known daemon instead of a partner.
+ * Partners are chosen among likely reachable daemons only, so partitions of a
+ * fleet that receive no heartbeats from each other would never merge.
  */
-const STRANGER_SHARE = 0.125;
+const RANDOM_PARTNER_SHARE = 0.125;
 
-/** Whom a round is drawn from. */
-export interface PartnerRoundOptions {
-  /** Daemons that are heard, or may be. */
-  readonly promising: readonly DaemonAddress[];
-  /** Every daemon that there may be. */
+/** Daemons that a round's partner is chosen from. */
+export interface PartnerCandidates {
+  /** Daemons that are live or not known to be unreachable. */
+  readonly likelyReachable: readonly DaemonAddress[];
+  /** All known daemons, reachable or not. */
   readonly contacts: readonly DaemonAddress[];
 }
 
 /**
- * Chooses whom a daemon of a large fleet exchanges digests with.
+ * Chooses the daemons that a daemon of a large fleet exchanges digests with.
  *
- * Load: each daemon begins some exchanges a second. With partners drawn anew
- * each time nearly every exchange opens a connection on both sides, which costs
- * several times what the digest does. A few partners in turn keep theirs. Each
- * daemon's partners are the best for its own name, so that the fleet is a
- * random graph, and word goes round in it as fast as by chance.
+ * Each daemon starts several exchanges a second. With a random partner each
+ * time, nearly every exchange opens a connection on both sides, which costs
+ * several times as much as the digest. A fixed set of a few partners keeps
+ * connections open. Each daemon picks its partners by rendezvous hashing on its
+ * own name, so that the fleet forms a random graph, in which heartbeats spread
+ * as fast as with random partners.
  */
-export class PartnerRounds {
+export class GossipPartners {
   readonly #daemonId: string;
   readonly #random: RandomSource;
-  /** Among whom the partners were chosen. */
-  #joinedIds = "";
+  /** Sorted names of the daemons that `#partners` were chosen from. */
+  #candidatesKey = "";
   #partners: readonly string[] = [];
-  #turn = 0;
+  #nextIndex = 0;
 
   constructor(
     options: { readonly daemonId: string; readonly random: RandomSource },
@@ -43,25 +44,28 @@
     this.#random = options.random;
   }
 
-  /** The daemon to exchange with now; undefined while none is known. */
-  next(options: PartnerRoundOptions): DaemonAddress | undefined {
-    const { promising, contacts } = options;
-    const isStranger = this.#random.next() < STRANGER_SHARE;
-    if (promising.length === 0 || isStranger) {
+  /** The daemon to exchange with next; undefined while none is known. */
+  next(options: PartnerCandidates): DaemonAddress | undefined {
+    const { likelyReachable, contacts } = options;
+    const isRandomRound = this.#random.next() < RANDOM_PARTNER_SHARE;
+    if (likelyReachable.length === 0 || isRandomRound) {
       return contacts[this.#random.nextInteger(Math.max(1, contacts.length))];
     }
-    const partners = this.#partnersAmong(
-      promising.map((one) => one.daemonId).sort(),
+    const partners = this.#choosePartners(
+      likelyReachable.map((address) => address.daemonId).sort(),
     );
-    const id = partners[this.#turn++ % partners.length];
-    return promising.find((one) => one.daemonId === id);
+    const id = partners[this.#nextIndex++ % partners.length];
+    return likelyReachable.find((address) => address.daemonId === id);
   }
 
-  #partnersAmong(ids: readonly string[]): readonly string[] {
-    const joined = ids.join();
-    if (joined === this.#joinedIds) return this.#partners;
-    this.#joinedIds = joined;
-    this.#partners = new RendezvousNodes(ids).best(this.#daemonId, PARTNERS);
+  #choosePartners(ids: readonly string[]): readonly string[] {
+    const key = ids.join();
+    if (key === this.#candidatesKey) return this.#partners;
+    this.#candidatesKey = key;
+    this.#partners = new RendezvousNodes(ids).best(
+      this.#daemonId,
+      PARTNER_COUNT,
+    );
     return this.#partners;
   }
 }
--- a/packages/kelpspar-gateway/src/fleet/gossip_sync.ts
+++ b/packages/kelpspar-gateway/src/fleet/gossip_sync.ts
@@ -2,22 +2,22 @@
 import type { GatewayLog } from "../log/gateway_log.ts";
 import type { FleetMembership } from "./fleet_membership.ts";
 
-/** Something that all daemons are to know alike. */
-export interface SharedKnowledge<Page> {
-  /** 0 while nothing is known; equal for daemons that know the same. */
+/** State that is replicated to all daemons. */
+export interface GossipState<Page> {
+  /** 0 while the state is empty; equal for daemons with equal state. */
   readonly checksum: number;
-  /** All that is known. */
+  /** The whole state. */
   page(): Page;
-  /** Takes in what another daemon knows. */
-  take(page: Page): void;
+  /** Merges the state of another daemon. */
+  merge(page: Page): void;
 }
 
-/** What a sync works with. */
-export interface KnowledgeSyncOptions<Page> {
-  /** Names the knowledge in the log. */
+/** Dependencies of a `GossipSync`. */
+export interface GossipSyncOptions<Page> {
+  /** Name of the state in log messages. */
   readonly name: string;
-  readonly knowledge: SharedKnowledge<Page>;
-  /** Gives a peer a page; answers with the peer's. */
+  readonly gossipState: GossipState<Page>;
+  /** Sends a page to a peer; returns the peer's page. */
   readonly share: (peer: string, page: Page) => Promise<Page>;
   readonly membership: Pick<FleetMembership, "contacts">;
   readonly random: RandomSource;
@@ -25,62 +25,62 @@
 }
 
 /**
- * Keeps all daemons at the same knowledge. News spreads like a rumor: in a
- * fleet of hundreds all know within a few hops, and the checksums in digests
- * repair what was lost.
+ * Replicates state to all daemons by gossip. Changes reach a fleet of hundreds
+ * within a few hops; the checksums in digests repair lost messages
+ * (anti-entropy).
  */
-export class KnowledgeSync<Page> {
-  readonly #options: KnowledgeSyncOptions<Page>;
-  readonly #busy = new Set<string>();
-  /** Peers that have to be told again once their call has ended. */
-  readonly #again = new Set<string>();
+export class GossipSync<Page> {
+  readonly #options: GossipSyncOptions<Page>;
+  readonly #activePeers = new Set<string>();
+  /** Peers to share with again once their current call has ended. */
+  readonly #repeatPeers = new Set<string>();
 
-  constructor(options: KnowledgeSyncOptions<Page>) {
+  constructor(options: GossipSyncOptions<Page>) {
     this.#options = options;
   }
 
-  /** For digests; undefined while nothing is known. */
+  /** Checksum for digests; undefined while the state is empty. */
   get checksum(): number | undefined {
-    const { checksum } = this.#options.knowledge;
+    const { checksum } = this.#options.gossipState;
     return checksum === 0 ? undefined : checksum;
   }
 
-  /** Takes in the checksum of another daemon. */
+  /** Handles another daemon's checksum: shares the state if it differs. */
   told(peer: string, checksum: number | undefined): void {
     if (checksum !== this.checksum) void this.#share(peer);
   }
 
-  /** Answers another daemon's page with all that is known here. */
+  /** Merges another daemon's page and returns the whole local state. */
   answer(page: Page): Page {
-    const { knowledge } = this.#options;
-    knowledge.take(page);
-    return knowledge.page();
+    const { gossipState } = this.#options;
+    gossipState.merge(page);
+    return gossipState.page();
   }
 
-  /** Tells up to `most` daemons, drawn by chance, of news. */
-  tellSome(most: number): void {
+  /** Shares the state with up to `maximum` random daemons. */
+  shareWithSome(maximum: number): void {
     const { membership, random } = this.#options;
     const contacts = [...membership.contacts()];
-    for (let told = 0; told < most && contacts.length > 0; told++) {
-      const [one] = contacts.splice(random.nextInteger(contacts.length), 1);
-      if (one !== undefined) void this.#share(one.peer);
+    for (let told = 0; told < maximum && contacts.length > 0; told++) {
+      const [contact] = contacts.splice(random.nextInteger(contacts.length), 1);
+      if (contact !== undefined) void this.#share(contact.peer);
     }
   }
 
   async #share(peer: string): Promise<void> {
-    if (this.#busy.has(peer)) {
-      this.#again.add(peer);
+    if (this.#activePeers.has(peer)) {
+      this.#repeatPeers.add(peer);
       return;
     }
-    this.#busy.add(peer);
-    const { name, knowledge, share, log } = this.#options;
+    this.#activePeers.add(peer);
+    const { name, gossipState, share, log } = this.#options;
     try {
-      knowledge.take(await share(peer, knowledge.page()));
+      gossipState.merge(await share(peer, gossipState.page()));
     } catch (error) {
-      log.warn(`${name} not shared`, { peer, reason: String(error) });
+      log.warn(`failed to share ${name}`, { peer, reason: String(error) });
     } finally {
-      this.#busy.delete(peer);
+      this.#activePeers.delete(peer);
     }
-    if (this.#again.delete(peer)) await this.#share(peer);
+    if (this.#repeatPeers.delete(peer)) await this.#share(peer);
   }
 }
--- a/packages/kelpspar-gateway/src/fleet/heartbeat_timeouts.ts
+++ b/packages/kelpspar-gateway/src/fleet/heartbeat_timeouts.ts
@@ -1,27 +1,30 @@
-/** After which silence a daemon is given up, milliseconds. */
-export interface SilenceLimits {
-  /** It gets no more callers. */
+/** Time without a heartbeat after which a daemon is given up, milliseconds. */
+export interface HeartbeatTimeouts {
+  /** The daemon is no longer offered to callers. */
   readonly silent: number;
-  /** It runs no more stages: sooner, since that costs only fuller calls. */
+  /**
+   * The daemon no longer runs stages. Shorter than `silent`, because a wrong
+   * verdict only makes the calls of the remaining daemons larger.
+   */
   readonly stalled: number;
 }
 
-const SILENT_MILLISECONDS = 1_700;
-const STALLED_MILLISECONDS = 1_300;
-/** Daemons that all hear one another directly. */
-const MOST_DIRECT = 9;
+const SILENT_TIMEOUT_MILLISECONDS = 1_700;
+const STALLED_TIMEOUT_MILLISECONDS = 1_300;
+/** Largest fleet in which all daemons exchange digests directly. */
+const FULL_MESH_DAEMONS = 9;
 /**
- * What each doubling of the fleet beyond that adds, milliseconds: word of a
- * heartbeat takes about one more round of digests.
+ * Added for each doubling of the fleet beyond `FULL_MESH_DAEMONS`, because a
+ * heartbeat takes about one extra round of digests to reach all daemons.
  */
-const DOUBLING_MILLISECONDS = 650;
+const MILLISECONDS_PER_DOUBLING = 650;
 
-/** Silence limits of a fleet of `daemons`. */
-export function silenceLimits(daemons: number): SilenceLimits {
-  const doublings = Math.max(0, Math.log2(daemons / MOST_DIRECT));
-  const more = doublings * DOUBLING_MILLISECONDS;
+/** Computes the heartbeat timeouts for a fleet of `daemons` daemons. */
+export function heartbeatTimeouts(daemons: number): HeartbeatTimeouts {
+  const doublings = Math.max(0, Math.log2(daemons / FULL_MESH_DAEMONS));
+  const extra = doublings * MILLISECONDS_PER_DOUBLING;
   return {
-    silent: SILENT_MILLISECONDS + more,
-    stalled: STALLED_MILLISECONDS + more,
+    silent: SILENT_TIMEOUT_MILLISECONDS + extra,
+    stalled: STALLED_TIMEOUT_MILLISECONDS + extra,
   };
 }
--- a/packages/kelpspar-gateway/src/fleet/is_connection_refused.ts
+++ b/packages/kelpspar-gateway/src/fleet/is_connection_refused.ts
@@ -1,10 +1,9 @@
-/** How deep causes are looked through. */
-const MOST_CAUSES = 5;
+const MAXIMUM_CAUSE_DEPTH = 5;
 
-/** True when a call failed since nothing listens at its address. */
-export function isRefused(error: unknown): boolean {
+/** Whether a call failed because nothing listens at its address. */
+export function isConnectionRefused(error: unknown): boolean {
   let cause: unknown = error;
-  for (let depth = 0; depth < MOST_CAUSES; depth++) {
+  for (let depth = 0; depth < MAXIMUM_CAUSE_DEPTH; depth++) {
     if (!(cause instanceof Error)) return false;
     if ((cause as NodeJS.ErrnoException).code === "ECONNREFUSED") return true;
     ({ cause } = cause);
--- a/packages/kelpspar-gateway/src/fleet/member_record.ts
+++ b/packages/kelpspar-gateway/src/fleet/member_record.ts
@@ -2,33 +2,33 @@
 import type { DaemonKey, PackedHeartbeat } from "./packed_heartbeats.ts";
 import { daemonKey } from "./packed_heartbeats.ts";
 
-/** What a daemon says of itself now. */
+/** State that a daemon reports about itself. */
 export type OwnState = Pick<
   Heartbeat,
   "isLeaving" | "isReady" | "isStoreFresh"
 >;
 
-/** A daemon that is heard. */
+/** A live daemon. */
 export interface Member {
   readonly address: DaemonAddress;
   readonly heartbeat: OwnState;
 }
 
-/** What is known of another daemon; times are monotonic milliseconds. */
+/** Record of another daemon; times are monotonic milliseconds. */
 export interface MemberRecord {
   readonly key: DaemonKey;
   address: DaemonAddress;
   heartbeat: PackedHeartbeat | undefined;
-  /** When its heartbeat last moved on, as seen here. */
-  heardAt: number;
-  /** When a call to it last failed; what it said before doesn't count. */
-  doubtedAt: number;
-  /** Lives that were replaced by a later one. */
-  readonly retired: Set<string>;
+  /** When a newer heartbeat of the daemon last arrived here. */
+  lastHeartbeatAt: number;
+  /** When a call to it last failed; earlier heartbeats don't count. */
+  suspectedAt: number;
+  /** Incarnations that a later one replaced. */
+  readonly retiredIncarnations: Set<string>;
   readonly knownSince: number;
 }
 
-export function createRecord(
+export function createMemberRecord(
   address: DaemonAddress,
   now: number,
 ): MemberRecord {
@@ -36,9 +36,9 @@
     key: daemonKey(address.daemonId),
     address,
     heartbeat: undefined,
-    heardAt: Number.NEGATIVE_INFINITY,
-    doubtedAt: Number.NEGATIVE_INFINITY,
-    retired: new Set<string>(),
+    lastHeartbeatAt: Number.NEGATIVE_INFINITY,
+    suspectedAt: Number.NEGATIVE_INFINITY,
+    retiredIncarnations: new Set<string>(),
     knownSince: now,
   };
 }
--- a/packages/kelpspar-gateway/src/fleet/packed_heartbeats.ts
+++ b/packages/kelpspar-gateway/src/fleet/packed_heartbeats.ts
@@ -1,62 +1,73 @@
 import type { Heartbeat } from "./fleet_digest.ts";
 import { hashText } from "kelpspar-decisions/routing";
 
-/** Stands for a daemon's name in a digest. */
+/** Hash that identifies a daemon in a digest. */
 export type DaemonKey = number;
 
-/** A heartbeat as it is packed: names and lives by their hashes. */
+/** A heartbeat as packed, with hashes for the daemon's name and incarnation. */
 export interface PackedHeartbeat extends Omit<Heartbeat, "daemonId"> {
   readonly key: DaemonKey;
 }
 
-const NAME_BYTES = 5;
-const LIFE_BYTES = 3;
+const DAEMON_KEY_BYTES = 5;
+const INCARNATION_BYTES = 3;
 const SEQUENCE_BYTES = 3;
-const FLAG_BYTES = 1;
-const HEARTBEAT_BYTES = NAME_BYTES + LIFE_BYTES + SEQUENCE_BYTES + FLAG_BYTES;
-const SEQUENCES = 2 ** (8 * SEQUENCE_BYTES);
-const LIVES = 2 ** (8 * LIFE_BYTES);
-/** A second hash takes the place of the bits that one lacks. */
+const FLAGS_BYTES = 1;
+const HEARTBEAT_BYTES = DAEMON_KEY_BYTES + INCARNATION_BYTES + SEQUENCE_BYTES +
+  FLAGS_BYTES;
+const SEQUENCE_COUNT = 2 ** (8 * SEQUENCE_BYTES);
+const INCARNATION_COUNT = 2 ** (8 * INCARNATION_BYTES);
+/** A second hash supplies the bits beyond the 32 bits of the first. */
 const SECOND_HASH_VALUES = 2 ** 8;
 
-const LEAVING = 1;
-const READY = 2;
-const STORE_FRESH = 4;
+const LEAVING_FLAG = 1;
+const READY_FLAG = 2;
+const STORE_FRESH_FLAG = 4;
 
-/** 40 bits, so that two of some hundred daemons never share one in practice. */
+/**
+ * Returns a 40-bit key, which in practice is unique among hundreds of daemons.
+ */
 export function daemonKey(daemonId: string): DaemonKey {
   const second = hashText(`second ${daemonId}`) % SECOND_HASH_VALUES;
   return hashText(daemonId) * SECOND_HASH_VALUES + second;
 }
 
-/** How a life is named once it was packed; the same for every daemon. */
-export function packedLife(incarnation: string): string {
-  return (hashText(incarnation) % LIVES).toString(16);
+/** Returns the packed form of an incarnation, the same at every daemon. */
+export function packIncarnation(incarnation: string): string {
+  return (hashText(incarnation) % INCARNATION_COUNT).toString(16);
 }
 
-/** Whether a sequence is after another; they are counted round and round. */
+/** Whether `sequence` is later than `than`; sequence numbers wrap around. */
 export function isLaterSequence(sequence: number, than: number): boolean {
-  const ahead = (sequence - than + SEQUENCES) % SEQUENCES;
-  return ahead > 0 && ahead < SEQUENCES / 2;
+  const ahead = (sequence - than + SEQUENCE_COUNT) % SEQUENCE_COUNT;
+  return ahead > 0 && ahead < SEQUENCE_COUNT / 2;
 }
 
 /**
- * Packs heartbeats to 16 characters each: they are nearly all that daemons of a
- * large fleet send one another.
+ * Packs heartbeats to 16 characters each, because they make up nearly all
+ * traffic between the daemons of a large fleet.
  */
 export function packHeartbeats(heartbeats: readonly PackedHeartbeat[]): string {
   const bytes = Buffer.allocUnsafe(heartbeats.length * HEARTBEAT_BYTES);
   let at = 0;
-  for (const one of heartbeats) {
-    at = bytes.writeUIntBE(one.key, at, NAME_BYTES);
-    at = bytes.writeUIntBE(parseInt(one.incarnation, 16), at, LIFE_BYTES);
-    at = bytes.writeUIntBE(one.sequence % SEQUENCES, at, SEQUENCE_BYTES);
-    at = bytes.writeUInt8(flagsOf(one), at);
+  for (const heartbeat of heartbeats) {
+    at = bytes.writeUIntBE(heartbeat.key, at, DAEMON_KEY_BYTES);
+    at = bytes.writeUIntBE(
+      parseInt(heartbeat.incarnation, 16),
+      at,
+      INCARNATION_BYTES,
+    );
+    at = bytes.writeUIntBE(
+      heartbeat.sequence % SEQUENCE_COUNT,
+      at,
+      SEQUENCE_BYTES,
+    );
+    at = bytes.writeUInt8(packFlags(heartbeat), at);
   }
   return bytes.toString("base64");
 }
 
-/** Unpacks heartbeats; what is left of one that was cut is dropped. */
+/** Unpacks heartbeats; drops a truncated last heartbeat. */
 export function unpackHeartbeats(text: string): readonly PackedHeartbeat[] {
   const bytes = Buffer.from(text, "base64");
   const heartbeats: PackedHeartbeat[] = [];
@@ -65,37 +76,40 @@
     at + HEARTBEAT_BYTES <= bytes.length;
     at += HEARTBEAT_BYTES
   ) {
-    const life = at + NAME_BYTES;
-    const sequence = life + LIFE_BYTES;
+    const incarnation = at + DAEMON_KEY_BYTES;
+    const sequence = incarnation + INCARNATION_BYTES;
     const flags = bytes.readUInt8(sequence + SEQUENCE_BYTES);
     heartbeats.push({
-      key: bytes.readUIntBE(at, NAME_BYTES),
-      incarnation: bytes.readUIntBE(life, LIFE_BYTES).toString(16),
+      key: bytes.readUIntBE(at, DAEMON_KEY_BYTES),
+      incarnation: bytes.readUIntBE(incarnation, INCARNATION_BYTES).toString(
+        16,
+      ),
       sequence: bytes.readUIntBE(sequence, SEQUENCE_BYTES),
-      isLeaving: (flags & LEAVING) !== 0,
-      isReady: (flags & READY) !== 0,
-      isStoreFresh: (flags & STORE_FRESH) !== 0,
+      isLeaving: (flags & LEAVING_FLAG) !== 0,
+      isReady: (flags & READY_FLAG) !== 0,
+      isStoreFresh: (flags & STORE_FRESH_FLAG) !== 0,
     });
   }
   return heartbeats;
 }
 
-/** Those of `heartbeats` that `packed` lacks, or has older ones of. */
-export function lackingHeartbeats(
+/** Returns the `heartbeats` that are missing from `packed` or older there. */
+export function missingHeartbeats(
   heartbeats: readonly PackedHeartbeat[],
   packed: string,
 ): readonly PackedHeartbeat[] {
   const known = new Map(
-    unpackHeartbeats(packed).map((one) => [one.key, one]),
+    unpackHeartbeats(packed).map((heartbeat) => [heartbeat.key, heartbeat]),
   );
-  return heartbeats.filter((one) => {
-    const told = known.get(one.key);
-    return told?.incarnation !== one.incarnation ||
-      isLaterSequence(one.sequence, told.sequence);
+  return heartbeats.filter((heartbeat) => {
+    const told = known.get(heartbeat.key);
+    return told?.incarnation !== heartbeat.incarnation ||
+      isLaterSequence(heartbeat.sequence, told.sequence);
   });
 }
 
-function flagsOf(one: PackedHeartbeat): number {
-  return (one.isLeaving ? LEAVING : 0) + (one.isReady ? READY : 0) +
-    (one.isStoreFresh ? STORE_FRESH : 0);
+function packFlags(heartbeat: PackedHeartbeat): number {
+  return (heartbeat.isLeaving ? LEAVING_FLAG : 0) +
+    (heartbeat.isReady ? READY_FLAG : 0) +
+    (heartbeat.isStoreFresh ? STORE_FRESH_FLAG : 0);
 }
--- a/packages/kelpspar-gateway/src/fleet/peer_client.ts
+++ b/packages/kelpspar-gateway/src/fleet/peer_client.ts
@@ -21,25 +21,23 @@
 } from "../quarantine/crash_message.ts";
 import { followAnswerSchema } from "../tables/table_changes.ts";
 import { PEER_PATH } from "./peer_listener.ts";
-import { SilentConnections } from "./silent_connection_detector.ts";
+import { SilentConnectionDetector } from "./silent_connection_detector.ts";
 
-/** How long a short call to a peer may take, milliseconds. */
-const SHORT_CALL_MILLISECONDS = 600;
-/** A connection that isn't there after this is given up, milliseconds. */
-const CONNECT_MILLISECONDS = 500;
+const SHORT_CALL_TIMEOUT_MILLISECONDS = 600;
+const CONNECT_TIMEOUT_MILLISECONDS = 500;
 /**
- * Idle connections are kept longer than a daemon takes to come round to the
- * same partner; the peer that accepted them keeps them a little longer.
+ * Longer than the time between two exchanges with the same partner, so that
+ * connections are reused. The accepting peer keeps them slightly longer.
  */
-const IDLE_MILLISECONDS = 8_000;
-export const PEER_IDLE_MILLISECONDS = IDLE_MILLISECONDS + 2_000;
+const IDLE_TIMEOUT_MILLISECONDS = 8_000;
+export const PEER_IDLE_TIMEOUT_MILLISECONDS = IDLE_TIMEOUT_MILLISECONDS + 2_000;
 
 type PeerCall<Answer> = (client: TRPCClient<PeerRouter>) => Promise<Answer>;
 
-/** Calls other daemons by tRPC; each call throws when it fails. */
+/** Calls other daemons over tRPC; each method throws when its call fails. */
 export class PeerClient implements FollowClient {
   readonly #timer: TimerService;
-  readonly #silent: SilentConnections<TRPCClient<PeerRouter>>;
+  readonly #silentConnections: SilentConnectionDetector<TRPCClient<PeerRouter>>;
   readonly #connections = new PeerConnections({
     createClient: (peer, agent) =>
       createTRPCClient<PeerRouter>({
@@ -49,34 +47,37 @@
       }),
     agent: {
       pipelining: 1,
-      keepAliveTimeout: IDLE_MILLISECONDS,
+      keepAliveTimeout: IDLE_TIMEOUT_MILLISECONDS,
       headersTimeout: 0,
       bodyTimeout: 0,
-      connect: { timeout: CONNECT_MILLISECONDS },
+      connect: { timeout: CONNECT_TIMEOUT_MILLISECONDS },
     },
   });
 
   constructor(timer: TimerService) {
     this.#timer = timer;
-    this.#silent = new SilentConnections(this.#connections, timer);
+    this.#silentConnections = new SilentConnectionDetector(
+      this.#connections,
+      timer,
+    );
   }
 
   exchange(peer: string, digest: FleetDigest): Promise<FleetDigest> {
-    return this.#short(
+    return this.#callWithShortTimeout(
       peer,
       (client) => client.exchange.mutate(digest),
     );
   }
 
   addresses(peer: string): Promise<readonly DaemonAddress[]> {
-    return this.#short(
+    return this.#callWithShortTimeout(
       peer,
       (client) => client.addresses.query(),
     );
   }
 
   configuration(peer: string): Promise<ServingConfiguration | null> {
-    return this.#short(
+    return this.#callWithShortTimeout(
       peer,
       async (client) =>
         await client.configuration.query() as unknown as
@@ -85,18 +86,18 @@
     );
   }
 
-  /** Tells a peer of crashes; gives all that it knows of. */
+  /** Sends known crashes to a peer; returns all crashes that the peer knows. */
   async shareCrashes(peer: string, page: CrashPage): Promise<CrashPage> {
-    const answer = await this.#short(
+    const answer = await this.#callWithShortTimeout(
       peer,
       (client) => client.shareCrashes.mutate(toCrashMessage(page)),
     );
     return fromCrashMessage(answer);
   }
 
-  /** Tells a peer what endpoints say; gives all that it knows of. */
+  /** Sends endpoint notices to a peer; returns all that the peer knows. */
   async shareNotices(peer: string, page: NoticePage): Promise<NoticePage> {
-    const answer = await this.#short(
+    const answer = await this.#callWithShortTimeout(
       peer,
       (client) => client.shareNotices.mutate(toNoticeMessage(page)),
     );
@@ -106,11 +107,11 @@
   async follow(
     peer: string,
     request: FollowRequest,
-    limitMilliseconds: number,
+    timeoutMilliseconds: number,
   ): Promise<FollowAnswer> {
-    const answer = await this.#limited(
+    const answer = await this.#callWithTimeout(
       peer,
-      limitMilliseconds,
+      timeoutMilliseconds,
       (client) => client.follow.mutate(request),
     );
     return followAnswerSchema.parse(answer);
@@ -118,22 +119,22 @@
 
   release(peer: string, release: ChainRelease): Promise<null> {
     const { attemptId, results } = release;
-    return this.#short(
+    return this.#callWithShortTimeout(
       peer,
       (client) => client.release.mutate({ attemptId, results: [...results] }),
     );
   }
 
-  /** Takes as long as the chain does, or until `signal`. */
+  /** Runs a chain at a peer; ends with the chain or when `signal` aborts. */
   async runChain(
     peer: string,
     request: ChainRequest,
     signal: AbortSignal,
   ): Promise<ChainOutcome> {
     const { client } = this.#connections.open(peer);
-    const stages = request.stages.map((one) => ({
-      ...one,
-      after: [...one.after],
+    const stages = request.stages.map((stage) => ({
+      ...stage,
+      after: [...stage.after],
     }));
     const reader = request.reader === undefined ? undefined : {
       service: request.reader.service,
@@ -143,18 +144,21 @@
     return await client.runChain.mutate(input, { signal });
   }
 
-  #short<Answer>(peer: string, call: PeerCall<Answer>): Promise<Answer> {
-    return this.#limited(peer, SHORT_CALL_MILLISECONDS, call);
+  #callWithShortTimeout<Answer>(
+    peer: string,
+    call: PeerCall<Answer>,
+  ): Promise<Answer> {
+    return this.#callWithTimeout(peer, SHORT_CALL_TIMEOUT_MILLISECONDS, call);
   }
 
   /**
-   * A call that times out says nothing of its connection yet: the peer may be
-   * busy, or the connection silent for good while new ones work. Later calls
-   * take a new one; see `SilentConnections` for what becomes of the old.
+   * A timeout alone doesn't show whether the peer is busy or the connection is
+   * dead while new ones work. Later calls use a new connection;
+   * `SilentConnectionDetector` decides when to destroy the old one.
    */
-  async #limited<Answer>(
+  async #callWithTimeout<Answer>(
     peer: string,
-    limitMilliseconds: number,
+    timeoutMilliseconds: number,
     call: PeerCall<Answer>,
   ): Promise<Answer> {
     const connection = this.#connections.open(peer);
@@ -162,13 +166,13 @@
     let stopTimer = (): void => {};
     const timeout = new Promise<never>((_, reject) => {
       stopTimer = this.#timer.registerTimeout(() => {
-        this.#silent.overdue(peer, connection, answer);
-        reject(new Error("timed out"));
-      }, limitMilliseconds);
+        this.#silentConnections.reportOverdueCall(peer, connection, answer);
+        reject(new Error("Call to peer timed out"));
+      }, timeoutMilliseconds);
     });
     try {
       const answered = await Promise.race([answer, timeout]);
-      this.#silent.answered(peer, connection);
+      this.#silentConnections.reportAnswer(peer, connection);
       return answered;
     } finally {
       stopTimer();
--- a/packages/kelpspar-gateway/src/fleet/peer_listener.ts
+++ b/packages/kelpspar-gateway/src/fleet/peer_listener.ts
@@ -3,10 +3,9 @@
 import { createRouterListener } from "kelpspar-peers";
 import { peerRouter } from "./peer_router.ts";
 
-/** The path under which a daemon answers its peers. */
+/** HTTP path of the tRPC router for other daemons. */
 export const PEER_PATH = "/peer";
 
-/** Largest input of a peer's call, bytes. */
 const MAXIMUM_BODY_BYTES = 4 * 1024 * 1024;
 
 /** Creates the listener that answers other daemons under `PEER_PATH`. */
@@ -17,17 +16,19 @@
     maximumBodyBytes: MAXIMUM_BODY_BYTES,
     createContext: (_, response) => ({
       handlers,
-      gone: () => goneSignal(response),
+      createDisconnectSignal: () => createDisconnectSignal(response),
     }),
   });
 }
 
-/** Aborted when the asker closed its connection before its answer. */
-function goneSignal(response: ServerResponse): AbortSignal {
-  const gone = new AbortController();
-  if (response.destroyed) gone.abort();
+/**
+ * Returns a signal that aborts if the caller disconnects before the response.
+ */
+function createDisconnectSignal(response: ServerResponse): AbortSignal {
+  const disconnected = new AbortController();
+  if (response.destroyed) disconnected.abort();
   response.once("close", () => {
-    if (!response.writableFinished) gone.abort();
+    if (!response.writableFinished) disconnected.abort();
   });
-  return gone.signal;
+  return disconnected.signal;
 }
