--- a/packages/kelpspar-gateway/src/fleet/peer_router.ts
+++ b/packages/kelpspar-gateway/src/fleet/peer_router.ts
@@ -20,34 +20,34 @@
 import { followRequestSchema } from "../tables/table_changes.ts";
 import { fleetDigestSchema } from "./fleet_digest.ts";
 
-/** Answers other daemons. */
+/** Handlers of calls from other daemons. */
 export interface PeerHandlers {
   exchange(digest: FleetDigest): FleetDigest;
-  /** Where the daemons are that are known here. */
+  /** Addresses of the daemons that are known here. */
   addresses(): readonly DaemonAddress[];
   /** The configuration in force here. */
   configuration(): ServingConfiguration | undefined;
-  /** What is known here of the store's tables; waits until there is news. */
+  /** Returns changes of the store's tables; waits until there are any. */
   follow(request: FollowRequest, signal: AbortSignal): Promise<FollowAnswer>;
-  /** Takes crashes in; gives all that are known here. */
+  /** Merges a peer's crashes; returns all that are known here. */
   shareCrashes(page: CrashPage): CrashPage;
-  /** Takes in what endpoints say; gives all that is known here. */
+  /** Merges a peer's endpoint notices; returns all that are known here. */
   shareNotices(page: NoticePage): NoticePage;
-  /** Runs a chain of stages; `signal` ends it when the asker is gone. */
+  /** Runs a chain of stages; `signal` aborts it when the caller disconnects. */
   runChain(request: ChainRequest, signal: AbortSignal): Promise<ChainOutcome>;
   release(release: ChainRelease): void;
 }
 
-/** What a call from another daemon carries besides its input. */
+/** tRPC context of a call from another daemon. */
 export interface PeerCallContext {
   readonly handlers: PeerHandlers;
-  /** A signal that is aborted when the asker closes its connection. */
-  readonly gone: () => AbortSignal;
+  /** Creates a signal that aborts when the caller disconnects. */
+  readonly createDisconnectSignal: () => AbortSignal;
 }
 
 const chainSchema = z.object({
   attemptId: z.string(),
-  /** Daemons of the version before do not tell it. */
+  /** Daemons of the previous version don't send it. */
   kind: z.string().default(""),
   pieceKey: z.string(),
   stages: z.array(z.object({
@@ -76,7 +76,7 @@
   })),
 });
 
-// Otherwise failures carry the stack trace to whoever reaches the port.
+// In development mode errors would expose stack traces to any client.
 const trpc = initTRPC.context<PeerCallContext>().create({ isDev: false });
 
 /** The tRPC router that other daemons call. */
@@ -90,7 +90,7 @@
   ),
   follow: trpc.procedure.input(followRequestSchema).mutation((
     { ctx, input },
-  ) => ctx.handlers.follow(input, ctx.gone())),
+  ) => ctx.handlers.follow(input, ctx.createDisconnectSignal())),
   shareCrashes: trpc.procedure.input(crashMessageSchema).mutation((
     { ctx, input },
   ) => toCrashMessage(ctx.handlers.shareCrashes(fromCrashMessage(input)))),
@@ -98,7 +98,7 @@
     { ctx, input },
   ) => toNoticeMessage(ctx.handlers.shareNotices(fromNoticeMessage(input)))),
   runChain: trpc.procedure.input(chainSchema).mutation(({ ctx, input }) =>
-    ctx.handlers.runChain(input, ctx.gone())
+    ctx.handlers.runChain(input, ctx.createDisconnectSignal())
   ),
   release: trpc.procedure.input(releaseSchema).mutation(({ ctx, input }) => {
     ctx.handlers.release(input);
@@ -106,5 +106,5 @@
   }),
 });
 
-/** The type by which tRPC's client knows the router. */
+/** Router type for the tRPC client. */
 export type PeerRouter = typeof peerRouter;
--- a/packages/kelpspar-gateway/src/fleet/rank_by_cores.ts
+++ b/packages/kelpspar-gateway/src/fleet/rank_by_cores.ts
@@ -1,27 +1,27 @@
 import type { DaemonAddress } from "./fleet_digest.ts";
 import { RendezvousNodes } from "kelpspar-decisions/routing";
 
-/** Daemons whose share of a processor is this near the largest are alike. */
-const ALIKE_CORES_SHARE = 0.9;
+/** Daemons with at least this share of the largest core count rank as equal. */
+const SIMILAR_CORES_RATIO = 0.9;
 
 /**
- * Names of daemons, those with the largest share of a processor first, and
- * among these by the hash of `key`: all daemons rank them alike, and work that
- * one does for all falls on one that has room for it.
+ * Ranks daemons by name: those with the most cores first, and within each group
+ * by the rendezvous hash of `key`. All daemons compute the same order, and work
+ * that one daemon does for all goes to one with spare capacity.
  */
 export function rankByCores(
   key: string,
   addresses: readonly DaemonAddress[],
 ): readonly string[] {
-  const most = Math.max(...addresses.map((one) => one.cores));
-  const isLarge = (one: DaemonAddress): boolean =>
-    one.cores >= most * ALIKE_CORES_SHARE;
+  const largest = Math.max(...addresses.map((address) => address.cores));
+  const isLarge = (address: DaemonAddress): boolean =>
+    address.cores >= largest * SIMILAR_CORES_RATIO;
   const groups = [
     addresses.filter(isLarge),
-    addresses.filter((one) => !isLarge(one)),
+    addresses.filter((address) => !isLarge(address)),
   ];
   return groups.flatMap((group) => {
-    const ids = group.map((one) => one.daemonId);
+    const ids = group.map((address) => address.daemonId);
     return new RendezvousNodes(ids).best(key, ids.length);
   });
 }
--- a/packages/kelpspar-gateway/src/fleet/silent_connection_detector.ts
+++ b/packages/kelpspar-gateway/src/fleet/silent_connection_detector.ts
@@ -8,66 +8,66 @@
 }
 
 /**
- * An overdue answer gets this long once a newer connection was answered, ms:
- * a busy peer answers both at about the same time.
+ * Time that an overdue answer is given after an answer on a newer connection,
+ * because a busy peer answers on both at about the same time.
  */
-const GRACE_MILLISECONDS = 250;
-/** Beyond this an overdue call is not waited for, milliseconds. */
-const LONGEST_MILLISECONDS = 20_000;
+const OVERDUE_GRACE_MILLISECONDS = 250;
+/** An overdue connection is destroyed after this time in any case. */
+const MAXIMUM_OVERDUE_MILLISECONDS = 20_000;
 
 /**
- * Tells connections that fell silent for good from peers that are busy.
+ * Distinguishes dead connections from busy peers.
  *
- * What goes wrong: destroying a connection at the first overdue call ends the
- * chains of stages that run over it; they are asked for once more, of a
- * coordinator that was late since it had too much to do. It shows as
- * `coordinator lost … The client is destroyed` in a burst. So an overdue
- * connection only takes no more calls. It is destroyed when the peer has
- * answered on a newer one, and still not on it.
+ * Destroying a connection at the first overdue call would abort the chains of
+ * stages that run over it and send them again to a coordinator that is already
+ * overloaded; the log then shows a burst of `coordinator lost … The client is
+ * destroyed`. Therefore an overdue connection is only closed to new calls. It
+ * is destroyed when the peer has answered on a newer connection but still not
+ * on this one.
  */
-export class SilentConnections<Client> {
+export class SilentConnectionDetector<Client> {
   readonly #connections: PeerConnections<Client>;
   readonly #timer: TimerService;
-  readonly #overdue = new Set<OverdueConnection<Client>>();
+  readonly #stale = new Set<OverdueConnection<Client>>();
 
   constructor(connections: PeerConnections<Client>, timer: TimerService) {
     this.#connections = connections;
     this.#timer = timer;
   }
 
-  /** Takes in that a call is overdue whose `answer` may still come. */
-  overdue(
+  /** Records that a call is overdue; its `answer` may still arrive. */
+  reportOverdueCall(
     peer: string,
     connection: PeerConnection<Client>,
     answer: Promise<unknown>,
   ): void {
     this.#connections.retire(peer, connection);
-    const one = { peer, connection };
-    this.#overdue.add(one);
+    const entry = { peer, connection };
+    this.#stale.add(entry);
     const stopTimer = this.#timer.registerTimeout(
-      () => this.#destroy(one),
-      LONGEST_MILLISECONDS,
+      () => this.#destroy(entry),
+      MAXIMUM_OVERDUE_MILLISECONDS,
     );
     const settled = (): void => {
       stopTimer();
-      if (this.#overdue.delete(one)) this.#connections.closeRetired(connection);
+      if (this.#stale.delete(entry)) this.#connections.closeRetired(connection);
     };
     answer.then(settled, settled);
   }
 
-  /** Takes in that a peer answered. */
-  answered(peer: string, connection: PeerConnection<Client>): void {
-    const others = [...this.#overdue].filter((one) =>
-      one.peer === peer && one.connection !== connection
+  /** Records that a peer answered on `connection`. */
+  reportAnswer(peer: string, connection: PeerConnection<Client>): void {
+    const others = [...this.#stale].filter((entry) =>
+      entry.peer === peer && entry.connection !== connection
     );
     if (others.length === 0) return;
     this.#timer.registerTimeout(() => {
-      for (const one of others) this.#destroy(one);
-    }, GRACE_MILLISECONDS);
+      for (const entry of others) this.#destroy(entry);
+    }, OVERDUE_GRACE_MILLISECONDS);
   }
 
-  #destroy(one: OverdueConnection<Client>): void {
-    if (!this.#overdue.delete(one)) return;
-    this.#connections.drop(one.peer, one.connection);
+  #destroy(entry: OverdueConnection<Client>): void {
+    if (!this.#stale.delete(entry)) return;
+    this.#connections.drop(entry.peer, entry.connection);
   }
 }
--- a/packages/kelpspar-gateway/src/gateway_daemon.ts
+++ b/packages/kelpspar-gateway/src/gateway_daemon.ts
@@ -14,15 +14,18 @@
 import type { FollowClient } from "./tables/table_follower.ts";
 import { createServer } from "node:http";
 import { ConfigurationKeeper } from "./configuration/configuration_keeper.ts";
-import { EndpointGate } from "./endpoints/endpoint_rate_limiter.ts";
-import { EndpointBook } from "./endpoints/endpoint_registry.ts";
+import { EndpointRateLimiter } from "./endpoints/endpoint_rate_limiter.ts";
+import { EndpointRegistry } from "./endpoints/endpoint_registry.ts";
 import { EndpointLeavings } from "./endpoints/endpoint_leavings.ts";
 import { EndpointLimits } from "./endpoints/endpoint_limits.ts";
 import { createNoticeListener } from "./endpoints/notice_handlers.ts";
 import { NoticeSync } from "./endpoints/notice_sync.ts";
-import { Fleet } from "./fleet/fleet_gossip.ts";
+import { FleetGossip } from "./fleet/fleet_gossip.ts";
 import { FleetMembership } from "./fleet/fleet_membership.ts";
-import { PEER_IDLE_MILLISECONDS, PeerClient } from "./fleet/peer_client.ts";
+import {
+  PEER_IDLE_TIMEOUT_MILLISECONDS,
+  PeerClient,
+} from "./fleet/peer_client.ts";
 import { createPeerListener } from "./fleet/peer_listener.ts";
 import { FrontServer } from "./front/front_server.ts";
 import { listen } from "./front/listen.ts";
@@ -76,7 +79,7 @@
 /** One daemon: callers on one side, endpoints and other daemons on the other. */
 export class GatewayDaemon {
   readonly configuration = new ConfigurationKeeper();
-  readonly book = new EndpointBook();
+  readonly book = new EndpointRegistry();
   readonly limits = new EndpointLimits();
   readonly metrics = new GatewayMetrics();
   readonly anomalies: AnomalyLog;
@@ -87,7 +90,7 @@
   readonly #options: GatewayDaemonOptions;
   readonly #crashes: QuarantineParts;
   readonly #membership: FleetMembership;
-  readonly #fleet: Fleet;
+  readonly #fleet: FleetGossip;
   readonly #front: FrontServer;
   readonly #service: RequestService;
   readonly #coordinator: PieceCoordinator;
@@ -125,7 +128,7 @@
       peers,
       membership,
     });
-    const fleet = new Fleet({
+    const fleet = new FleetGossip({
       daemonId: self.daemonId,
       membership,
       peers,
@@ -145,8 +148,8 @@
         this.#chains.coordinator === self.daemonId ? 1 : membership.size + 1,
       daemon: () => membership.size + 1,
     };
-    const gate = (chooser: EndpointChooser): EndpointGate =>
-      new EndpointGate({
+    const gate = (chooser: EndpointChooser): EndpointRateLimiter =>
+      new EndpointRateLimiter({
         chooser,
         configuration,
         limits,
@@ -170,7 +173,7 @@
       timer,
       log,
       ownState: () => fleet.ownState,
-      probe: (peer) => fleet.greet([peer]),
+      probe: (peer) => fleet.exchangeWithAll([peer]),
     });
     const service = new RequestService({
       configuration,
@@ -215,16 +218,16 @@
       runChain: (request, signal) => coordinator.run(request, signal),
       release: (release) => coordinator.release(release),
     }));
-    this.#peerServer.keepAliveTimeout = PEER_IDLE_MILLISECONDS;
+    this.#peerServer.keepAliveTimeout = PEER_IDLE_TIMEOUT_MILLISECONDS;
     coordinator.register();
     options.notices.registerListener(
       createNoticeListener({
         ...options,
-        book,
+        registry: book,
         limits,
         leavings,
         anomalies: this.anomalies,
-        onNews: () => noticeSync.heard(),
+        onChange: () => noticeSync.shareLocalNotice(),
       }),
     );
   }
@@ -248,7 +251,7 @@
     if (this.#stopWatch !== undefined) return;
     const { timer, log } = this.#options;
     this.#stopWatch = timer.registerInterval(() => {
-      for (const endpoint of this.book.sweep(timer.now())) {
+      for (const endpoint of this.book.removeExpired(timer.now())) {
         log.info("endpoint given up", { endpoint });
       }
       if (this.book.hasMissing) return;
@@ -261,14 +264,14 @@
   learnDaemons(addresses: readonly DaemonAddress[]): void {
     const { timer, self } = this.#options;
     const others = addresses.filter((one) => one.daemonId !== self.daemonId);
-    for (const address of others) this.#membership.learn(address, timer.now());
-    this.#fleet.greetSome(others.map(({ peer }) => peer));
+    for (const address of others) this.#membership.add(address, timer.now());
+    this.#fleet.exchangeWithSome(others.map(({ peer }) => peer));
   }
 
   /** Exchanges digests with daemons that may be at `peers`. */
   greet(peers: readonly string[]): void {
     const { self } = this.#options;
-    this.#fleet.greet(peers.filter((peer) => peer !== self.peer));
+    this.#fleet.exchangeWithAll(peers.filter((peer) => peer !== self.peer));
   }
 
   /** Says that the list of endpoints was as the store has it at `at`. */
@@ -300,7 +303,7 @@
 
   /** Daemons that are heard, this one among them. */
   fleetSize(): number {
-    return this.#membership.heardLately(this.#options.timer.now()).length + 1;
+    return this.#membership.liveMembers(this.#options.timer.now()).length + 1;
   }
 
   /** True while callers may be sent here. */
@@ -349,7 +352,7 @@
   async stop(): Promise<void> {
     const { timer, graceMilliseconds } = this.#options;
     const startedAt = timer.now();
-    this.#fleet.leave();
+    this.#fleet.announceLeaving();
     this.#front.leave();
     const takingUntil = startedAt + graceMilliseconds * TAKING_SHARE;
     const endsAt = startedAt + graceMilliseconds - STOP_MARGIN_MILLISECONDS;
--- a/packages/kelpspar-gateway/src/mod.ts
+++ b/packages/kelpspar-gateway/src/mod.ts
@@ -1,4 +1,4 @@
-export type { ListTimes } from "./endpoints/list_timing.ts";
+export type { ListTiming } from "./endpoints/list_timing.ts";
 export type {
   CallerLimits,
   ClientAccount,
@@ -55,10 +55,10 @@
 } from "./tables/table_store.ts";
 export type { GatewayDaemonOptions } from "./gateway_daemon.ts";
 export { ConfigurationKeeper } from "./configuration/configuration_keeper.ts";
-export { EndpointBook } from "./endpoints/endpoint_registry.ts";
+export { EndpointRegistry } from "./endpoints/endpoint_registry.ts";
 export { EndpointNotices } from "./endpoints/endpoint_notices.ts";
-export { LapseWindow } from "./endpoints/missing_entry_grace_period.ts";
-export { listTimes } from "./endpoints/list_timing.ts";
+export { MissingEntryGracePeriod } from "./endpoints/missing_entry_grace_period.ts";
+export { computeListTiming } from "./endpoints/list_timing.ts";
 export { headerValue, passedHeaders } from "./exchange/connection_headers.ts";
 export { checkListening } from "./exchange/check_listening.ts";
 export { exchangeHttp } from "./exchange/http_exchange.ts";
--- a/packages/kelpspar-gateway/src/pieces/endpoint_lane.ts
+++ b/packages/kelpspar-gateway/src/pieces/endpoint_lane.ts
@@ -1,5 +1,5 @@
 import type { PieceTerms } from "../configuration/service_definition.ts";
-import type { EndpointGate } from "../endpoints/endpoint_rate_limiter.ts";
+import type { EndpointRateLimiter } from "../endpoints/endpoint_rate_limiter.ts";
 import type { EndpointState } from "../endpoints/endpoint_state.ts";
 import type { PieceResult } from "./chain_outcome.ts";
 import type { RunningCall } from "./running_call.ts";
@@ -24,10 +24,10 @@
   isRoomAsked = false;
   /** Set once the endpoint is gone; what it still answers is lost with it. */
   isGone = false;
-  readonly #gate: EndpointGate;
+  readonly #gate: EndpointRateLimiter;
   readonly #kept = new Map<string, KeptResult>();
 
-  constructor(endpoint: EndpointState, gate: EndpointGate) {
+  constructor(endpoint: EndpointState, gate: EndpointRateLimiter) {
     this.endpoint = endpoint;
     this.#gate = gate;
   }
@@ -35,8 +35,8 @@
   /** True when one more call may start. */
   isFree(terms: PieceTerms, now: number): boolean {
     return this.calls.size < terms.slots && this.pausedUntil <= now &&
-      this.endpoint.pauseLeft(now) === 0 &&
-      this.#gate.isOpen(this.endpoint, now);
+      this.endpoint.remainingPauseMilliseconds(now) === 0 &&
+      this.#gate.isWithinLimit(this.endpoint, now);
   }
 
   /** Time until one more call may start, milliseconds. */
@@ -45,7 +45,7 @@
     options: { readonly slowness: number; readonly now: number },
   ): number {
     const pause = Math.max(
-      this.endpoint.pauseLeft(options.now),
+      this.endpoint.remainingPauseMilliseconds(options.now),
       this.#gate.waitFor(this.endpoint, options.now),
     );
     if (this.calls.size < terms.slots) return pause;
@@ -69,7 +69,7 @@
   start(call: RunningCall, now: number): void {
     this.calls.add(call);
     this.endpoint.inFlight++;
-    this.#gate.chosen(this.endpoint, now);
+    this.#gate.recordRequest(this.endpoint, now);
   }
 
   /** Bytes free for results, those of running calls taken off. */
--- a/packages/kelpspar-gateway/src/pieces/piece_coordinator.ts
+++ b/packages/kelpspar-gateway/src/pieces/piece_coordinator.ts
@@ -1,10 +1,10 @@
 import type { TimerService } from "kelpspar-shared";
 import type { ConfigurationKeeper } from "../configuration/configuration_keeper.ts";
 import type {
-  EndpointBook,
   EndpointGoneCause,
+  EndpointRegistry,
 } from "../endpoints/endpoint_registry.ts";
-import type { EndpointGate } from "../endpoints/endpoint_rate_limiter.ts";
+import type { EndpointRateLimiter } from "../endpoints/endpoint_rate_limiter.ts";
 import type { GatewayLog } from "../log/gateway_log.ts";
 import type { ServiceRetryBudget } from "../retries/service_retry_budget.ts";
 import type { Placement } from "../placement/reader_place.ts";
@@ -41,10 +41,10 @@
 /** What a coordinator works with. */
 export interface PieceCoordinatorOptions {
   readonly configuration: ConfigurationKeeper;
-  readonly book: EndpointBook;
+  readonly book: EndpointRegistry;
   readonly client: PieceClient;
   /** For the endpoints at which it places requests. */
-  readonly gate: EndpointGate;
+  readonly gate: EndpointRateLimiter;
   readonly timer: TimerService;
   readonly budget: ServiceRetryBudget;
   readonly log: GatewayLog;
--- a/packages/kelpspar-gateway/src/pieces/service_desk.ts
+++ b/packages/kelpspar-gateway/src/pieces/service_desk.ts
@@ -111,7 +111,7 @@
   }
 
   get hasEndpoints(): boolean {
-    return this.#options.book.ofService(this.#options.service).length > 0;
+    return this.#options.book.availableFor(this.#options.service).length > 0;
   }
 
   /** Writes what waits and what is under way. */
@@ -205,7 +205,7 @@
 
   #wasReplaced(lane: EndpointLane, call: RunningCall): void {
     this.#log("endpoint replaced", lane, call);
-    this.#options.book.leave(lane.endpoint.entry);
+    this.#options.book.retire(lane.endpoint.entry);
     this.#repeats.again(call.tasks, "failed");
   }
 
@@ -277,7 +277,7 @@
       client,
       timer,
       onBirth: (bornAt) =>
-        book.heardBirth({ ...lane.endpoint.entry, bornAt }, timer.now()),
+        book.reportIncarnation({ ...lane.endpoint.entry, bornAt }, timer.now()),
       onOver: () => this.pump(),
     });
   }
--- a/packages/kelpspar-gateway/src/pieces/service_desk_options.ts
+++ b/packages/kelpspar-gateway/src/pieces/service_desk_options.ts
@@ -1,7 +1,7 @@
 import type { TimerService } from "kelpspar-shared";
 import type { PieceTerms } from "../configuration/service_definition.ts";
-import type { EndpointBook } from "../endpoints/endpoint_registry.ts";
-import type { EndpointGate } from "../endpoints/endpoint_rate_limiter.ts";
+import type { EndpointRegistry } from "../endpoints/endpoint_registry.ts";
+import type { EndpointRateLimiter } from "../endpoints/endpoint_rate_limiter.ts";
 import type { GatewayLog } from "../log/gateway_log.ts";
 import type { ServiceRetryBudget } from "../retries/service_retry_budget.ts";
 import type { PieceResult } from "./chain_outcome.ts";
@@ -20,8 +20,8 @@
 export interface ServiceDeskOptions {
   readonly service: string;
   readonly terms: PieceTerms;
-  readonly book: EndpointBook;
-  readonly gate: EndpointGate;
+  readonly book: EndpointRegistry;
+  readonly gate: EndpointRateLimiter;
   readonly client: PieceClient;
   readonly timer: TimerService;
   readonly budget: ServiceRetryBudget;
--- a/packages/kelpspar-gateway/src/pieces/service_lanes.ts
+++ b/packages/kelpspar-gateway/src/pieces/service_lanes.ts
@@ -1,22 +1,22 @@
 import type { PieceTerms } from "../configuration/service_definition.ts";
-import type { EndpointBook } from "../endpoints/endpoint_registry.ts";
-import type { EndpointGate } from "../endpoints/endpoint_rate_limiter.ts";
+import type { EndpointRegistry } from "../endpoints/endpoint_registry.ts";
+import type { EndpointRateLimiter } from "../endpoints/endpoint_rate_limiter.ts";
 import type { EndpointState } from "../endpoints/endpoint_state.ts";
 import type { PieceResult } from "./chain_outcome.ts";
-import { preferSound } from "../endpoints/prefer_healthy.ts";
+import { preferHealthy } from "../endpoints/prefer_healthy.ts";
 import { EndpointLane } from "./endpoint_lane.ts";
 
 /** What lanes are made with. */
 export interface ServiceLanesOptions {
-  readonly book: EndpointBook;
-  readonly gate: EndpointGate;
+  readonly book: EndpointRegistry;
+  readonly gate: EndpointRateLimiter;
   readonly service: string;
 }
 
 /** The endpoints of one stage service, as its desk uses them. */
 export class ServiceLanes {
-  readonly #book: EndpointBook;
-  readonly #gate: EndpointGate;
+  readonly #book: EndpointRegistry;
+  readonly #gate: EndpointRateLimiter;
   readonly #service: string;
   readonly #lanes = new Map<string, EndpointLane>();
 
@@ -31,8 +31,8 @@
    * paused ones only where all are, so that their pauses can be waited for.
    */
   usable(now: number): readonly EndpointLane[] {
-    const all = this.#book.ofService(this.#service);
-    const best = preferSound(all, now);
+    const all = this.#book.availableFor(this.#service);
+    const best = preferHealthy(all, now);
     return (best.length > 0 ? best : all).map((one) => this.#laneOf(one));
   }
 
--- a/packages/kelpspar-gateway/src/placement/reader_placement.ts
+++ b/packages/kelpspar-gateway/src/placement/reader_placement.ts
@@ -1,14 +1,14 @@
 import type { TimerService } from "kelpspar-shared";
 import type { ConfigurationKeeper } from "../configuration/configuration_keeper.ts";
-import type { EndpointGate } from "../endpoints/endpoint_rate_limiter.ts";
-import type { EndpointBook } from "../endpoints/endpoint_registry.ts";
+import type { EndpointRateLimiter } from "../endpoints/endpoint_rate_limiter.ts";
+import type { EndpointRegistry } from "../endpoints/endpoint_registry.ts";
 import type { EndpointState } from "../endpoints/endpoint_state.ts";
 import type { PieceResult } from "../pieces/chain_outcome.ts";
 import type { PromptPart } from "../requests/serving_request.ts";
 import type { ReaderCandidate } from "./choose_reader.ts";
 import type { EndpointMemory } from "./endpoint_memory.ts";
 import type { ChainReader, Placement } from "./reader_place.ts";
-import { preferSound } from "../endpoints/prefer_healthy.ts";
+import { preferHealthy } from "../endpoints/prefer_healthy.ts";
 import { promptAffinity } from "../requests/prompt_affinity.ts";
 import { chooseReader } from "./choose_reader.ts";
 import { likelyTokens } from "./likely_tokens.ts";
@@ -25,8 +25,8 @@
 /** What readers are placed with. */
 export interface ReaderPlacementOptions {
   readonly configuration: ConfigurationKeeper;
-  readonly book: EndpointBook;
-  readonly gate: EndpointGate;
+  readonly book: EndpointRegistry;
+  readonly gate: EndpointRateLimiter;
   readonly timer: TimerService;
 }
 
@@ -68,11 +68,11 @@
     const { book, gate, timer } = this.#options;
     const now = timer.now();
     const promptTokens = sumTokens(reader.promptParts);
-    const all = book.ofService(reader.service);
-    const usable = preferSound(all, now);
+    const all = book.availableFor(reader.service);
+    const usable = preferHealthy(all, now);
     if (usable.length === 0) return { type: "no_endpoint" };
-    const open = preferSound(
-      all.filter((endpoint) => gate.isOpen(endpoint, now)),
+    const open = preferHealthy(
+      all.filter((endpoint) => gate.isWithinLimit(endpoint, now)),
       now,
     );
     if (open.length === 0) {
@@ -104,7 +104,7 @@
       return { type: "no_endpoint" };
     }
     const limitPerSecond = gate.limitOf(chosen, now);
-    gate.chosen(chosen, now);
+    gate.recordRequest(chosen, now);
     const holderId = place.promptSourceId ?? place.endpointId;
     const kept = candidates.find((one) => one.endpointId === holderId)
       ?.heldTokens ?? 0;
@@ -124,7 +124,7 @@
   waitBehind(service: string, ahead: number): number {
     const { book, gate, timer } = this.#options;
     const now = timer.now();
-    const usable = preferSound(book.ofService(service), now);
+    const usable = preferHealthy(book.availableFor(service), now);
     let perSecond = 0;
     for (const endpoint of usable) {
       const rate = gate.rateOf(endpoint, now);
@@ -143,7 +143,10 @@
   zoneOfHolder(reader: ChainReader | undefined): string | undefined {
     if (reader === undefined) return undefined;
     const { book, timer } = this.#options;
-    const endpoints = preferSound(book.ofService(reader.service), timer.now());
+    const endpoints = preferHealthy(
+      book.availableFor(reader.service),
+      timer.now(),
+    );
     let zone: string | undefined;
     let most = 0;
     for (const belief of this.#beliefsOf(reader, endpoints)) {
--- a/packages/kelpspar-gateway/src/quarantine/quarantine_sync.ts
+++ b/packages/kelpspar-gateway/src/quarantine/quarantine_sync.ts
@@ -4,7 +4,7 @@
 import type { PeerClient } from "../fleet/peer_client.ts";
 import type { GatewayLog } from "../log/gateway_log.ts";
 import type { Quarantine, QuarantineSource } from "./quarantine.ts";
-import { KnowledgeSync } from "../fleet/gossip_sync.ts";
+import { GossipSync } from "../fleet/gossip_sync.ts";
 
 /** Daemons that are told at once, by the source of the news. */
 const PEERS_TOLD: Readonly<Record<QuarantineSource, number>> = {
@@ -24,7 +24,7 @@
 }
 
 /** Keeps all daemons at the same knowledge of crashes. */
-export class QuarantineSync extends KnowledgeSync<CrashPage> {
+export class QuarantineSync extends GossipSync<CrashPage> {
   readonly #quarantine: Quarantine;
 
   constructor(options: QuarantineSyncOptions) {
@@ -32,12 +32,12 @@
     super({
       ...options,
       name: "crashes",
-      knowledge: {
+      gossipState: {
         get checksum() {
           return quarantine.checksum;
         },
         page: () => quarantine.page(),
-        take: (page) => void quarantine.take(page, "daemon"),
+        merge: (page) => void quarantine.take(page, "daemon"),
       },
       share: (peer, page) => peers.shareCrashes(peer, page),
     });
@@ -47,7 +47,7 @@
   /** Tells others of news; returns the teardown. */
   register(): () => void {
     return this.#quarantine.registerListener((source) =>
-      this.tellSome(PEERS_TOLD[source])
+      this.shareWithSome(PEERS_TOLD[source])
     );
   }
 }
--- a/packages/kelpspar-gateway/src/requests/chain_client.ts
+++ b/packages/kelpspar-gateway/src/requests/chain_client.ts
@@ -7,7 +7,7 @@
 import type { ChainOutcome } from "../pieces/chain_outcome.ts";
 import type { ChainRelease, ChainRequest } from "../pieces/chain_request.ts";
 import type { PieceCoordinator } from "../pieces/piece_coordinator.ts";
-import { isRefused } from "../fleet/is_connection_refused.ts";
+import { isConnectionRefused } from "../fleet/is_connection_refused.ts";
 
 /** The one key by which all daemons rank the coordinators of stages. */
 const COORDINATOR_KEY = "stages";
@@ -102,7 +102,9 @@
   release(release: ChainRelease): void {
     const { daemonId, local, membership, peers } = this.#options;
     const first = this.#candidates()[0];
-    const address = first === undefined ? undefined : membership.find(first);
+    const address = first === undefined
+      ? undefined
+      : membership.findAddress(first);
     if (first === daemonId || address === undefined) {
       local.release(release);
       return;
@@ -131,7 +133,7 @@
     const { membership, timer } = this.#options;
     const isSettled = (): boolean =>
       timer.now() - this.#startedAt >= SETTLE_MILLISECONDS ||
-      membership.heardLately(timer.now()).length > 0;
+      membership.liveMembers(timer.now()).length > 0;
     while (!isSettled()) {
       await new Promise<void>((resolve) =>
         timer.registerTimeout(resolve, SETTLE_CHECK_MILLISECONDS)
@@ -141,7 +143,7 @@
 
   #candidates(): readonly string[] {
     const { daemonId, membership, timer, ownState } = this.#options;
-    const ranked = membership.ranked(COORDINATOR_KEY, {
+    const ranked = membership.rankedDaemons(COORDINATOR_KEY, {
       now: timer.now(),
       own: ownState(),
     });
@@ -156,14 +158,14 @@
     gone: AbortSignal,
   ): Promise<ChainOutcome | undefined> {
     const { membership, peers, timer, log } = this.#options;
-    const address = membership.find(daemonId);
+    const address = membership.findAddress(daemonId);
     if (address === undefined) return undefined;
     const abort = new AbortController();
     const stop = (): void => abort.abort();
     gone.addEventListener("abort", stop, { once: true });
     const stopWatch = timer.registerInterval(() => {
       const now = timer.now();
-      const silence = membership.silenceOf(daemonId, now);
+      const silence = membership.silenceMillisecondsOf(daemonId, now);
       if (membership.isStalled(daemonId, now)) stop();
       else if (silence > PROBE_MILLISECONDS) this.#options.probe(address.peer);
     }, WATCH_MILLISECONDS);
@@ -171,8 +173,8 @@
       return await peers.runChain(address.peer, request, abort.signal);
     } catch (error) {
       if (!gone.aborted) {
-        membership.doubt(address.peer, {
-          isRefused: isRefused(error),
+        membership.reportFailedCall(address.peer, {
+          isRefused: isConnectionRefused(error),
           now: timer.now(),
         });
         log.warn("coordinator lost", {
--- a/packages/kelpspar-gateway/src/requests/choose_for_request.ts
+++ b/packages/kelpspar-gateway/src/requests/choose_for_request.ts
@@ -15,7 +15,7 @@
   const { book, gate, timer } = options.parts;
   const find = (id: string | undefined): EndpointState | undefined => {
     const found = id === undefined ? undefined : book.find(id);
-    return found?.isSound(timer.now()) === true ? found : undefined;
+    return found?.isHealthy(timer.now()) === true ? found : undefined;
   };
   const endpoint = find(place.endpointId);
   if (endpoint === undefined) return undefined;
@@ -55,14 +55,14 @@
   const { book, gate } = parts;
   const now = parts.timer.now();
   const choice = chooseEndpoint({
-    endpoints: book.ofService(service),
+    endpoints: book.availableFor(service),
     tried,
     zone: parts.zone,
     affinity: affinityOf(run),
     random: parts.random,
     now,
-    isOpen: (endpoint) => gate.isOpen(endpoint, now),
+    isWithinLimit: (endpoint) => gate.isWithinLimit(endpoint, now),
   });
-  if (choice !== undefined) gate.chosen(choice.endpoint, now);
+  if (choice !== undefined) gate.recordRequest(choice.endpoint, now);
   return choice;
 }
--- a/packages/kelpspar-gateway/src/requests/endpoint_sender.ts
+++ b/packages/kelpspar-gateway/src/requests/endpoint_sender.ts
@@ -45,8 +45,9 @@
   get hasLimited(): boolean {
     const { parts, service } = this.#run.options;
     const now = parts.timer.now();
-    return parts.book.ofService(service).some((one) =>
-      !this.#tried.has(one.entry.id) && one.pauseLeft(now) === 0 &&
+    return parts.book.availableFor(service).some((one) =>
+      !this.#tried.has(one.entry.id) &&
+      one.remainingPauseMilliseconds(now) === 0 &&
       parts.gate.limitOf(one, now) !== undefined
     );
   }
--- a/packages/kelpspar-gateway/src/requests/limited_trials.ts
+++ b/packages/kelpspar-gateway/src/requests/limited_trials.ts
@@ -1,13 +1,13 @@
-import type { EndpointBook } from "../endpoints/endpoint_registry.ts";
-import type { EndpointGate } from "../endpoints/endpoint_rate_limiter.ts";
+import type { EndpointRegistry } from "../endpoints/endpoint_registry.ts";
+import type { EndpointRateLimiter } from "../endpoints/endpoint_rate_limiter.ts";
 
 /** How often a daemon asks for a service, milliseconds. */
 const TRIAL_MILLISECONDS = 1_000;
 
 /** What trials are decided from. */
 export interface LimitedTrialsOptions {
-  readonly book: Pick<EndpointBook, "ofService">;
-  readonly gate: Pick<EndpointGate, "limitOf">;
+  readonly book: Pick<EndpointRegistry, "availableFor">;
+  readonly gate: Pick<EndpointRateLimiter, "limitOf">;
 }
 
 /**
@@ -28,7 +28,7 @@
     const triedAt = this.#triedAt.get(service) ?? Number.NEGATIVE_INFINITY;
     if (now - triedAt < TRIAL_MILLISECONDS) return false;
     const { book, gate } = this.#options;
-    const hasLimited = book.ofService(service)
+    const hasLimited = book.availableFor(service)
       .some((endpoint) => gate.limitOf(endpoint, now) !== undefined);
     if (hasLimited) this.#triedAt.set(service, now);
     return hasLimited;
--- a/packages/kelpspar-gateway/src/requests/request_dispatch.ts
+++ b/packages/kelpspar-gateway/src/requests/request_dispatch.ts
@@ -2,7 +2,7 @@
 import type { EndpointRefusal } from "./endpoint_call.ts";
 import type { RequestRun } from "./request_run.ts";
 import type { Answered, Sent } from "./sent.ts";
-import { pauseOfAll } from "../endpoints/shortest_pause.ts";
+import { shortestPause } from "../endpoints/shortest_pause.ts";
 import { EndpointSender } from "./endpoint_sender.ts";
 import { findPlace } from "./find_place.ts";
 import { readBody } from "./read_body.ts";
@@ -105,7 +105,10 @@
 
   #noEndpoint(): DispatchEnd {
     const { parts, service } = this.#run.options;
-    const pause = pauseOfAll(parts.book.ofService(service), this.#run.now());
+    const pause = shortestPause(
+      parts.book.availableFor(service),
+      this.#run.now(),
+    );
     if (pause === 0 && this.#sender.hasLimited) {
       const wait = this.#run.placeWait ?? 0;
       this.giveUp(
@@ -146,7 +149,7 @@
     > = {
       full: () => "again",
       replaced: () => {
-        book.leave(sent.endpoint.entry);
+        book.retire(sent.endpoint.entry);
         return "again";
       },
       input_gone: () => "input_gone",
--- a/packages/kelpspar-gateway/src/requests/request_parts.ts
+++ b/packages/kelpspar-gateway/src/requests/request_parts.ts
@@ -1,7 +1,7 @@
 import type { RandomSource, TimerService } from "kelpspar-shared";
 import type { ConfigurationKeeper } from "../configuration/configuration_keeper.ts";
-import type { EndpointGate } from "../endpoints/endpoint_rate_limiter.ts";
-import type { EndpointBook } from "../endpoints/endpoint_registry.ts";
+import type { EndpointRateLimiter } from "../endpoints/endpoint_rate_limiter.ts";
+import type { EndpointRegistry } from "../endpoints/endpoint_registry.ts";
 import type { GatewayLog } from "../log/gateway_log.ts";
 import type { GatewayMetrics } from "../metrics/gateway_metrics.ts";
 import type { CrashWatch } from "../quarantine/crash_watch.ts";
@@ -14,10 +14,10 @@
 /** What requests are served with. */
 export interface RequestParts {
   readonly configuration: ConfigurationKeeper;
-  readonly book: EndpointBook;
+  readonly book: EndpointRegistry;
   readonly endpoints: EndpointClient;
   /** For the endpoints that this daemon chooses itself. */
-  readonly gate: EndpointGate;
+  readonly gate: EndpointRateLimiter;
   readonly chains: ChainRunner;
   readonly budget: ServiceRetryBudget;
   readonly crashes: Pick<CrashWatch, "cut">;
--- a/packages/kelpspar-gateway/src/requests/request_service.ts
+++ b/packages/kelpspar-gateway/src/requests/request_service.ts
@@ -5,7 +5,7 @@
 import type { RequestParts } from "./request_parts.ts";
 import type { OwnAnswer, RequestReply } from "./request_reply.ts";
 import type { ServingRequest } from "./serving_request.ts";
-import { pauseOfAll } from "../endpoints/shortest_pause.ts";
+import { shortestPause } from "../endpoints/shortest_pause.ts";
 import { chainOf, readerOf, stagesOf } from "./chain_of_request.ts";
 import { chooseTarget } from "./choose_target.ts";
 import { findPlace } from "./find_place.ts";
@@ -223,7 +223,7 @@
 ): { reason: string; retryAfterMilliseconds: number } | undefined {
   const { parts, service, route } = run.options;
   const { book } = parts;
-  const endpoints = book.ofService(service);
+  const endpoints = book.availableFor(service);
   // A book without any endpoint is one that hasn't been read yet.
   if (endpoints.length === 0 && book.size > 0) {
     return {
@@ -231,7 +231,7 @@
       retryAfterMilliseconds: NO_ENDPOINT_RETRY_MILLISECONDS,
     };
   }
-  const pause = pauseOfAll(endpoints, run.now());
+  const pause = shortestPause(endpoints, run.now());
   const hasPieces = stagesOf(run).some(({ pieces }) => pieces > 0);
   const mayWait = hasPieces ? route.objectiveMilliseconds : 0;
   if (pause <= mayWait) return undefined;
--- a/packages/kelpspar-gateway/src/tables/shared_tables.ts
+++ b/packages/kelpspar-gateway/src/tables/shared_tables.ts
@@ -1,5 +1,5 @@
 import type { RandomSource, TimerService } from "kelpspar-shared";
-import type { LapseWindow } from "../endpoints/missing_entry_grace_period.ts";
+import type { MissingEntryGracePeriod } from "../endpoints/missing_entry_grace_period.ts";
 import type { AnomalyLog } from "../log/anomaly_log.ts";
 import type { GatewayLog } from "../log/gateway_log.ts";
 import type { ReadingPlan } from "./reading_plan.ts";
@@ -51,7 +51,7 @@
   readonly log: GatewayLog;
   readonly anomalies: Pick<AnomalyLog, "note">;
   /** Decides whether a missing entry lapsed or its endpoint has left. */
-  readonly lapses: LapseWindow;
+  readonly lapses: MissingEntryGracePeriod;
   /** Undefined where the bounds leave no time to pass tables on. */
   readonly relayTimes: RelayTimes | undefined;
   readonly client: FollowClient;
--- a/packages/kelpspar-gateway/src/tables/table_relay.ts
+++ b/packages/kelpspar-gateway/src/tables/table_relay.ts
@@ -1,5 +1,5 @@
 import type { TimerService } from "kelpspar-shared";
-import type { LapseWindow } from "../endpoints/missing_entry_grace_period.ts";
+import type { MissingEntryGracePeriod } from "../endpoints/missing_entry_grace_period.ts";
 import type { ListFreshness } from "./list_freshness.ts";
 import type { StoreEra } from "./store_era.ts";
 import type { FollowAnswer, FollowRequest } from "./table_changes.ts";
@@ -10,7 +10,7 @@
   readonly mirrors: ReadonlyMap<string, TableMirror>;
   readonly era: StoreEra;
   readonly freshness: ListFreshness;
-  readonly lapses: LapseWindow;
+  readonly lapses: MissingEntryGracePeriod;
   readonly timer: TimerService;
 }
 
@@ -80,7 +80,7 @@
       era: era.current ?? null,
       isFresh: this.#isFresh && tables.length === asked.length,
       ageMilliseconds: Number.isFinite(age) ? age : Number.MAX_SAFE_INTEGER,
-      lapseMilliseconds: Math.max(0, (lapses.heldUntil(now) ?? now) - now),
+      lapseMilliseconds: Math.max(0, (lapses.endsAt(now) ?? now) - now),
       tables,
     };
   }
--- a/packages/kelpspar-scenarios/src/guards/guards.ts
+++ b/packages/kelpspar-scenarios/src/guards/guards.ts
@@ -23,28 +23,30 @@
   {
     name: "leaving is final",
     file: `${GATEWAY}/endpoints/endpoint_registry.ts`,
-    code: "if (bornAt === left) return this.#putAgain(entry, now);",
+    code:
+      "if (bornAt === retiredBornAt) return this.#upsertRetired(entry, now);",
     without: "",
     noticedBy: `${GATEWAY_TESTS}/endpoint_book_test.ts`,
   },
   {
     name: "an entry that stays missing is gone",
     file: `${GATEWAY}/endpoints/endpoint_registry.ts`,
-    code: "lapsesAt !== undefined && lapsesAt <= now",
-    without: "lapsesAt !== undefined && lapsesAt < 0",
+    code: "expiresAt !== undefined && expiresAt <= now",
+    without: "expiresAt !== undefined && expiresAt < 0",
     noticedBy: `${GATEWAY_TESTS}/endpoint_book_test.ts`,
   },
   {
     name: "a removal is believed no longer than the bound of leaving",
     file: `${GATEWAY}/endpoints/missing_entry_grace_period.ts`,
-    code: "Math.min(BACK_MILLISECONDS, drainMilliseconds - sendMilliseconds)",
-    without: "BACK_MILLISECONDS",
+    code:
+      "Math.min(REAPPEARANCE_MILLISECONDS, drainMilliseconds - sendMilliseconds)",
+    without: "REAPPEARANCE_MILLISECONDS",
     noticedBy: `${GATEWAY_TESTS}/lapse_window_test.ts`,
   },
   {
     name: "a return that was noticed late counts from the last failed call",
     file: `${GATEWAY}/endpoints/missing_entry_grace_period.ts`,
-    code: "awayAt + contactMilliseconds - sendMilliseconds,",
+    code: "unavailableAt + contactMilliseconds - sendMilliseconds,",
     without: "",
     noticedBy: `${GATEWAY_TESTS}/lapse_window_test.ts`,
   },
@@ -58,8 +60,8 @@
   {
     name: "a call for the list waits no longer than the bounds allow",
     file: `${GATEWAY}/endpoints/list_timing.ts`,
-    code: "Math.min(left, LONGEST_WAIT_MILLISECONDS)",
-    without: "LONGEST_WAIT_MILLISECONDS",
+    code: "Math.min(left, MAXIMUM_WAIT_MILLISECONDS)",
+    without: "MAXIMUM_WAIT_MILLISECONDS",
     noticedBy: `${GATEWAY_TESTS}/list_times_test.ts`,
   },
   {
@@ -170,22 +172,23 @@
   {
     name: "a life that ended isn't taken up again",
     file: `${GATEWAY}/fleet/fleet_membership.ts`,
-    code: "if (record.retired.has(incarnation)) return;",
+    code: "if (record.retiredIncarnations.has(incarnation)) return;",
     without: "",
     noticedBy: `${GATEWAY_TESTS}/fleet_membership_test.ts`,
   },
   {
     name: "a daemon that stood still counts silence anew",
     file: `${GATEWAY}/fleet/fleet_membership.ts`,
-    code: "if (gap > PAUSE_MILLISECONDS) this.#countSilenceFrom(now);",
+    code: "if (gap > PROCESS_PAUSE_MILLISECONDS) this.#countSilenceFrom(now);",
     without: "",
     noticedBy: `${GATEWAY_TESTS}/fleet_membership_test.ts`,
   },
   {
     name: "few are greeted in a large fleet",
     file: `${GATEWAY}/fleet/fleet_gossip.ts`,
-    code: "this.greet(peers.filter(() => random.next() < share));",
-    without: "this.greet(peers.filter(() => random.next() < 1 + share));",
+    code: "this.exchangeWithAll(peers.filter(() => random.next() < share));",
+    without:
+      "this.exchangeWithAll(peers.filter(() => random.next() < 1 + share));",
     noticedBy: `${GATEWAY_TESTS}/fleet_test.ts`,
   },
   {
@@ -198,7 +201,7 @@
   {
     name: "word of an earlier life doesn't count",
     file: `${GATEWAY}/endpoints/endpoint_registry.ts`,
-    code: 'if (bornAt < lastBorn) return "earlier_life";',
+    code: 'if (bornAt < latestBornAt) return "earlier_life";',
     without: "",
     noticedBy: `${GATEWAY_TESTS}/endpoint_book_test.ts`,
   },
@@ -275,7 +278,8 @@
   {
     name: "an entry that a copy lost is held while the store is away",
     file: "platform/src/runner_list.ts",
-    code: "for (const id of this.#lost) daemon.book.hold(id, until);",
+    code:
+      "for (const id of this.#lost) daemon.book.extendGracePeriod(id, until);",
     without: "",
     noticedBy: `${PLATFORM_TESTS}/store_restore_test.ts`,
   },
--- a/packages/kelpspar-scenarios/src/guards/notice_guards.ts
+++ b/packages/kelpspar-scenarios/src/guards/notice_guards.ts
@@ -8,15 +8,16 @@
   {
     name: "a named limit binds",
     file: `${GATEWAY}/endpoints/endpoint_rate_limiter.ts`,
-    code: "if (named === undefined) return cold;",
-    without: "if (named !== cold) return cold;",
+    code: "if (reported === undefined) return cold;",
+    without: "if (reported !== cold) return cold;",
     noticedBy: `${TESTS}/limited_load_test.ts`,
   },
   {
     name: "an endpoint that takes nothing is asked now and then",
     file: `${GATEWAY}/endpoints/endpoint_rate_limiter.ts`,
-    code: "return Math.max(LEAST_PER_SECOND, Math.min(named, cold ?? named));",
-    without: "return Math.min(named, cold ?? named);",
+    code:
+      "return Math.max(\n      MINIMUM_REQUESTS_PER_SECOND,\n      Math.min(reported, cold ?? reported),\n    );",
+    without: "return Math.min(reported, cold ?? reported);",
     noticedBy: `${TESTS}/limited_load_test.ts`,
   },
   {
@@ -29,7 +30,7 @@
   {
     name: "calls with pieces count",
     file: `${GATEWAY}/pieces/endpoint_lane.ts`,
-    code: "this.#gate.chosen(this.endpoint, now);",
+    code: "this.#gate.recordRequest(this.endpoint, now);",
     without: "",
     noticedBy: `${TESTS}/limited_chains_test.ts`,
   },
@@ -57,21 +58,21 @@
   {
     name: "the lower limit of the same time counts",
     file: `${GATEWAY}/endpoints/endpoint_limits.ts`,
-    code: "return (word.perSecond ?? none) < (known.perSecond ?? none);",
-    without: "return word.at > known.at;",
+    code: "return (report.perSecond ?? none) < (known.perSecond ?? none);",
+    without: "return report.at > known.at;",
     noticedBy: `${TESTS}/endpoint_limits_test.ts`,
   },
   {
     name: "an unreadable limit is presumed",
     file: `${GATEWAY}/endpoints/endpoint_limits.ts`,
-    code: "this.of(life) ?? PRESUMED_PER_SECOND",
-    without: "this.of(life)",
+    code: "this.limitOf(incarnation) ?? UNREADABLE_LIMIT_REQUESTS_PER_SECOND",
+    without: "this.limitOf(incarnation)",
     noticedBy: `${TESTS}/endpoint_limits_test.ts`,
   },
   {
     name: "leaving told to one daemon holds for others",
     file: `${GATEWAY}/endpoints/notice_handlers.ts`,
-    code: 'book.leave(life, "leaving");\n    log',
+    code: 'registry.retire(incarnation, "leaving");\n    log',
     without: "log",
     noticedBy: `${TESTS}/notice_handlers_test.ts`,
   },
--- a/packages/kelpspar-scenarios/src/guards/quarantine_guards.ts
+++ b/packages/kelpspar-scenarios/src/guards/quarantine_guards.ts
@@ -65,21 +65,23 @@
   {
     name: "leaving counts for an endpoint that isn't in use",
     file: `${GATEWAY}/endpoints/notice_handlers.ts`,
-    code: "book.leave({ id, bornAt: life },",
-    without: "if (known !== undefined) book.leave({ id, bornAt: life },",
+    code: "registry.retire({ id, bornAt: startedAt },",
+    without:
+      "if (known !== undefined) registry.retire({ id, bornAt: startedAt },",
     noticedBy: `${GATEWAY_TESTS}/notice_handlers_test.ts`,
   },
   {
     name: "a pause keeps an endpoint out of the choice",
     file: `${GATEWAY}/endpoints/prefer_healthy.ts`,
-    code: "endpoints.filter((one) => one.pauseLeft(now) === 0)",
+    code:
+      "endpoints.filter((endpoint) =>\n    endpoint.remainingPauseMilliseconds(now) === 0\n  )",
     without: "endpoints",
     noticedBy: `${GATEWAY_TESTS}/notice_handlers_test.ts`,
   },
   {
     name: "a pause has a longest length",
     file: `${GATEWAY}/endpoints/notice_handlers.ts`,
-    code: "Math.min(milliseconds, LONGEST_PAUSE_MILLISECONDS)",
+    code: "Math.min(milliseconds, MAXIMUM_PAUSE_MILLISECONDS)",
     without: "milliseconds",
     noticedBy: `${GATEWAY_TESTS}/notice_handlers_test.ts`,
   },
