--- a/packages/kelpspar-gateway/src/__tests__/support/request_world.ts
+++ b/packages/kelpspar-gateway/src/__tests__/support/request_world.ts
@@ -16,8 +16,8 @@
 import { ManualTimer, SeededRandom } from "kelpspar-shared";
 import { Readable } from "node:stream";
 import { ActiveConfiguration } from "../../configuration/active_configuration.ts";
-import { EndpointGate } from "../../endpoints/endpoint_rate_limiter.ts";
-import { EndpointBook } from "../../endpoints/endpoint_registry.ts";
+import { EndpointRateLimiter } from "../../endpoints/endpoint_rate_limiter.ts";
+import { EndpointRegistry } from "../../endpoints/endpoint_registry.ts";
 import { EndpointLimits } from "../../endpoints/endpoint_limits.ts";
 import { GatewayMetrics } from "../../metrics/gateway_metrics.ts";
 import { CrashDetector } from "../../quarantine/crash_detector.ts";
@@ -97,7 +97,7 @@
   readonly timer: ManualTimer;
   readonly service: RequestService;
   readonly reply: RecordedReply;
-  readonly registry: EndpointBook;
+  readonly registry: EndpointRegistry;
   readonly endpointCalls: EndpointCall[];
   readonly releasedHandles: string[];
   readonly quarantine: Quarantine;
@@ -137,9 +137,9 @@
   if (options.isConfigured !== false) {
     configuration.applyIfNewer(initialConfiguration);
   }
-  const endpointRegistry = new EndpointBook();
+  const endpointRegistry = new EndpointRegistry();
   for (const id of ["i1", "i2", "i3"]) {
-    endpointRegistry.put({
+    endpointRegistry.upsert({
       id,
       bornAt: 0,
       service: "model",
@@ -172,7 +172,7 @@
     configuration,
     endpointRegistry,
     endpoints,
-    gate: new EndpointGate({
+    gate: new EndpointRateLimiter({
       chooser: "daemon",
       limits: options.limits ?? new EndpointLimits(),
       configuration,
--- a/packages/kelpspar-gateway/src/__tests__/unit/chain_client_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/chain_client_test.ts
@@ -37,10 +37,10 @@
   };
   const address = { peer: "10.0.0.2:1" };
   const membership = {
-    ranked: () => [...heardDaemons, "self"],
-    heardLately: () => heardDaemons,
-    find: () => address,
-    silenceOf: () => 0,
+    rankedDaemons: () => [...heardDaemons, "self"],
+    liveMembers: () => heardDaemons,
+    findAddress: () => address,
+    silenceMillisecondsOf: () => 0,
     isStalled: () => false,
   } as unknown as FleetMembership;
   const client = new ChainClient({
--- a/packages/kelpspar-gateway/src/__tests__/unit/limited_endpoint_probes_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/limited_endpoint_probes_test.ts
@@ -1,13 +1,13 @@
 import { expect } from "earl";
 import { test } from "node:test";
-import { EndpointBook } from "../../endpoints/endpoint_registry.ts";
+import { EndpointRegistry } from "../../endpoints/endpoint_registry.ts";
 import { LimitedEndpointProbes } from "../../requests/limited_endpoint_probes.ts";
 
 // Guards against an endpoint that stays unused long after its limit ended.
 test("a service with a limited endpoint is probed once a second", () => {
-  const endpointRegistry = new EndpointBook();
+  const endpointRegistry = new EndpointRegistry();
   for (const id of ["i1", "i2"]) {
-    endpointRegistry.put({
+    endpointRegistry.upsert({
       id,
       bornAt: 1,
       service: "plain",
--- a/packages/kelpspar-gateway/src/__tests__/unit/piece_coordinator_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/piece_coordinator_test.ts
@@ -8,9 +8,9 @@
 import { ManualTimer, SeededRandom } from "kelpspar-shared";
 import { test } from "node:test";
 import { ActiveConfiguration } from "../../configuration/active_configuration.ts";
-import { EndpointGate } from "../../endpoints/endpoint_rate_limiter.ts";
+import { EndpointRateLimiter } from "../../endpoints/endpoint_rate_limiter.ts";
 import { EndpointLimits } from "../../endpoints/endpoint_limits.ts";
-import { EndpointBook } from "../../endpoints/endpoint_registry.ts";
+import { EndpointRegistry } from "../../endpoints/endpoint_registry.ts";
 import { PieceCoordinator } from "../../pieces/piece_coordinator.ts";
 import { ServiceRetryBudget } from "../../retries/service_retry_budget.ts";
 
@@ -77,7 +77,7 @@
 interface World {
   readonly timer: ManualTimer;
   readonly client: ManualPieceClient;
-  readonly book: EndpointBook;
+  readonly book: EndpointRegistry;
   readonly run: (attemptId: string, pieces: readonly number[]) => void;
   /** Outcomes of chains by attempt. */
   readonly outcomes: ReadonlyMap<string, string>;
@@ -86,7 +86,7 @@
 function createWorld(room = 10_000): World {
   const timer = new ManualTimer();
   const client = new ManualPieceClient();
-  const book = new EndpointBook();
+  const book = new EndpointRegistry();
   const configuration = new ActiveConfiguration();
   const services = { encode: terms(1, room), rerank: terms(6, room) };
   configuration.applyIfNewer({
@@ -106,7 +106,7 @@
     accounts: undefined,
   });
   for (const id of ["encode-0", "encode-1", "rerank-0"]) {
-    book.put({
+    book.upsert({
       id,
       bornAt: 0,
       service: id.slice(0, -2),
@@ -126,7 +126,7 @@
     configuration,
     book,
     client,
-    gate: new EndpointGate({
+    gate: new EndpointRateLimiter({
       chooser: "coordinator",
       limits: new EndpointLimits(),
       configuration,
@@ -184,7 +184,7 @@
   client.make("encode-0");
   client.make("encode-1");
   await timer.settle();
-  book.leave({ id: "encode-1", bornAt: 0 });
+  book.retire({ id: "encode-1", bornAt: 0 });
   await timer.settle();
   client.make("rerank-0");
   await timer.advance(100);
@@ -211,7 +211,7 @@
   await timer.settle();
   for (const id of ["encode-0", "encode-1"]) {
     const entry = book.find(id)?.entry;
-    if (entry !== undefined) book.put({ ...entry, isDraining: true }, 0);
+    if (entry !== undefined) book.upsert({ ...entry, isDraining: true }, 0);
   }
   await timer.settle();
   client.make("encode-1");
@@ -253,8 +253,8 @@
 test("pieces aren't sent to endpoints of an evacuated zone", async () => {
   const { timer, client, book, run } = createWorld();
   const known = book.find("encode-0")?.entry;
-  if (known !== undefined) book.put({ ...known, zone: "b" }, 0);
-  book.setEvacuated(new Set(["b"]), 0);
+  if (known !== undefined) book.upsert({ ...known, zone: "b" }, 0);
+  book.setEvacuatedZones(new Set(["b"]), 0);
   run("a", [2, 0]);
   await timer.advance(100);
   const sentTo = client.open.map(({ call }) => call.endpoint.id);
@@ -268,7 +268,7 @@
   run("other", [1, 0]);
   run("waits", [1, 0]);
   await timer.advance(10);
-  book.setEvacuated(new Set(["a"]), 0);
+  book.setEvacuatedZones(new Set(["a"]), 0);
   await timer.advance(10);
   expect(outcomes.get("waits")).toEqual("no_endpoint");
   client.make("encode-0");
--- a/packages/kelpspar-gateway/src/gateway_daemon.ts
+++ b/packages/kelpspar-gateway/src/gateway_daemon.ts
@@ -14,15 +14,18 @@
 import type { FollowClient } from "./tables/table_follower.ts";
 import { createServer } from "node:http";
 import { ActiveConfiguration } from "./configuration/active_configuration.ts";
-import { EndpointGate } from "./endpoints/endpoint_rate_limiter.ts";
-import { EndpointBook } from "./endpoints/endpoint_registry.ts";
+import { EndpointRateLimiter } from "./endpoints/endpoint_rate_limiter.ts";
+import { EndpointRegistry } from "./endpoints/endpoint_registry.ts";
 import { EndpointLeavings } from "./endpoints/endpoint_leavings.ts";
 import { EndpointLimits } from "./endpoints/endpoint_limits.ts";
 import { createNoticeListener } from "./endpoints/notice_handlers.ts";
 import { NoticeSync } from "./endpoints/notice_sync.ts";
-import { Fleet } from "./fleet/fleet_gossip.ts";
+import { FleetGossip } from "./fleet/fleet_gossip.ts";
 import { FleetMembership } from "./fleet/fleet_membership.ts";
-import { PEER_IDLE_MILLISECONDS, PeerClient } from "./fleet/peer_client.ts";
+import {
+  PEER_IDLE_TIMEOUT_MILLISECONDS,
+  PeerClient,
+} from "./fleet/peer_client.ts";
 import { createPeerListener } from "./fleet/peer_listener.ts";
 import { FrontServer } from "./front/front_server.ts";
 import { listen } from "./front/listen.ts";
@@ -76,7 +79,7 @@
 /** A daemon between callers on one side, endpoints and peers on the other. */
 export class GatewayDaemon {
   readonly configuration = new ActiveConfiguration();
-  readonly registry = new EndpointBook();
+  readonly registry = new EndpointRegistry();
   readonly limits = new EndpointLimits();
   readonly metrics = new GatewayMetrics();
   readonly anomalies: AnomalyLog;
@@ -87,7 +90,7 @@
   readonly #options: GatewayDaemonOptions;
   readonly #quarantineParts: QuarantineParts;
   readonly #membership: FleetMembership;
-  readonly #fleet: Fleet;
+  readonly #fleet: FleetGossip;
   readonly #front: FrontServer;
   readonly #requestService: RequestService;
   readonly #coordinator: PieceCoordinator;
@@ -129,7 +132,7 @@
       peers,
       membership,
     });
-    const fleet = new Fleet({
+    const fleet = new FleetGossip({
       daemonId: self.daemonId,
       membership,
       peers,
@@ -151,8 +154,8 @@
           : membership.size + 1,
       daemon: () => membership.size + 1,
     };
-    const gate = (chooser: EndpointChooser): EndpointGate =>
-      new EndpointGate({
+    const gate = (chooser: EndpointChooser): EndpointRateLimiter =>
+      new EndpointRateLimiter({
         chooser,
         configuration,
         limits,
@@ -176,7 +179,7 @@
       timer,
       log,
       ownState: () => fleet.ownState,
-      probe: (peer) => fleet.greet([peer]),
+      probe: (peer) => fleet.exchangeWithAll([peer]),
     });
     const service = new RequestService({
       configuration,
@@ -221,16 +224,16 @@
       runChain: (request, signal) => coordinator.run(request, signal),
       release: (release) => coordinator.release(release),
     }));
-    this.#peerServer.keepAliveTimeout = PEER_IDLE_MILLISECONDS;
+    this.#peerServer.keepAliveTimeout = PEER_IDLE_TIMEOUT_MILLISECONDS;
     coordinator.register();
     options.notices.registerListener(
       createNoticeListener({
         ...options,
-        book,
+        registry: book,
         limits,
         leavings,
         anomalies: this.anomalies,
-        onNews: () => noticeSync.heard(),
+        onChange: () => noticeSync.shareLocalNotice(),
       }),
     );
   }
@@ -254,7 +257,7 @@
     if (this.#stopSweep !== undefined) return;
     const { timer, log } = this.#options;
     this.#stopSweep = timer.registerInterval(() => {
-      for (const endpoint of this.registry.sweep(timer.now())) {
+      for (const endpoint of this.registry.removeExpired(timer.now())) {
         log.info("endpoint removed", { endpoint });
       }
       if (this.registry.hasMissing) return;
@@ -269,14 +272,14 @@
     const others = addresses.filter((address) =>
       address.daemonId !== self.daemonId
     );
-    for (const address of others) this.#membership.learn(address, timer.now());
-    this.#fleet.greetSome(others.map(({ peer }) => peer));
+    for (const address of others) this.#membership.add(address, timer.now());
+    this.#fleet.exchangeWithSome(others.map(({ peer }) => peer));
   }
 
   /** Exchanges digests with daemons that may run at `peers`. */
   greet(peers: readonly string[]): void {
     const { self } = this.#options;
-    this.#fleet.greet(peers.filter((peer) => peer !== self.peer));
+    this.#fleet.exchangeWithAll(peers.filter((peer) => peer !== self.peer));
   }
 
   /** Records that the endpoint list matched the store at `at`. */
@@ -309,7 +312,7 @@
 
   /** Number of live daemons, including this one. */
   fleetSize(): number {
-    return this.#membership.heardLately(this.#options.timer.now()).length + 1;
+    return this.#membership.liveMembers(this.#options.timer.now()).length + 1;
   }
 
   /** True while callers may be routed to this daemon. */
@@ -359,7 +362,7 @@
   async stop(): Promise<void> {
     const { timer, graceMilliseconds } = this.#options;
     const startedAt = timer.now();
-    this.#fleet.leave();
+    this.#fleet.announceLeaving();
     this.#front.leave();
     const acceptingUntil = startedAt + graceMilliseconds * ACCEPTING_SHARE;
     const endsAt = startedAt + graceMilliseconds - STOP_MARGIN_MILLISECONDS;
--- a/packages/kelpspar-gateway/src/pieces/call_targets.ts
+++ b/packages/kelpspar-gateway/src/pieces/call_targets.ts
@@ -1,22 +1,22 @@
 import type { PieceTerms } from "../configuration/service_definition.ts";
-import type { EndpointBook } from "../endpoints/endpoint_registry.ts";
-import type { EndpointGate } from "../endpoints/endpoint_rate_limiter.ts";
+import type { EndpointRegistry } from "../endpoints/endpoint_registry.ts";
+import type { EndpointRateLimiter } from "../endpoints/endpoint_rate_limiter.ts";
 import type { EndpointState } from "../endpoints/endpoint_state.ts";
 import type { PieceResult } from "./chain_outcome.ts";
-import { preferSound } from "../endpoints/prefer_healthy.ts";
+import { preferHealthy } from "../endpoints/prefer_healthy.ts";
 import { CallTarget } from "./call_target.ts";
 
 /** Dependencies of `CallTargets`. */
 export interface CallTargetsOptions {
-  readonly book: EndpointBook;
-  readonly gate: EndpointGate;
+  readonly book: EndpointRegistry;
+  readonly gate: EndpointRateLimiter;
   readonly service: string;
 }
 
 /** The endpoints of one stage service, as targets of its scheduler's calls. */
 export class CallTargets {
-  readonly #book: EndpointBook;
-  readonly #gate: EndpointGate;
+  readonly #book: EndpointRegistry;
+  readonly #gate: EndpointRateLimiter;
   readonly #service: string;
   readonly #targets = new Map<string, CallTarget>();
 
@@ -31,8 +31,8 @@
    * Returns paused ones only if all are, so that callers can wait for them.
    */
   usable(now: number): readonly CallTarget[] {
-    const all = this.#book.ofService(this.#service);
-    const best = preferSound(all, now);
+    const all = this.#book.availableFor(this.#service);
+    const best = preferHealthy(all, now);
     return (best.length > 0 ? best : all).map((endpoint) =>
       this.#targetOf(endpoint)
     );
--- a/packages/kelpspar-gateway/src/pieces/stage_scheduler.ts
+++ b/packages/kelpspar-gateway/src/pieces/stage_scheduler.ts
@@ -116,7 +116,7 @@
   }
 
   get hasEndpoints(): boolean {
-    return this.#options.book.ofService(this.#options.service).length > 0;
+    return this.#options.book.availableFor(this.#options.service).length > 0;
   }
 
   /** Logs queued and in-flight work. */
@@ -221,7 +221,7 @@
 
   #endpointReplaced(target: CallTarget, call: RunningCall): void {
     this.#log("endpoint replaced", target, call);
-    this.#options.book.leave(target.endpoint.entry);
+    this.#options.book.retire(target.endpoint.entry);
     this.#retries.retryOrFail(call.tasks, "failed");
   }
 
@@ -296,7 +296,10 @@
       client,
       timer,
       onRestart: (bornAt) =>
-        book.heardBirth({ ...target.endpoint.entry, bornAt }, timer.now()),
+        book.reportIncarnation(
+          { ...target.endpoint.entry, bornAt },
+          timer.now(),
+        ),
       onExpired: () => this.dispatch(),
     });
   }
--- a/packages/kelpspar-gateway/src/placement/reader_placement.ts
+++ b/packages/kelpspar-gateway/src/placement/reader_placement.ts
@@ -1,14 +1,14 @@
 import type { TimerService } from "kelpspar-shared";
 import type { ActiveConfiguration } from "../configuration/active_configuration.ts";
-import type { EndpointGate } from "../endpoints/endpoint_rate_limiter.ts";
-import type { EndpointBook } from "../endpoints/endpoint_registry.ts";
+import type { EndpointRateLimiter } from "../endpoints/endpoint_rate_limiter.ts";
+import type { EndpointRegistry } from "../endpoints/endpoint_registry.ts";
 import type { EndpointState } from "../endpoints/endpoint_state.ts";
 import type { PieceResult } from "../pieces/chain_outcome.ts";
 import type { PromptPart } from "../requests/serving_request.ts";
 import type { ReaderCandidate } from "./choose_reader.ts";
 import type { PromptCache } from "./prompt_cache.ts";
 import type { ChainReader, Placement } from "./reader_place.ts";
-import { preferSound } from "../endpoints/prefer_healthy.ts";
+import { preferHealthy } from "../endpoints/prefer_healthy.ts";
 import { promptAffinity } from "../requests/prompt_affinity.ts";
 import { chooseReader } from "./choose_reader.ts";
 import { likelyTokens } from "./likely_tokens.ts";
@@ -26,8 +26,8 @@
 /** Dependencies of `ReaderPlacement`. */
 export interface ReaderPlacementOptions {
   readonly configuration: ActiveConfiguration;
-  readonly book: EndpointBook;
-  readonly gate: EndpointGate;
+  readonly book: EndpointRegistry;
+  readonly gate: EndpointRateLimiter;
   readonly timer: TimerService;
 }
 
@@ -69,11 +69,11 @@
     const { book, gate, timer } = this.#options;
     const now = timer.now();
     const promptTokens = sumTokens(reader.promptParts);
-    const all = book.ofService(reader.service);
-    const usable = preferSound(all, now);
+    const all = book.availableFor(reader.service);
+    const usable = preferHealthy(all, now);
     if (usable.length === 0) return { type: "no_endpoint" };
-    const open = preferSound(
-      all.filter((endpoint) => gate.isOpen(endpoint, now)),
+    const open = preferHealthy(
+      all.filter((endpoint) => gate.isWithinLimit(endpoint, now)),
       now,
     );
     if (open.length === 0) {
@@ -105,7 +105,7 @@
       return { type: "no_endpoint" };
     }
     const limitPerSecond = gate.limitOf(chosen, now);
-    gate.chosen(chosen, now);
+    gate.recordRequest(chosen, now);
     const cachedAt = place.promptSourceId ?? place.endpointId;
     const cached = candidates.find((one) => one.endpointId === cachedAt)
       ?.cachedTokens ?? 0;
@@ -125,7 +125,7 @@
   queueWait(service: string, ahead: number): number {
     const { book, gate, timer } = this.#options;
     const now = timer.now();
-    const usable = preferSound(book.ofService(service), now);
+    const usable = preferHealthy(book.availableFor(service), now);
     let perSecond = 0;
     for (const endpoint of usable) {
       const rate = gate.rateOf(endpoint, now);
@@ -144,7 +144,10 @@
   zoneOfCachedPrompt(reader: ChainReader | undefined): string | undefined {
     if (reader === undefined) return undefined;
     const { book, timer } = this.#options;
-    const endpoints = preferSound(book.ofService(reader.service), timer.now());
+    const endpoints = preferHealthy(
+      book.availableFor(reader.service),
+      timer.now(),
+    );
     let zone: string | undefined;
     let most = 0;
     for (const estimate of this.#estimateCaches(reader, endpoints)) {
--- a/packages/kelpspar-gateway/src/requests/chain_client.ts
+++ b/packages/kelpspar-gateway/src/requests/chain_client.ts
@@ -7,7 +7,7 @@
 import type { ChainOutcome } from "../pieces/chain_outcome.ts";
 import type { ChainRelease, ChainRequest } from "../pieces/chain_request.ts";
 import type { PieceCoordinator } from "../pieces/piece_coordinator.ts";
-import { isRefused } from "../fleet/is_connection_refused.ts";
+import { isConnectionRefused } from "../fleet/is_connection_refused.ts";
 
 /** Ranking key of the coordinator of stages, the same at every daemon. */
 const COORDINATOR_RANKING_KEY = "stages";
@@ -112,7 +112,7 @@
     const coordinatorId = this.#candidates()[0];
     const address = coordinatorId === undefined
       ? undefined
-      : membership.find(coordinatorId);
+      : membership.findAddress(coordinatorId);
     if (coordinatorId === daemonId || address === undefined) {
       localCoordinator.release(release);
       return;
@@ -145,7 +145,7 @@
     const { membership, timer } = this.#options;
     const isSettled = (): boolean =>
       timer.now() - this.#startedAt >= STARTUP_GRACE_MILLISECONDS ||
-      membership.heardLately(timer.now()).length > 0;
+      membership.liveMembers(timer.now()).length > 0;
     while (!isSettled()) {
       await new Promise<void>((resolve) =>
         timer.registerTimeout(resolve, STARTUP_CHECK_INTERVAL_MILLISECONDS)
@@ -155,7 +155,7 @@
 
   #candidates(): readonly string[] {
     const { daemonId, membership, timer, ownState } = this.#options;
-    const ranked = membership.ranked(COORDINATOR_RANKING_KEY, {
+    const ranked = membership.rankedDaemons(COORDINATOR_RANKING_KEY, {
       now: timer.now(),
       own: ownState(),
     });
@@ -170,14 +170,14 @@
     signal: AbortSignal,
   ): Promise<ChainOutcome | undefined> {
     const { membership, peers, timer, log } = this.#options;
-    const address = membership.find(daemonId);
+    const address = membership.findAddress(daemonId);
     if (address === undefined) return undefined;
     const abortController = new AbortController();
     const stop = (): void => abortController.abort();
     signal.addEventListener("abort", stop, { once: true });
     const stopSilenceCheck = timer.registerInterval(() => {
       const now = timer.now();
-      const silence = membership.silenceOf(daemonId, now);
+      const silence = membership.silenceMillisecondsOf(daemonId, now);
       if (membership.isStalled(daemonId, now)) stop();
       else if (silence > PROBE_MILLISECONDS) this.#options.probe(address.peer);
     }, COORDINATOR_CHECK_INTERVAL_MILLISECONDS);
@@ -189,8 +189,8 @@
       );
     } catch (error) {
       if (!signal.aborted) {
-        membership.doubt(address.peer, {
-          isRefused: isRefused(error),
+        membership.reportFailedCall(address.peer, {
+          isRefused: isConnectionRefused(error),
           now: timer.now(),
         });
         log.warn("coordinator lost", {
--- a/packages/kelpspar-gateway/src/requests/choose_request_endpoint.ts
+++ b/packages/kelpspar-gateway/src/requests/choose_request_endpoint.ts
@@ -15,7 +15,7 @@
   const { endpointRegistry, gate, timer } = options.dependencies;
   const find = (id: string | undefined): EndpointState | undefined => {
     const found = id === undefined ? undefined : endpointRegistry.find(id);
-    return found?.isSound(timer.now()) === true ? found : undefined;
+    return found?.isHealthy(timer.now()) === true ? found : undefined;
   };
   const endpoint = find(place.endpointId);
   if (endpoint === undefined) return undefined;
@@ -55,14 +55,14 @@
   const { endpointRegistry, gate } = dependencies;
   const now = dependencies.timer.now();
   const choice = chooseEndpoint({
-    endpoints: endpointRegistry.ofService(service),
+    endpoints: endpointRegistry.availableFor(service),
     tried,
     zone: dependencies.zone,
     affinity: affinityOf(run),
     random: dependencies.random,
     now,
-    isOpen: (endpoint) => gate.isOpen(endpoint, now),
+    isWithinLimit: (endpoint) => gate.isWithinLimit(endpoint, now),
   });
-  if (choice !== undefined) gate.chosen(choice.endpoint, now);
+  if (choice !== undefined) gate.recordRequest(choice.endpoint, now);
   return choice;
 }
--- a/packages/kelpspar-gateway/src/requests/endpoint_sender.ts
+++ b/packages/kelpspar-gateway/src/requests/endpoint_sender.ts
@@ -45,9 +45,11 @@
   get hasLimitedEndpoint(): boolean {
     const { dependencies, service } = this.#run.options;
     const now = dependencies.timer.now();
-    return dependencies.endpointRegistry.ofService(service).some((endpoint) =>
+    return dependencies.endpointRegistry.availableFor(service).some((
+      endpoint,
+    ) =>
       !this.#triedEndpointIds.has(endpoint.entry.id) &&
-      endpoint.pauseLeft(now) === 0 &&
+      endpoint.remainingPauseMilliseconds(now) === 0 &&
       dependencies.gate.limitOf(endpoint, now) !== undefined
     );
   }
--- a/packages/kelpspar-gateway/src/requests/limited_endpoint_probes.ts
+++ b/packages/kelpspar-gateway/src/requests/limited_endpoint_probes.ts
@@ -1,13 +1,13 @@
-import type { EndpointBook } from "../endpoints/endpoint_registry.ts";
-import type { EndpointGate } from "../endpoints/endpoint_rate_limiter.ts";
+import type { EndpointRegistry } from "../endpoints/endpoint_registry.ts";
+import type { EndpointRateLimiter } from "../endpoints/endpoint_rate_limiter.ts";
 
 /** Minimum time between two probes of a service by one daemon. */
 const PROBE_INTERVAL_MILLISECONDS = 1_000;
 
 /** Options of `LimitedEndpointProbes`. */
 export interface LimitedEndpointProbesOptions {
-  readonly endpointRegistry: Pick<EndpointBook, "ofService">;
-  readonly gate: Pick<EndpointGate, "limitOf">;
+  readonly endpointRegistry: Pick<EndpointRegistry, "availableFor">;
+  readonly gate: Pick<EndpointRateLimiter, "limitOf">;
 }
 
 /**
@@ -29,7 +29,7 @@
     const probedAt = this.#probedAt.get(service) ?? Number.NEGATIVE_INFINITY;
     if (now - probedAt < PROBE_INTERVAL_MILLISECONDS) return false;
     const { endpointRegistry, gate } = this.#options;
-    const hasLimited = endpointRegistry.ofService(service)
+    const hasLimited = endpointRegistry.availableFor(service)
       .some((endpoint) => gate.limitOf(endpoint, now) !== undefined);
     if (hasLimited) this.#probedAt.set(service, now);
     return hasLimited;
--- a/packages/kelpspar-gateway/src/requests/request_dependencies.ts
+++ b/packages/kelpspar-gateway/src/requests/request_dependencies.ts
@@ -1,7 +1,7 @@
 import type { RandomSource, TimerService } from "kelpspar-shared";
 import type { ActiveConfiguration } from "../configuration/active_configuration.ts";
-import type { EndpointGate } from "../endpoints/endpoint_rate_limiter.ts";
-import type { EndpointBook } from "../endpoints/endpoint_registry.ts";
+import type { EndpointRateLimiter } from "../endpoints/endpoint_rate_limiter.ts";
+import type { EndpointRegistry } from "../endpoints/endpoint_registry.ts";
 import type { GatewayLog } from "../log/gateway_log.ts";
 import type { GatewayMetrics } from "../metrics/gateway_metrics.ts";
 import type { CrashDetector } from "../quarantine/crash_detector.ts";
@@ -14,10 +14,10 @@
 /** Services that the request path depends on. */
 export interface RequestDependencies {
   readonly configuration: ActiveConfiguration;
-  readonly endpointRegistry: EndpointBook;
+  readonly endpointRegistry: EndpointRegistry;
   readonly endpoints: EndpointClient;
   /** Rate limits of the endpoints that this daemon chooses itself. */
-  readonly gate: EndpointGate;
+  readonly gate: EndpointRateLimiter;
   readonly chainRunner: ChainRunner;
   readonly budget: ServiceRetryBudget;
   readonly crashes: Pick<CrashDetector, "checkEndpoint">;
--- a/packages/kelpspar-gateway/src/requests/request_dispatcher.ts
+++ b/packages/kelpspar-gateway/src/requests/request_dispatcher.ts
@@ -2,7 +2,7 @@
 import type { EndpointRefusal } from "./endpoint_call.ts";
 import type { RequestRun } from "./request_run.ts";
 import type { ReceivedAnswer, SendResult } from "./send_result.ts";
-import { pauseOfAll } from "../endpoints/shortest_pause.ts";
+import { shortestPause } from "../endpoints/shortest_pause.ts";
 import { EndpointSender } from "./endpoint_sender.ts";
 import { requestPlacement } from "./request_placement.ts";
 import { readBody } from "./read_body.ts";
@@ -106,8 +106,8 @@
 
   #failWithoutEndpoint(): DispatchOutcome {
     const { dependencies, service } = this.#run.options;
-    const pause = pauseOfAll(
-      dependencies.endpointRegistry.ofService(service),
+    const pause = shortestPause(
+      dependencies.endpointRegistry.availableFor(service),
       this.#run.now(),
     );
     if (pause === 0 && this.#sender.hasLimitedEndpoint) {
@@ -153,7 +153,7 @@
     > = {
       full: () => "again",
       replaced: () => {
-        endpointRegistry.leave(result.endpoint.entry);
+        endpointRegistry.retire(result.endpoint.entry);
         return "again";
       },
       input_gone: () => "input_gone",
--- a/packages/kelpspar-gateway/src/requests/request_service.ts
+++ b/packages/kelpspar-gateway/src/requests/request_service.ts
@@ -5,7 +5,7 @@
 import type { RequestDependencies } from "./request_dependencies.ts";
 import type { DaemonAnswer, RequestReply } from "./request_reply.ts";
 import type { ServingRequest } from "./serving_request.ts";
-import { pauseOfAll } from "../endpoints/shortest_pause.ts";
+import { shortestPause } from "../endpoints/shortest_pause.ts";
 import {
   createChainReader,
   createChainRequest,
@@ -233,7 +233,7 @@
 ): { reason: string; retryAfterMilliseconds: number } | undefined {
   const { dependencies, service, route } = run.options;
   const { endpointRegistry } = dependencies;
-  const endpoints = endpointRegistry.ofService(service);
+  const endpoints = endpointRegistry.availableFor(service);
   // An empty registry hasn't been read yet.
   if (endpoints.length === 0 && endpointRegistry.size > 0) {
     return {
@@ -241,7 +241,7 @@
       retryAfterMilliseconds: NO_ENDPOINT_RETRY_MILLISECONDS,
     };
   }
-  const pause = pauseOfAll(endpoints, run.now());
+  const pause = shortestPause(endpoints, run.now());
   const hasPieces = createChainStages(run).some(({ pieces }) => pieces > 0);
   const maximumPause = hasPieces ? route.objectiveMilliseconds : 0;
   if (pause <= maximumPause) return undefined;
