--- a/packages/kelpspar-daemon/src/fleet/fleet.ts
+++ b/packages/kelpspar-daemon/src/fleet/fleet.ts
@@ -4,7 +4,10 @@
 import type { PeerAddress } from "../peers/peer_client.ts";
 import type { PeerDigest } from "../peers/peer_digest.ts";
 import type { FleetOptions } from "./fleet_options.ts";
-import { answerAddresses, redirectCaller } from "kelpspar-decisions/directory";
+import {
+  buildAddressAnswer,
+  redirectCaller,
+} from "kelpspar-decisions/directory";
 import { takeDrains } from "../operators/take_drains.ts";
 import { DaemonMembership } from "kelpspar-decisions/membership";
 
@@ -163,7 +166,7 @@
       keyEpoch: options.keyEpoch(),
       spareShare: options.spareShare(),
     };
-    return answerAddresses({
+    return buildAddressAnswer({
       ...(this.isServing() && options.revision() > 0 ? { self } : {}),
       members: this.#servingMembers(),
       availabilityZone: availabilityZone ?? options.availabilityZone,
--- a/packages/kelpspar-decisions/src/directory/directory_entry.ts
+++ b/packages/kelpspar-decisions/src/directory/directory_entry.ts
@@ -1,6 +1,6 @@
 import type { Member } from "../membership/mod.ts";
 
-/** A daemon that a caller could be sent to. */
+/** A daemon that can be listed in an answer to callers. */
 export interface DirectoryEntry {
   readonly address: string;
   readonly port: number;
@@ -11,18 +11,18 @@
   readonly spareShare: number;
 }
 
-/** Silence after which a digest says nothing of spare room any more. */
-const LONGEST_SILENCE_MILLISECONDS = 30_000;
+/** Silence after which a digest's spare capacity is stale. */
+const MAXIMUM_SILENCE_MILLISECONDS = 30_000;
 
-/** The members in `state` whose digests are fresh enough to be given out. */
-export function entriesOf(
+/** Returns the members in `state` whose digests are fresh enough to list. */
+export function listFreshEntries(
   members: readonly Member[],
   state: "live" | "suspect",
 ): readonly DirectoryEntry[] {
   const entries: DirectoryEntry[] = [];
   for (const { state: actual, digest, silenceMilliseconds = 0 } of members) {
     if (actual !== state || digest === undefined) continue;
-    if (silenceMilliseconds > LONGEST_SILENCE_MILLISECONDS) continue;
+    if (silenceMilliseconds > MAXIMUM_SILENCE_MILLISECONDS) continue;
     entries.push(digest);
   }
   return entries;
--- a/packages/kelpspar-decisions/src/directory/redirect.ts
+++ b/packages/kelpspar-decisions/src/directory/redirect.ts
@@ -1,12 +1,12 @@
 import type { Member } from "../membership/mod.ts";
 import type { RandomSource } from "kelpspar-shared";
-import { entriesOf } from "./directory_entry.ts";
-import { drawEntries } from "./draw_entries.ts";
+import { listFreshEntries } from "./directory_entry.ts";
+import { sampleEntries } from "./sample_entries.ts";
 
-const MOST_ADDRESSES = 4;
-const WAIT_MILLISECONDS = 500;
+const MAXIMUM_ADDRESSES = 4;
+const RETRY_AFTER_MILLISECONDS = 500;
 
-/** What a redirect is made from. */
+/** Inputs of `redirectCaller`. */
 export interface RedirectOptions {
   readonly members: readonly Member[];
   /** The caller's zone, or that of the daemon that is leaving. */
@@ -14,30 +14,38 @@
   readonly random: RandomSource;
 }
 
-/** Where a caller goes instead; the parts of a failure record. */
+/** Daemons to use instead; the fields of a failure record. */
 export interface Redirect {
-  /** Daemons to use, as `address:port`, the first one first. */
+  /** Daemons to use, as `address:port`, in order of preference. */
   readonly elsewhere: readonly string[];
-  /** Set when no other daemon is known: come back after this time. */
+  /** Set when no other daemon is known: retry after this time. */
   readonly retryAfterMilliseconds?: number;
 }
 
 /**
- * What a leaving daemon tells a caller that came with an old answer. Each
- * caller gets another order, since all those of a daemon that leaves come
- * within seconds and would otherwise move on to one and the same.
+ * Redirects a caller that uses a leaving daemon because of a stale answer. The
+ * order is random for each caller: all callers of a leaving daemon arrive
+ * within seconds and would otherwise move to the same daemon.
  */
 export function redirectCaller(options: RedirectOptions): Redirect {
   const { members, availabilityZone, random } = options;
-  const live = entriesOf(members, "live");
-  const known = live.length > 0 ? live : entriesOf(members, "suspect");
-  const near = known.filter((one) => one.availabilityZone === availabilityZone);
-  const far = known.filter((one) => one.availabilityZone !== availabilityZone);
-  const elsewhere = [near, far]
-    .flatMap((some) => drawEntries(some, { count: MOST_ADDRESSES, random }))
-    .slice(0, MOST_ADDRESSES)
-    .map((one) => `${one.address}:${one.port}`);
+  const live = listFreshEntries(members, "live");
+  const candidates = live.length > 0
+    ? live
+    : listFreshEntries(members, "suspect");
+  const sameZone = candidates.filter((entry) =>
+    entry.availabilityZone === availabilityZone
+  );
+  const otherZones = candidates.filter((entry) =>
+    entry.availabilityZone !== availabilityZone
+  );
+  const elsewhere = [sameZone, otherZones]
+    .flatMap((entries) =>
+      sampleEntries(entries, { count: MAXIMUM_ADDRESSES, random })
+    )
+    .slice(0, MAXIMUM_ADDRESSES)
+    .map((entry) => `${entry.address}:${entry.port}`);
   if (elsewhere.length > 0) return { elsewhere };
-  const retryAfterMilliseconds = WAIT_MILLISECONDS * (1 + random.next());
+  const retryAfterMilliseconds = RETRY_AFTER_MILLISECONDS * (1 + random.next());
   return { elsewhere, retryAfterMilliseconds };
 }
--- a/packages/kelpspar-standins/src/capacity/measure_membership.ts
+++ b/packages/kelpspar-standins/src/capacity/measure_membership.ts
@@ -1,5 +1,5 @@
 import type { Measurement, Subject } from "./measurement.ts";
-import { answerAddresses } from "kelpspar-decisions/directory";
+import { buildAddressAnswer } from "kelpspar-decisions/directory";
 import { DaemonMembership } from "kelpspar-decisions/membership";
 import { assignWatches } from "kelpspar-decisions/routing";
 import { SeededRandom } from "kelpspar-shared";
@@ -95,9 +95,9 @@
   yield {
     ...measureOperation(
       subject("directory", "answerAddresses"),
-      () => answerAddresses(options),
+      () => buildAddressAnswer(options),
     ),
-    messageBytes: countBytes(answerAddresses(options)),
+    messageBytes: countBytes(buildAddressAnswer(options)),
   };
 }
 
