--- a/packages/kelpspar-decisions/src/__tests__/unit/crash_ledger_test.ts
+++ b/packages/kelpspar-decisions/src/__tests__/unit/crash_ledger_test.ts
@@ -4,7 +4,7 @@
 import { test } from "node:test";
 import {
   CrashLedger,
-  MOST_REPORTS,
+  MAXIMUM_REPORTS,
   REPORT_LIFETIME_MILLISECONDS,
 } from "../../quarantine/mod.ts";
 
@@ -21,25 +21,25 @@
   })),
 }));
 
-function merged(pagesInOrder: readonly CrashPage[]): CrashLedger {
+function mergePages(pagesInOrder: readonly CrashPage[]): CrashLedger {
   const ledger = new CrashLedger();
   for (const page of pagesInOrder) ledger.merge(page, 2_000);
   return ledger;
 }
 
-// Guards against daemons that hold different requests for poison.
-test("ledgers agree whatever the order in which reports arrive", () => {
-  fc.assert(fc.property(pages, (given) => {
-    const one = merged(given);
-    const other = merged([...given].reverse());
-    expect(other.checksum).toEqual(one.checksum);
-    expect([...other.poison].sort()).toEqual([...one.poison].sort());
-    expect(one.merge(other.page(2_000), 2_000)).toEqual(false);
+// Guards against daemons that quarantine different requests.
+test("ledgers converge regardless of the order of reports", () => {
+  fc.assert(fc.property(pages, (samplePages) => {
+    const ledger = mergePages(samplePages);
+    const reversed = mergePages([...samplePages].reverse());
+    expect(reversed.checksum).toEqual(ledger.checksum);
+    expect([...reversed.poison].sort()).toEqual([...ledger.poison].sort());
+    expect(ledger.merge(reversed.page(2_000), 2_000)).toEqual(false);
   }));
 });
 
-// Guards against a daemon that learns nothing from a full page.
-test("a ledger without reports learns all from another's page", () => {
+// Guards against a daemon that ignores the reports of a full page.
+test("an empty ledger merges all reports of a page", () => {
   const known = new CrashLedger();
   for (const crash of ["1", "2", "3"]) {
     known.report({ fingerprint: "p", crash, ranMilliseconds: 5 }, 100);
@@ -50,8 +50,8 @@
   expect(fresh.page(7_000).reports[0]?.ageMilliseconds).toEqual(50);
 });
 
-// Guards against requests that are held forever.
-test("reports are forgotten after their lifetime, and not learned again", () => {
+// Guards against requests that stay in quarantine forever.
+test("expired reports are dropped and not merged again", () => {
   const ledger = new CrashLedger();
   for (const crash of ["1", "2", "3"]) {
     ledger.report({ fingerprint: "p", crash, ranMilliseconds: 5 }, 0);
@@ -63,13 +63,13 @@
   expect(ledger.merge(page, REPORT_LIFETIME_MILLISECONDS)).toEqual(false);
 });
 
-// Guards against poison that a flood of other crashes pushes out.
-test("a full ledger drops the oldest of requests that aren't poison", () => {
+// Guards against a flood of other crashes that evicts a poison request.
+test("a full ledger drops the oldest reports of non-poison requests", () => {
   const ledger = new CrashLedger();
   for (const crash of ["1", "2", "3"]) {
     ledger.report({ fingerprint: "p", crash, ranMilliseconds: 5 }, 0);
   }
-  const reports = Array.from({ length: MOST_REPORTS + 50 }, (_, index) => ({
+  const reports = Array.from({ length: MAXIMUM_REPORTS + 50 }, (_, index) => ({
     fingerprint: `f${index}`,
     crash: "4",
     ranMilliseconds: undefined,
@@ -77,5 +77,5 @@
   }));
   ledger.merge({ reports, served: [] }, 10);
   expect([...ledger.poison]).toEqual(["p"]);
-  expect(ledger.page(10).reports.length).toEqual(MOST_REPORTS);
+  expect(ledger.page(10).reports.length).toEqual(MAXIMUM_REPORTS);
 });
--- a/packages/kelpspar-decisions/src/__tests__/unit/find_poison_requests_test.ts
+++ b/packages/kelpspar-decisions/src/__tests__/unit/find_poison_requests_test.ts
@@ -5,7 +5,7 @@
 import {
   CrashLedger,
   findPoisonRequests,
-  POISON_CRASHES,
+  POISON_CRASH_THRESHOLD,
 } from "../../quarantine/mod.ts";
 
 const NONE: ReadonlySet<string> = new Set();
@@ -22,15 +22,15 @@
   return [...findPoisonRequests(reports, served)].sort();
 }
 
-// Guards against a request that goes on crashing endpoints.
-test("a request at three crashes is poison, at two it isn't", () => {
-  const two = [at("c1", "p"), at("c2", "p"), at("c2", "p")];
-  expect(found(two)).toEqual([]);
-  expect(found([...two, at("c3", "p")])).toEqual(["p"]);
+// Guards against a request that keeps crashing endpoints.
+test("a request reported at three crashes is poison, at two it isn't", () => {
+  const twoCrashes = [at("c1", "p"), at("c2", "p"), at("c2", "p")];
+  expect(found(twoCrashes)).toEqual([]);
+  expect(found([...twoCrashes, at("c3", "p")])).toEqual(["p"]);
 });
 
-// Guards against innocent requests that are taken for the cause.
-test("crashes that a poison request explains count against nobody else", () => {
+// Guards against blaming harmless requests that ran beside a poison request.
+test("crashes explained by a poison request don't count against others", () => {
   const reports = ["c1", "c2", "c3", "c4"].flatMap((crash) => [
     at(crash, "poison", 80),
     ...(crash === "c4" ? [] : [at(crash, "beside", 900)]),
@@ -38,7 +38,7 @@
   expect(found(reports)).toEqual(["poison"]);
 });
 
-// Guards against two causes of which only one is found.
+// Guards against finding only one of two causes.
 test("two poison requests are both found", () => {
   const reports = ["c1", "c2", "c3"].flatMap((crash) => [
     at(`a${crash}`, "one"),
@@ -48,51 +48,51 @@
   expect(found(reports)).toEqual(["one", "two"]);
 });
 
-// Guards against a guess that stays wrong.
-test("of two requests at the same crashes the one that just began is poison", () => {
+// Guards against a wrong guess that is never corrected.
+test("of two requests at the same crashes the one just started is poison", () => {
   const same = ["c1", "c2", "c3"].flatMap((crash) => [
     at(crash, "a-beside", 700),
     at(crash, "b-poison", 90),
     at(crash, "c-waits"),
   ]);
   expect(found(same)).toEqual(["b-poison"]);
-  // Without that order by name holds until one more crash tells them apart.
+  // Without run times, the fingerprint decides until a further crash does.
   const plain = same.map((one) => ({ ...one, ranMilliseconds: undefined }));
   expect(found(plain)).toEqual(["a-beside"]);
   expect(found([...plain, at("c4", "b-poison")])).toEqual(["b-poison"]);
 });
 
-// Guards against a common request that is taken for poison in a bad hour.
-test("a request that ended well anywhere is never poison", () => {
+// Guards against quarantining a frequent request during unrelated crashes.
+test("a request that was served anywhere is never poison", () => {
   const reports = ["c1", "c2", "c3", "c4"].map((crash) => at(crash, "status"));
   expect(found(reports, new Set(["status"]))).toEqual([]);
 });
 
 interface Load {
-  /** Requests a second at all endpoints. */
+  /** Requests per second at all endpoints. */
   readonly requestsPerSecond: number;
   readonly endpoints: number;
-  /** Endpoints that crash by themselves, a second. */
+  /** Unrelated endpoint crashes per second. */
   readonly otherCrashesPerSecond: number;
 }
 
 interface Outcome {
   readonly poisonRuns: number;
-  /** Innocent requests that were held at any time. */
-  readonly heldInnocents: number;
+  /** Harmless requests that were ever quarantined. */
+  readonly quarantinedHarmless: number;
   readonly quarantined: ReadonlySet<string>;
 }
 
 const STEP_MILLISECONDS = 10;
-const PLAY_MILLISECONDS = 60_000;
+const SIMULATION_MILLISECONDS = 60_000;
 const DOWN_MILLISECONDS = 3_000;
-/** The endpoints are under load by then. */
-const POISON_FROM_MILLISECONDS = 7_000;
-const POISON_EVERY_MILLISECONDS = 700;
-const POISON_RUNS_MILLISECONDS = 90;
-const REPEAT_AFTER_MILLISECONDS = 300;
-/** Until all daemons know of a crash. */
-const SPREAD_MILLISECONDS = 400;
+/** By this time the endpoints are loaded. */
+const FIRST_POISON_AT_MILLISECONDS = 7_000;
+const POISON_INTERVAL_MILLISECONDS = 700;
+const POISON_RUN_MILLISECONDS = 90;
+const RETRY_AFTER_MILLISECONDS = 300;
+/** Time until all daemons have a crash report. */
+const PROPAGATION_MILLISECONDS = 400;
 
 interface Running {
   readonly fingerprint: string;
@@ -101,66 +101,73 @@
 }
 
 interface Endpoint {
-  life: number;
+  incarnation: number;
   downUntil: number;
   running: Running[];
 }
 
 /**
- * Plays one minute: callers repeat what a crash ended, one repeats a poison
- * request, and endpoints crash for other reasons too.
+ * Simulates one minute: callers retry requests that a crash ended, one caller
+ * repeats a poison request, and endpoints crash for unrelated reasons too.
  */
-function play(load: Load, seed: number): Outcome {
+function simulate(load: Load, seed: number): Outcome {
   const random = new SeededRandom(seed);
   const ledger = new CrashLedger();
   const endpoints = Array.from(
     { length: load.endpoints },
-    (): Endpoint => ({ life: 0, downUntil: 0, running: [] }),
+    (): Endpoint => ({ incarnation: 0, downUntil: 0, running: [] }),
   );
   const arrivals: { readonly at: number; readonly fingerprint: string }[] = [];
-  const news: { readonly at: number; readonly report: CrashReport }[] = [];
+  const pending: {
+    readonly at: number;
+    readonly report: CrashReport;
+  }[] = [];
   let poisonRuns = 0;
   let nextId = 0;
-  const held = new Set<string>();
+  const rejected = new Set<string>();
   const crash = (endpoint: Endpoint, now: number): void => {
-    const name = `${endpoints.indexOf(endpoint)} ${endpoint.life++}`;
+    const name = `${endpoints.indexOf(endpoint)} ${endpoint.incarnation++}`;
     for (const { fingerprint, startedAt } of endpoint.running) {
       const ranMilliseconds = now - startedAt;
       const report = { fingerprint, crash: name, ranMilliseconds };
-      news.push({ at: now + SPREAD_MILLISECONDS, report });
-      arrivals.push({ at: now + REPEAT_AFTER_MILLISECONDS, fingerprint });
+      pending.push({ at: now + PROPAGATION_MILLISECONDS, report });
+      arrivals.push({ at: now + RETRY_AFTER_MILLISECONDS, fingerprint });
     }
     endpoint.running = [];
     endpoint.downUntil = now + DOWN_MILLISECONDS;
   };
   const start = (fingerprint: string, now: number): void => {
     if (ledger.poison.has(fingerprint)) {
-      held.add(fingerprint);
+      rejected.add(fingerprint);
       return;
     }
     const up = endpoints.filter((one) => one.downUntil <= now);
     const endpoint = up[random.nextInteger(up.length)];
     if (endpoint === undefined) {
-      arrivals.push({ at: now + REPEAT_AFTER_MILLISECONDS, fingerprint });
+      arrivals.push({ at: now + RETRY_AFTER_MILLISECONDS, fingerprint });
       return;
     }
     const isPoison = fingerprint === "poison";
     if (isPoison) poisonRuns++;
-    const took = isPoison
-      ? POISON_RUNS_MILLISECONDS
+    const runMilliseconds = isPoison
+      ? POISON_RUN_MILLISECONDS
       : 300 + random.next() * 1_500;
-    endpoint.running.push({ fingerprint, startedAt: now, endsAt: now + took });
+    endpoint.running.push({
+      fingerprint,
+      startedAt: now,
+      endsAt: now + runMilliseconds,
+    });
   };
   const chance = (perSecond: number): boolean =>
     random.next() < perSecond * STEP_MILLISECONDS / 1_000;
-  for (let now = 0; now < PLAY_MILLISECONDS; now += STEP_MILLISECONDS) {
-    for (const { report } of takeDue(news, now)) ledger.report(report, now);
+  for (let now = 0; now < SIMULATION_MILLISECONDS; now += STEP_MILLISECONDS) {
+    for (const { report } of takeDue(pending, now)) ledger.report(report, now);
     for (const { fingerprint } of takeDue(arrivals, now)) {
       if (fingerprint !== "poison") start(fingerprint, now);
     }
     if (chance(load.requestsPerSecond)) start(`r${nextId++}`, now);
-    const isPoisonDue = now >= POISON_FROM_MILLISECONDS &&
-      now % POISON_EVERY_MILLISECONDS === 0;
+    const isPoisonDue = now >= FIRST_POISON_AT_MILLISECONDS &&
+      now % POISON_INTERVAL_MILLISECONDS === 0;
     if (isPoisonDue) start("poison", now);
     if (chance(load.otherCrashesPerSecond)) {
       crash(endpoints[random.nextInteger(endpoints.length)] as Endpoint, now);
@@ -179,10 +186,10 @@
       }
     }
   }
-  held.delete("poison");
+  rejected.delete("poison");
   return {
     poisonRuns,
-    heldInnocents: held.size,
+    quarantinedHarmless: rejected.size,
     quarantined: ledger.poison,
   };
 }
@@ -197,9 +204,10 @@
   return due;
 }
 
-// Guards against poison that is sent on, and innocents that are held, under
-// load: few endpoints that each run several requests, and other crashes.
-test("under load only the poison request is held, after few crashes", () => {
+// Guards against poison requests that are still sent and harmless requests that
+// are quarantined under load, with few endpoints that each run several
+// requests, and unrelated crashes.
+test("under load only the poison request is quarantined, after few crashes", () => {
   const loads: readonly Load[] = [
     { requestsPerSecond: 30, endpoints: 3, otherCrashesPerSecond: 0 },
     { requestsPerSecond: 9, endpoints: 9, otherCrashesPerSecond: 0 },
@@ -208,10 +216,13 @@
   ];
   for (const load of loads) {
     for (let seed = 1; seed <= 20; seed++) {
-      const { poisonRuns, heldInnocents, quarantined } = play(load, seed);
-      expect(heldInnocents).toEqual(0);
+      const { poisonRuns, quarantinedHarmless, quarantined } = simulate(
+        load,
+        seed,
+      );
+      expect(quarantinedHarmless).toEqual(0);
       expect([...quarantined]).toEqual(["poison"]);
-      expect(poisonRuns <= 2 * POISON_CRASHES).toEqual(true);
+      expect(poisonRuns <= 2 * POISON_CRASH_THRESHOLD).toEqual(true);
     }
   }
 });
--- a/packages/kelpspar-decisions/src/quarantine/crash_ledger.ts
+++ b/packages/kelpspar-decisions/src/quarantine/crash_ledger.ts
@@ -3,43 +3,44 @@
 import { hashText } from "../routing/rendezvous_hash.ts";
 import { findPoisonRequests } from "./find_poison_requests.ts";
 
-/** How long a report counts, milliseconds: one hour. */
+/** How long a report is kept, milliseconds: one hour. */
 export const REPORT_LIFETIME_MILLISECONDS = 3_600_000;
-/** Reports kept; beyond that the oldest of requests that aren't poison go. */
-export const MOST_REPORTS = 2_000;
+/** Reports kept; the oldest ones of non-poison requests are dropped first. */
+export const MAXIMUM_REPORTS = 2_000;
 
-interface KeptReport extends CrashReport {
+interface StoredReport extends CrashReport {
   readonly at: number;
 }
 
 /**
- * What a fleet knows of requests that were at endpoints which crashed. Ledgers
- * merge in any order to the same reports. Times are monotonic milliseconds.
+ * The fleet's reports of requests that were at an endpoint when it crashed.
+ * Merging is commutative: ledgers hold the same reports in whatever order they
+ * arrive. Times are monotonic milliseconds.
  */
 export class CrashLedger {
-  readonly #reports = new Map<string, KeptReport>();
-  /** Requests of reports that ended well, and when. */
+  readonly #reports = new Map<string, StoredReport>();
+  /** Requests that were served successfully, and when. */
   readonly #served = new Map<string, number>();
   #poison: ReadonlySet<string> = new Set();
   #suspects: ReadonlySet<string> = new Set();
   #checksum = 0;
 
-  /** The requests that must not be sent. */
+  /** Fingerprints of requests that must not be sent. */
   get poison(): ReadonlySet<string> {
     return this.#poison;
   }
 
-  /** 0 when the ledger is empty; equal for ledgers that hold the same. */
+  /** 0 for an empty ledger; equal for ledgers with the same content. */
   get checksum(): number {
     return this.#checksum;
   }
 
-  /** Requests that were at crashes, and aren't known to have ended well. */
+  /** Fingerprints of requests reported at a crash and not known as served. */
   get suspects(): ReadonlySet<string> {
     return this.#suspects;
   }
 
-  /** Takes a report in; false when it was known. */
+  /** Adds a report; returns false if it was known. */
   report(report: CrashReport, now: number): boolean {
     return this.merge({
       reports: [{ ...report, ageMilliseconds: 0 }],
@@ -47,7 +48,7 @@
     }, now);
   }
 
-  /** Takes in that a request ended well; false when that was known. */
+  /** Marks a request as served; returns false if it was marked already. */
   markServed(fingerprint: string, now: number): boolean {
     return this.merge({
       reports: [],
@@ -55,11 +56,11 @@
     }, now);
   }
 
-  /** Takes in what another daemon knows; false when nothing of it is new. */
+  /** Merges another daemon's reports; returns false if nothing changed. */
   merge(page: CrashPage, now: number): boolean {
     const before = this.#checksum;
     for (const { ageMilliseconds, ...report } of page.reports) {
-      const key = keyOf(report);
+      const key = reportKey(report);
       if (ageMilliseconds >= REPORT_LIFETIME_MILLISECONDS) continue;
       if (this.#reports.has(key)) continue;
       this.#reports.set(key, { ...report, at: now - ageMilliseconds });
@@ -69,35 +70,38 @@
       if (this.#served.has(fingerprint)) continue;
       this.#served.set(fingerprint, now - ageMilliseconds);
     }
-    this.#dropOld(now);
-    this.#dropSurplus();
-    this.#settle();
+    this.#dropExpired(now);
+    this.#dropExcess();
+    this.#recompute();
     return this.#checksum !== before;
   }
 
-  /** Drops what is too old; false when nothing was. */
+  /** Drops expired reports; returns false if there were none. */
   sweep(now: number): boolean {
     const before = this.#checksum;
-    this.#dropOld(now);
-    this.#settle();
+    this.#dropExpired(now);
+    this.#recompute();
     return this.#checksum !== before;
   }
 
-  /** Everything, or what concerns one request. */
+  /** Returns all reports, or those of one request. */
   page(now: number, fingerprint?: string): CrashPage {
-    const isAsked = (one: string): boolean =>
-      fingerprint === undefined || one === fingerprint;
+    const isIncluded = (candidate: string): boolean =>
+      fingerprint === undefined || candidate === fingerprint;
     return {
       reports: [...this.#reports.values()]
-        .filter((one) => isAsked(one.fingerprint))
+        .filter((report) => isIncluded(report.fingerprint))
         .map(({ at, ...report }) => ({ ...report, ageMilliseconds: now - at })),
       served: [...this.#served]
-        .filter(([one]) => isAsked(one))
-        .map(([one, at]) => ({ fingerprint: one, ageMilliseconds: now - at })),
+        .filter(([served]) => isIncluded(served))
+        .map(([served, at]) => ({
+          fingerprint: served,
+          ageMilliseconds: now - at,
+        })),
     };
   }
 
-  #dropOld(now: number): void {
+  #dropExpired(now: number): void {
     const oldest = now - REPORT_LIFETIME_MILLISECONDS;
     for (const [key, { at }] of this.#reports) {
       if (at <= oldest) this.#reports.delete(key);
@@ -107,25 +111,29 @@
     }
   }
 
-  #dropSurplus(): void {
-    const oldest = [...this.#served.keys()].slice(0, -MOST_REPORTS);
+  #dropExcess(): void {
+    const oldest = [...this.#served.keys()].slice(0, -MAXIMUM_REPORTS);
     for (const fingerprint of oldest) this.#served.delete(fingerprint);
-    const surplus = this.#reports.size - MOST_REPORTS;
+    const surplus = this.#reports.size - MAXIMUM_REPORTS;
     if (surplus <= 0) return;
-    const rank = (one: KeptReport): number =>
-      this.#poison.has(one.fingerprint) ? 1 : 0;
+    const rank = (report: StoredReport): number =>
+      this.#poison.has(report.fingerprint) ? 1 : 0;
     const dropped = [...this.#reports]
-      .sort(([, one], [, other]) =>
-        rank(one) - rank(other) || one.at - other.at
+      .sort(([, left], [, right]) =>
+        rank(left) - rank(right) || left.at - right.at
       )
       .slice(0, surplus);
     for (const [key] of dropped) this.#reports.delete(key);
   }
 
-  #settle(): void {
+  #recompute(): void {
     const served = new Set(this.#served.keys());
-    const reported = [...this.#reports.values()].map((one) => one.fingerprint);
-    this.#suspects = new Set(reported.filter((one) => !served.has(one)));
+    const reportedFingerprints = [...this.#reports.values()].map((report) =>
+      report.fingerprint
+    );
+    this.#suspects = new Set(
+      reportedFingerprints.filter((fingerprint) => !served.has(fingerprint)),
+    );
     this.#poison = findPoisonRequests(this.#reports.values(), served);
     const keys = [
       ...this.#reports.keys(),
@@ -135,6 +143,6 @@
   }
 }
 
-function keyOf({ fingerprint, crash }: CrashReport): string {
+function reportKey({ fingerprint, crash }: CrashReport): string {
   return `${fingerprint} ${crash}`;
 }
--- a/packages/kelpspar-decisions/src/quarantine/crash_page.ts
+++ b/packages/kelpspar-decisions/src/quarantine/crash_page.ts
@@ -1,18 +1,18 @@
 import type { CrashReport } from "./crash_report.ts";
 
-/** A report and how long ago the crash was seen. */
+/** A report and the age of the observed crash. */
 export interface AgedCrashReport extends CrashReport {
   readonly ageMilliseconds: number;
 }
 
-/** A request that ended well, and how long ago that was seen. */
-export interface AgedServed {
+/** A request that was served, and how long ago. */
+export interface AgedServedRequest {
   readonly fingerprint: string;
   readonly ageMilliseconds: number;
 }
 
-/** Reports as daemons pass them on; ages, since clocks differ. */
+/** Reports exchanged between daemons; uses ages, because clocks differ. */
 export interface CrashPage {
   readonly reports: readonly AgedCrashReport[];
-  readonly served: readonly AgedServed[];
+  readonly served: readonly AgedServedRequest[];
 }
--- a/packages/kelpspar-decisions/src/quarantine/crash_report.ts
+++ b/packages/kelpspar-decisions/src/quarantine/crash_report.ts
@@ -1,12 +1,12 @@
 /** A request that was at an endpoint when that endpoint crashed. */
 export interface CrashReport {
-  /** Names the request, whatever the id of its attempt. */
+  /** Identifies the request across its attempts. */
   readonly fingerprint: string;
-  /** Names the crash: the life of the endpoint that ended with it. */
+  /** Identifies the crash: the incarnation of the endpoint that it ended. */
   readonly crash: string;
   /**
-   * From the beginning of the request's answer to the crash, milliseconds;
-   * undefined when nothing of the answer had come.
+   * Time from the start of the request's answer to the crash, milliseconds;
+   * undefined if no part of the answer had arrived.
    */
   readonly ranMilliseconds: number | undefined;
 }
--- a/packages/kelpspar-decisions/src/quarantine/find_poison_requests.ts
+++ b/packages/kelpspar-decisions/src/quarantine/find_poison_requests.ts
@@ -1,42 +1,43 @@
 import type { CrashReport } from "./crash_report.ts";
 
-/** Crashes that nothing else explains, from which on a request is poison. */
-export const POISON_CRASHES = 3;
+/** Unexplained crashes from which a request counts as poison. */
+export const POISON_CRASH_THRESHOLD = 3;
 
-/** What is known of one request that may be poison. */
+/** A request that may be poison, with its crashes. */
 interface Suspect {
   readonly fingerprint: string;
   readonly crashes: ReadonlySet<string>;
-  /** Crashes before which its answer had begun. */
-  readonly begun: number;
+  /** Crashes that happened after its answer had started. */
+  readonly runCount: number;
   readonly ranMilliseconds: number;
 }
 
 /**
- * Finds the requests that crash the endpoints that run them.
+ * Finds the poison requests: those that crash the endpoints that run them.
  *
- * All requests at an endpoint end with it, and callers repeat them, so that
- * innocent requests are found at several crashes too. A crash that a poison
- * request explains counts against nobody else; which one explains it is decided
- * anew from all reports, so that a wrong guess lasts until the next crash.
- * Requests in `served` ended well somewhere and are never poison.
+ * A crash ends all requests at the endpoint, and callers retry them, so that
+ * harmless requests are reported at several crashes too. A crash explained by a
+ * poison request therefore doesn't count against the other requests. The
+ * assignment is recomputed from all reports each time, so that a wrong guess
+ * lasts until the next crash. Requests in `served` completed somewhere and are
+ * never poison.
  */
 export function findPoisonRequests(
   reports: Iterable<CrashReport>,
   served: ReadonlySet<string>,
 ): ReadonlySet<string> {
-  const suspects = toSuspects(reports, served);
+  const suspects = groupBySuspect(reports, served);
   const explained = new Set<string>();
   const poison = new Set<string>();
   for (;;) {
-    const worst = findWorst(suspects, explained);
-    if (worst === undefined) return poison;
-    poison.add(worst.fingerprint);
-    for (const crash of worst.crashes) explained.add(crash);
+    const mostSuspicious = findMostSuspicious(suspects, explained);
+    if (mostSuspicious === undefined) return poison;
+    poison.add(mostSuspicious.fingerprint);
+    for (const crash of mostSuspicious.crashes) explained.add(crash);
   }
 }
 
-function toSuspects(
+function groupBySuspect(
   reports: Iterable<CrashReport>,
   served: ReadonlySet<string>,
 ): readonly Suspect[] {
@@ -47,44 +48,46 @@
     if (known === undefined) byFingerprint.set(report.fingerprint, [report]);
     else known.push(report);
   }
-  return [...byFingerprint].map(([fingerprint, ofOne]) => ({
+  return [...byFingerprint].map(([fingerprint, requestReports]) => ({
     fingerprint,
-    crashes: new Set(ofOne.map(({ crash }) => crash)),
-    begun: ofOne.filter((one) => one.ranMilliseconds !== undefined).length,
-    ranMilliseconds: ofOne.reduce(
-      (sum, one) => sum + (one.ranMilliseconds ?? 0),
+    crashes: new Set(requestReports.map(({ crash }) => crash)),
+    runCount:
+      requestReports.filter((report) => report.ranMilliseconds !== undefined)
+        .length,
+    ranMilliseconds: requestReports.reduce(
+      (sum, report) => sum + (report.ranMilliseconds ?? 0),
       0,
     ),
   }));
 }
 
-/** The suspect with the most crashes that aren't explained yet. */
-function findWorst(
+/** Returns the suspect with the most unexplained crashes. */
+function findMostSuspicious(
   suspects: readonly Suspect[],
   explained: ReadonlySet<string>,
 ): Suspect | undefined {
-  let worst: Suspect | undefined;
-  let worstCount = POISON_CRASHES - 1;
+  let mostSuspicious: Suspect | undefined;
+  let highestCount = POISON_CRASH_THRESHOLD - 1;
   for (const suspect of suspects) {
-    const count = [...suspect.crashes].filter((one) => !explained.has(one))
+    const count = [...suspect.crashes].filter((crash) => !explained.has(crash))
       .length;
-    const isWorse = count > worstCount ||
-      (worst !== undefined && count === worstCount &&
-        isLikelier(suspect, worst));
-    if (isWorse) [worst, worstCount] = [suspect, count];
+    const isMoreSuspicious = count > highestCount ||
+      (mostSuspicious !== undefined && count === highestCount &&
+        isMoreLikelyCause(suspect, mostSuspicious));
+    if (isMoreSuspicious) [mostSuspicious, highestCount] = [suspect, count];
   }
-  return worst;
+  return mostSuspicious;
 }
 
 /**
- * Of requests found at as many crashes the likelier cause is the one that had
- * begun more often, and shortly before. The order of names makes all daemons
- * choose alike.
+ * Breaks ties between requests with equally many crashes: the likelier cause
+ * had started before more of them, and had run for less time until then. The
+ * order of fingerprints makes the choice the same on all daemons.
  */
-function isLikelier(one: Suspect, other: Suspect): boolean {
-  if (one.begun !== other.begun) return one.begun > other.begun;
-  if (one.ranMilliseconds !== other.ranMilliseconds) {
-    return one.ranMilliseconds < other.ranMilliseconds;
+function isMoreLikelyCause(left: Suspect, right: Suspect): boolean {
+  if (left.runCount !== right.runCount) return left.runCount > right.runCount;
+  if (left.ranMilliseconds !== right.ranMilliseconds) {
+    return left.ranMilliseconds < right.ranMilliseconds;
   }
-  return one.fingerprint < other.fingerprint;
+  return left.fingerprint < right.fingerprint;
 }
