--- a/packages/kelpspar-daemon/src/requests/arrival_check.ts
+++ b/packages/kelpspar-daemon/src/requests/arrival_check.ts
@@ -5,7 +5,7 @@
 import type { RequestContext } from "./request_context.ts";
 import type { RequestRegistry } from "./request_registry.ts";
 import type { TimerService } from "kelpspar-shared";
-import { comebackMilliseconds } from "kelpspar-decisions/retries";
+import { retryDelayMilliseconds } from "kelpspar-decisions/retries";
 import { KelpsparError as ResultError } from "kelpspar-shared";
 
 const COMEBACK_MILLISECONDS = 500;
@@ -81,7 +81,7 @@
 
   /** When a refused caller may come back, jittered, milliseconds. */
   comeback(): number {
-    return comebackMilliseconds(COMEBACK_MILLISECONDS, this.#options);
+    return retryDelayMilliseconds(COMEBACK_MILLISECONDS, this.#options);
   }
 
   /** The refusal of a request whose claim cannot be stored. */
--- a/packages/kelpspar-daemon/src/requests/hedged_call.ts
+++ b/packages/kelpspar-daemon/src/requests/hedged_call.ts
@@ -63,7 +63,7 @@
     const winner = await this.#race(first, hedge);
     hedge.stop();
     const isFirst = winner.plan === first.plan;
-    parts.hedges.recordTime(serviceId, {
+    parts.hedges.recordLatency(serviceId, {
       milliseconds: timer.now() - startedAt,
       now: timer.now(),
     });
@@ -85,7 +85,7 @@
     const { trace, service } = this.#task;
     const after = trace.once || service.kind === "engine"
       ? undefined
-      : parts.hedges.hedgeAfter(service.id, startedAt);
+      : parts.hedges.hedgeDelay(service.id, startedAt);
     if (after === undefined) {
       const none = Promise.resolve(undefined);
       return { started: none, current: () => undefined, stop: () => {} };
@@ -186,7 +186,7 @@
         attempt,
         isCancelled: attempt.end === undefined,
       });
-      this.#services.parts.hedges.settle(this.#task.service.id, {
+      this.#services.parts.hedges.recordWinner(this.#task.service.id, {
         winner: isFirstWinner ? "first" : "hedge",
         lostRunnerMilliseconds: attempt.milliseconds,
       });
--- a/packages/kelpspar-daemon/src/scheduling/fair_scheduler.ts
+++ b/packages/kelpspar-daemon/src/scheduling/fair_scheduler.ts
@@ -16,7 +16,7 @@
   FairQueue,
   findServiceDemand,
 } from "kelpspar-decisions/fairness";
-import { comebackMilliseconds } from "kelpspar-decisions/retries";
+import { retryDelayMilliseconds } from "kelpspar-decisions/retries";
 import { KelpsparError } from "kelpspar-shared";
 import { createPermit } from "./create_permit.ts";
 import { DemandMeter } from "./demand_meter.ts";
@@ -216,7 +216,7 @@
       }),
       choose: (request) => this.#endpoints.choose(request),
       now: () => timer.now(),
-      comeback: () => comebackMilliseconds(COMEBACK_MILLISECONDS, { random }),
+      comeback: () => retryDelayMilliseconds(COMEBACK_MILLISECONDS, { random }),
     });
     this.#gates.set(serviceId, gate);
     this.#setShares(serviceId, gate);
--- a/packages/kelpspar-decisions/src/__tests__/unit/hedging_policy_test.ts
+++ b/packages/kelpspar-decisions/src/__tests__/unit/hedging_policy_test.ts
@@ -14,17 +14,17 @@
   otherEndpoints: 1,
 };
 
-function warm(calls: number): HedgePolicy {
+function createWarmPolicy(calls: number): HedgePolicy {
   const policy = new HedgePolicy();
   for (let call = 0; call < calls; call++) {
     policy.recordCall("rank", 0);
-    policy.recordTime("rank", { milliseconds: call % 100, now: 0 });
+    policy.recordLatency("rank", { milliseconds: call % 100, now: 0 });
   }
   return policy;
 }
 
-test("only a late, repeatable call is hedged, with room to spare", () => {
-  const policy = warm(100);
+test("only late, repeatable calls are hedged, below saturation", () => {
+  const policy = createWarmPolicy(100);
   const cases: [Partial<HedgeRequest>, string][] = [
     [{ effect: "once" }, "not_repeatable"],
     [{ isStreaming: true }, "streaming"],
@@ -40,19 +40,18 @@
     expect<unknown>(decision).toEqual({ hedge: false, obstacle });
   }
   expect(policy.tryHedge(LATE, 0).hedge).toEqual(true);
-  expect(warm(49).tryHedge(LATE, 0).hedge).toEqual(false);
+  expect(createWarmPolicy(49).tryHedge(LATE, 0).hedge).toEqual(false);
 });
 
-test("hedges stay within their share of the calls, and state their cost", () => {
-  // Symptom: a service that gets slow gets more calls just then.
-  // Sequence: all calls pass the old p95 at once; each is hedged.
-  // Cause: hedging by lateness alone.
-  const policy = warm(100);
+test("hedges stay within their share of calls, and their cost is counted", () => {
+  // Guards against extra load on a service that slows down: all calls exceed
+  // the previous p95 at once and would all be hedged without a budget.
+  const policy = createWarmPolicy(100);
   for (let now = 0; now < 50_000; now += 20) {
     policy.recordCall("rank", now);
     if (!policy.tryHedge(LATE, now).hedge) continue;
     const winner = now < 25_000 ? "hedge" : "first";
-    policy.settle("rank", { winner, lostRunnerMilliseconds: 30 });
+    policy.recordWinner("rank", { winner, lostRunnerMilliseconds: 30 });
   }
   const { calls, hedges, wins, lostRunnerMilliseconds } = policy.cost("rank");
   expect(calls).toEqual(2_600);
--- a/packages/kelpspar-decisions/src/__tests__/unit/retries_budget_test.ts
+++ b/packages/kelpspar-decisions/src/__tests__/unit/retries_budget_test.ts
@@ -2,7 +2,7 @@
 import { expect } from "earl";
 import fc from "fast-check";
 import { SeededRandom } from "kelpspar-shared";
-import { comebackMilliseconds, RetryBudget } from "../../retries/mod.ts";
+import { RetryBudget, retryDelayMilliseconds } from "../../retries/mod.ts";
 
 const event = fc.record({
   isRetry: fc.boolean(),
@@ -11,7 +11,7 @@
   wait: fc.oneof(fc.nat({ max: 300 }), fc.nat({ max: 30_000 })),
 });
 
-test("the budget allows what a recount of the window allows", () => {
+test("the budget matches a recount of the window", () => {
   fc.assert(
     fc.property(
       fc.array(event, { minLength: 30, maxLength: 300 }),
@@ -19,21 +19,24 @@
         const budget = new RetryBudget({ share: 0.3, floor: 1 });
         const past: (typeof events[number] & { at: number })[] = [];
         let now = 0;
-        for (const one of events) {
-          now += one.wait;
+        for (const step of events) {
+          now += step.wait;
           const recent = past.filter(({ at }) =>
             Math.floor(at / 1_000) > Math.floor(now / 1_000) - 10
           );
-          const hasRoom = (name: "accountId" | "serviceId"): boolean => {
-            const mine = recent.filter((other) => other[name] === one[name]);
-            const retries = mine.filter(({ isRetry }) => isRetry).length;
-            return retries + 1 <= 1 + 0.3 * (mine.length - retries);
+          const isWithinBudget = (name: "accountId" | "serviceId"): boolean => {
+            const matching = recent.filter((other) =>
+              other[name] === step[name]
+            );
+            const retries = matching.filter(({ isRetry }) => isRetry).length;
+            return retries + 1 <= 1 + 0.3 * (matching.length - retries);
           };
-          const isAllowed = hasRoom("accountId") && hasRoom("serviceId");
-          expect(budget.allows(one, now)).toEqual(isAllowed);
-          if (!one.isRetry) budget.recordSuccess(one, now);
-          else expect(budget.trySpend(one, now)).toEqual(isAllowed);
-          if (!one.isRetry || isAllowed) past.push({ ...one, at: now });
+          const isAllowed = isWithinBudget("accountId") &&
+            isWithinBudget("serviceId");
+          expect(budget.allows(step, now)).toEqual(isAllowed);
+          if (!step.isRetry) budget.recordSuccess(step, now);
+          else expect(budget.trySpend(step, now)).toEqual(isAllowed);
+          if (!step.isRetry || isAllowed) past.push({ ...step, at: now });
         }
       },
     ),
@@ -41,10 +44,9 @@
   );
 });
 
-test("four stages that fail together don't multiply their calls", () => {
-  // Symptom: a fleet that slows down gets several times its usual calls.
-  // Sequence: every stage fails half of its calls; each is retried.
-  // Cause: retries without a budget, 2 x 2 x 2 x 2 calls for a request.
+test("retries at four failing stages don't multiply the calls", () => {
+  // Guards against a retry storm: every stage fails half of its calls, and
+  // retries without a budget make 2 x 2 x 2 x 2 calls for one request.
   const budget = new RetryBudget();
   const random = new SeededRandom(1);
   let [calls, retries] = [0, 0];
@@ -59,13 +61,15 @@
   expect(retries > 0 && retries <= 0.06 * calls).toEqual(true);
 });
 
-test("a refused caller's wait is jittered, doubled and bounded", () => {
+test("the retry delay of a rejected caller is jittered, doubled and bounded", () => {
   const random = new SeededRandom(1);
-  const waits = Array.from({ length: 500 }, () => {
-    return comebackMilliseconds(100, { random, failuresInARow: 2 });
+  const delays = Array.from({ length: 500 }, () => {
+    return retryDelayMilliseconds(100, { random, consecutiveFailures: 2 });
   });
-  expect(Math.min(...waits) >= 200 && Math.max(...waits) <= 600).toEqual(true);
-  expect(new Set(waits).size > 200).toEqual(true);
-  expect(comebackMilliseconds(1e9, { random }) <= 45_000).toEqual(true);
-  expect(comebackMilliseconds(0, { random }) >= 25).toEqual(true);
+  expect(Math.min(...delays) >= 200 && Math.max(...delays) <= 600).toEqual(
+    true,
+  );
+  expect(new Set(delays).size > 200).toEqual(true);
+  expect(retryDelayMilliseconds(1e9, { random }) <= 45_000).toEqual(true);
+  expect(retryDelayMilliseconds(0, { random }) >= 25).toEqual(true);
 });
--- a/packages/kelpspar-decisions/src/__tests__/unit/retries_decision_test.ts
+++ b/packages/kelpspar-decisions/src/__tests__/unit/retries_decision_test.ts
@@ -1,11 +1,11 @@
-import type { RetrySituation } from "../../retries/mod.ts";
+import type { RetryContext } from "../../retries/mod.ts";
 import { test } from "node:test";
 import { expect } from "earl";
 import fc from "fast-check";
 import { RESULT_CODES } from "kelpspar-shared";
 import { decideRetry } from "../../retries/mod.ts";
 
-const USUAL: RetrySituation = {
+const DEFAULT_CONTEXT: RetryContext = {
   result: "endpoint_failed",
   effect: "none",
   earlierAttemptMayHaveRun: false,
@@ -24,8 +24,8 @@
 
 const names = Object.keys(RESULT_CODES) as (keyof typeof RESULT_CODES)[];
 const endpointNames = names.filter((name) => name.startsWith("endpoint_"));
-const few = fc.nat({ max: 3 });
-const situations: fc.Arbitrary<RetrySituation> = fc.record({
+const smallNumber = fc.nat({ max: 3 });
+const contexts: fc.Arbitrary<RetryContext> = fc.record({
   result: fc.oneof(
     fc.constantFrom(...endpointNames),
     fc.constantFrom(...names),
@@ -33,45 +33,51 @@
   record: fc.constantFrom({}, { started: true }, { started: false }),
   effect: fc.constantFrom("none", "once"),
   earlierAttemptMayHaveRun: fc.boolean(),
-  receivedLength: few,
-  deliveredLength: few,
+  receivedLength: smallNumber,
+  deliveredLength: smallNumber,
   remainingMilliseconds: fc.integer({ min: -20, max: 200 }),
   minimumMilliseconds: fc.constant(100),
-  attempts: few,
-  resumes: few,
+  attempts: smallNumber,
+  resumes: smallNumber,
   budgetAllows: fc.boolean(),
-  otherEndpoints: few,
+  otherEndpoints: smallNumber,
   canResume: fc.boolean(),
   canContinue: fc.boolean(),
   outcomeBefore: fc.constantFrom("not_run", "outcome_unknown"),
 }).map(({ record, ...rest }) => ({ ...rest, ...record }));
 
-test("no decision breaks a promise, whatever the situation", () => {
+test("every decision respects the guarantees, whatever the context", () => {
   fc.assert(
-    fc.property(situations, (one) => {
-      const vouched = one.started === undefined
-        ? one.result === "endpoint_refused"
-        : !one.started;
-      const isProved = vouched && !one.earlierAttemptMayHaveRun &&
-        one.resumes === 0 && one.receivedLength === 0;
-      const mayRunAgain = one.effect === "none" || isProved;
-      const maySend = mayRunAgain && one.budgetAllows && one.attempts < 3 &&
-        one.otherEndpoints > 0 && one.remainingMilliseconds >= 100;
-      const isWhole = one.deliveredLength === 0;
-      const decision = decideRetry(one);
+    fc.property(contexts, (context) => {
+      const isReportedNotRun = context.started === undefined
+        ? context.result === "endpoint_refused"
+        : !context.started;
+      const isProven = isReportedNotRun && !context.earlierAttemptMayHaveRun &&
+        context.resumes === 0 && context.receivedLength === 0;
+      const mayRunAgain = context.effect === "none" || isProven;
+      const maySend = mayRunAgain && context.budgetAllows &&
+        context.attempts < 3 &&
+        context.otherEndpoints > 0 && context.remainingMilliseconds >= 100;
+      const isWhole = context.deliveredLength === 0;
+      const decision = decideRetry(context);
       if (decision.action === "retry_elsewhere") {
         expect(maySend && isWhole).toEqual(true);
       } else if (decision.action === "continue_elsewhere") {
-        expect(maySend && one.canContinue && decision.offset > 0).toEqual(true);
+        expect(maySend && context.canContinue && decision.offset > 0).toEqual(
+          true,
+        );
       } else if (decision.action === "resume") {
-        expect(one.canResume && one.started === undefined).toEqual(true);
-        expect(one.resumes < 2 && one.remainingMilliseconds > 0).toEqual(true);
+        expect(context.canResume && context.started === undefined).toEqual(
+          true,
+        );
+        expect(context.resumes < 2 && context.remainingMilliseconds > 0)
+          .toEqual(true);
       } else {
-        // Given up only when nothing helps, and `not_run` only when it is so.
-        const mayHelp = endpointNames.includes(one.result) && maySend;
+        // Fails only if no action helps; `not_run` only if that is proven.
+        const mayHelp = endpointNames.includes(context.result) && maySend;
         expect(mayHelp && isWhole).toEqual(false);
         expect(decision.outcome === "not_run").toEqual(
-          mayRunAgain && isWhole && one.outcomeBefore === "not_run",
+          mayRunAgain && isWhole && context.outcomeBefore === "not_run",
         );
       }
     }),
@@ -79,10 +85,10 @@
   );
 });
 
-test("the failures that come have the answers that help", () => {
+test("common failures get the expected decision", () => {
   const once = { effect: "once" } as const;
   const engine = { canResume: true, canContinue: true, receivedLength: 8 };
-  const cases: [Partial<RetrySituation>, string][] = [
+  const cases: [Partial<RetryContext>, string][] = [
     [{}, "retry_elsewhere"],
     [engine, "resume"],
     [{ ...engine, resumes: 2 }, "continue_elsewhere"],
@@ -95,7 +101,7 @@
     [{ result: "cancelled" }, "cancelled"],
   ];
   for (const [situation, expected] of cases) {
-    const decision = decideRetry({ ...USUAL, ...situation });
+    const decision = decideRetry({ ...DEFAULT_CONTEXT, ...situation });
     const { action } = decision;
     expect<string>(action === "fail" ? decision.result : action).toEqual(
       expected,
@@ -103,13 +109,13 @@
   }
 });
 
-test("a resumed call that did not start proves nothing of the first", () => {
-  // Symptom: two bookings for one request.
-  // Sequence: the endpoint runs the call and its connection breaks; the call
-  // is resumed; the endpoint knows the attempt no more: `started: false`.
-  // Cause: the record is taken as proof that the first call did not run.
+test("a resumed call that did not start is no proof for the first one", () => {
+  // Guards against running a `once` stage twice, such as two bookings for one
+  // request: the endpoint runs the call and its connection breaks; the call is
+  // resumed, and the endpoint no longer knows the attempt and answers
+  // `started: false`, which doesn't prove that the first call did not run.
   const resumed = { effect: "once", started: false, resumes: 1 } as const;
   const outcome = "outcome_unknown";
-  const decision = decideRetry({ ...USUAL, ...resumed });
+  const decision = decideRetry({ ...DEFAULT_CONTEXT, ...resumed });
   expect(decision).toEqual({ action: "fail", result: outcome, outcome });
 });
--- a/packages/kelpspar-decisions/src/admission/admission.ts
+++ b/packages/kelpspar-decisions/src/admission/admission.ts
@@ -3,7 +3,7 @@
 import type { AdmissionRequest } from "./admission_request.ts";
 import type { ProbeGateOptions } from "./probe_gate.ts";
 import type { StageTimeEstimator } from "./stage_time_estimator.ts";
-import { comebackMilliseconds } from "../retries/comeback.ts";
+import { retryDelayMilliseconds } from "../retries/retry_delay.ts";
 import { ProbeGate } from "./probe_gate.ts";
 
 /**
@@ -69,7 +69,7 @@
         ? "overloaded"
         : "cannot_finish_in_time",
       // Not before what waits now is done, or those refused come back at once.
-      retryAfterMilliseconds: comebackMilliseconds(
+      retryAfterMilliseconds: retryDelayMilliseconds(
         Math.max(wait, wait + work - remaining),
         { random: this.#random },
       ),
--- a/packages/kelpspar-decisions/src/fairness/fair_queue.ts
+++ b/packages/kelpspar-decisions/src/fairness/fair_queue.ts
@@ -4,7 +4,7 @@
 import type { QueueBounds } from "./queue_bounds.ts";
 import type { QueueRequest } from "./queue_request.ts";
 import type { DequeuedItem, ExpiredItem } from "./queued_item.ts";
-import { comebackMilliseconds } from "../retries/comeback.ts";
+import { retryDelayMilliseconds } from "../retries/retry_delay.ts";
 import { clampPriority } from "./account_queue.ts";
 import { AccountSchedule } from "./account_schedule.ts";
 import { IndexedHeap } from "./indexed_heap.ts";
@@ -115,7 +115,7 @@
     const wait = this.estimateWait(request.accountId, request.priority);
     if (wait > bounds.maximumWaitMilliseconds || this.#isFull(request)) {
       const options = { random: this.#random };
-      const retryAfterMilliseconds = comebackMilliseconds(wait, options);
+      const retryAfterMilliseconds = retryDelayMilliseconds(wait, options);
       return { queued: false, reason: "queue_full", retryAfterMilliseconds };
     }
     const entry = this.#createEntry(request, now);
--- a/packages/kelpspar-decisions/src/hedging/hedge_cost.ts
+++ b/packages/kelpspar-decisions/src/hedging/hedge_cost.ts
@@ -1,9 +1,9 @@
-/** What hedging one service cost, and what it gave. */
+/** Cost and benefit of hedging for one service. */
 export interface HedgeCost {
   readonly calls: number;
   readonly hedges: number;
-  /** Hedges whose answer came first. */
+  /** Hedges that answered before the first call. */
   readonly wins: number;
-  /** Time that endpoints spent on the calls that lost. */
+  /** Time that endpoints spent on the losing calls. */
   readonly lostRunnerMilliseconds: number;
 }
--- a/packages/kelpspar-decisions/src/hedging/hedge_decision.ts
+++ b/packages/kelpspar-decisions/src/hedging/hedge_decision.ts
@@ -9,7 +9,7 @@
   | "saturated"
   | "budget_spent";
 
-/** Whether to send the call a second time, to another endpoint. */
+/** Whether to send the call again, to another endpoint. */
 export type HedgeDecision =
   | { readonly hedge: true }
   | { readonly hedge: false; readonly obstacle: HedgeObstacle };
--- a/packages/kelpspar-decisions/src/hedging/hedge_request.ts
+++ b/packages/kelpspar-decisions/src/hedging/hedge_request.ts
@@ -1,17 +1,17 @@
-/** A call that is under way and might be hedged. */
+/** A call in flight that may be hedged. */
 export interface HedgeRequest {
   readonly serviceId: string;
-  /** `once` for a stage that acts on the world, which is never hedged. */
+  /** `once` for a stage with external side effects, which is never hedged. */
   readonly effect: "none" | "once";
-  /** True when parts of the result go on before its end. */
+  /** True when partial results are forwarded before the call ends. */
   readonly isStreaming: boolean;
   /** Time since the call was sent, milliseconds. */
   readonly elapsedMilliseconds: number;
   readonly remainingMilliseconds: number;
-  /** Calls running at the service by its concurrency, 0 to 1. */
+  /** Running calls of the service divided by its concurrency, 0 to 1. */
   readonly utilization: number;
-  /** Calls that wait in front of the service. */
+  /** Calls queued for the service. */
   readonly waiting: number;
-  /** Endpoints ready for the call beside the one that runs it. */
+  /** Ready endpoints other than the one that runs the call. */
   readonly otherEndpoints: number;
 }
--- a/packages/kelpspar-decisions/src/retries/mod.ts
+++ b/packages/kelpspar-decisions/src/retries/mod.ts
@@ -1,9 +1,9 @@
-export type { ComebackOptions } from "./comeback.ts";
+export type { RetryDelayOptions } from "./retry_delay.ts";
 export type { RetryBudgetKey, RetryBudgetOptions } from "./retry_budget.ts";
 export type { RetryDecision } from "./retry_decision.ts";
-export type { RetrySituation } from "./retry_situation.ts";
-export type { SlidingCounterOptions } from "./sliding_counter.ts";
-export { comebackMilliseconds } from "./comeback.ts";
+export type { RetryContext } from "./retry_context.ts";
+export type { SlidingWindowCounterOptions } from "./sliding_window_counter.ts";
+export { retryDelayMilliseconds } from "./retry_delay.ts";
 export { RetryBudget } from "./retry_budget.ts";
-export { decideRetry, isProvedNotRun } from "./retry_decision.ts";
-export { SlidingCounter } from "./sliding_counter.ts";
+export { decideRetry, isProvenNotRun } from "./retry_decision.ts";
+export { SlidingWindowCounter } from "./sliding_window_counter.ts";
--- a/packages/kelpspar-decisions/src/retries/retry_budget.ts
+++ b/packages/kelpspar-decisions/src/retries/retry_budget.ts
@@ -1,18 +1,18 @@
-import type { SlidingCounterOptions } from "./sliding_counter.ts";
-import { SlidingCounter } from "./sliding_counter.ts";
+import type { SlidingWindowCounterOptions } from "./sliding_window_counter.ts";
+import { SlidingWindowCounter } from "./sliding_window_counter.ts";
 
-const DEFAULT_SHARE = 0.1;
-const DEFAULT_FLOOR = 2;
+const DEFAULT_RETRY_SHARE = 0.1;
+const DEFAULT_RETRY_FLOOR = 2;
 
-/** How many retries are allowed. */
-export interface RetryBudgetOptions extends SlidingCounterOptions {
-  /** Retries allowed for each recent success; default 0.1. */
+/** Limits on retries. */
+export interface RetryBudgetOptions extends SlidingWindowCounterOptions {
+  /** Retries allowed per recent success; default 0.1. */
   readonly share?: number;
-  /** Retries allowed in a window without any success; default 2. */
+  /** Retries allowed in a window without successes; default 2. */
   readonly floor?: number;
 }
 
-/** Whose budgets a retry is taken from. */
+/** Client account and service whose budgets a retry is spent from. */
 export interface RetryBudgetKey {
   readonly accountId: string;
   /** The service that runs the stage. */
@@ -20,16 +20,16 @@
 }
 
 interface Tally {
-  readonly successes: SlidingCounter;
-  readonly retries: SlidingCounter;
+  readonly successes: SlidingWindowCounter;
+  readonly retries: SlidingWindowCounter;
 }
 
 /**
- * Retries are a share of recent successes, counted both by client account and
- * by service. Without a budget a service that starts to fail gets each call
- * several times over and can't recover, and with retries at each of four
- * stages one request becomes many; one sees a service's calls grow as its
- * answers become fewer. As the successes stop, so do the retries.
+ * Limits retries to a share of recent successes, both per client account and
+ * per service. Without a budget a failing service receives each call several
+ * times and can't recover, and retries at each of four stages multiply the
+ * calls of one request; the symptom is a service whose calls grow while its
+ * answers become fewer. With the budget, retries stop when successes stop.
  */
 export class RetryBudget {
   readonly #options: RetryBudgetOptions;
@@ -45,39 +45,39 @@
     for (const tally of this.#tallies(key)) tally.successes.add(1, now);
   }
 
-  /** True when both budgets have room for one more retry. */
+  /** True when both budgets allow one more retry. */
   allows(key: RetryBudgetKey, now: number): boolean {
-    return this.#tallies(key).every((tally) => this.#hasRoom(tally, now));
+    return this.#tallies(key).every((tally) => this.#hasBudget(tally, now));
   }
 
-  /** Takes a retry from both budgets; false when either has no room. */
+  /** Spends a retry from both budgets; returns false if either is exhausted. */
   trySpend(key: RetryBudgetKey, now: number): boolean {
     const tallies = this.#tallies(key);
-    if (!tallies.every((tally) => this.#hasRoom(tally, now))) return false;
+    if (!tallies.every((tally) => this.#hasBudget(tally, now))) return false;
     for (const tally of tallies) tally.retries.add(1, now);
     return true;
   }
 
-  #hasRoom(tally: Tally, now: number): boolean {
-    const share = this.#options.share ?? DEFAULT_SHARE;
-    const floor = this.#options.floor ?? DEFAULT_FLOOR;
+  #hasBudget(tally: Tally, now: number): boolean {
+    const share = this.#options.share ?? DEFAULT_RETRY_SHARE;
+    const floor = this.#options.floor ?? DEFAULT_RETRY_FLOOR;
     const allowed = floor + share * tally.successes.sum(now);
     return tally.retries.sum(now) + 1 <= allowed;
   }
 
   #tallies(key: RetryBudgetKey): readonly [Tally, Tally] {
     return [
-      this.#open(this.#accounts, key.accountId),
-      this.#open(this.#services, key.serviceId),
+      this.#getOrCreateTally(this.#accounts, key.accountId),
+      this.#getOrCreateTally(this.#services, key.serviceId),
     ];
   }
 
-  #open(tallies: Map<string, Tally>, id: string): Tally {
+  #getOrCreateTally(tallies: Map<string, Tally>, id: string): Tally {
     const known = tallies.get(id);
     if (known !== undefined) return known;
     const tally = {
-      successes: new SlidingCounter(this.#options),
-      retries: new SlidingCounter(this.#options),
+      successes: new SlidingWindowCounter(this.#options),
+      retries: new SlidingWindowCounter(this.#options),
     };
     tallies.set(id, tally);
     return tally;
--- a/packages/kelpspar-decisions/src/retries/retry_decision.ts
+++ b/packages/kelpspar-decisions/src/retries/retry_decision.ts
@@ -1,13 +1,14 @@
 import type { Outcome, ResultName } from "kelpspar-shared";
-import type { RetrySituation } from "./retry_situation.ts";
+import type { RetryContext } from "./retry_context.ts";
 
-const MOST_ATTEMPTS = 3;
-const MOST_RESUMES = 2;
+const MAXIMUM_ATTEMPTS = 3;
+const MAXIMUM_RESUMES = 2;
 
 /**
  * What to do after a failed attempt. `retry_elsewhere` and
- * `continue_elsewhere` send a new attempt, to be taken from the budget and
- * charged to the account; `resume` takes up the same attempt and is neither.
+ * `continue_elsewhere` send a new attempt, which is spent from the retry budget
+ * and charged to the client account; `resume` reconnects to the same attempt
+ * and is neither.
  */
 export type RetryDecision =
   | { readonly action: "retry_elsewhere" }
@@ -21,7 +22,7 @@
 
 type RetryAction = Exclude<RetryDecision["action"], "fail">;
 
-/** What may help after a failure without a record, best first. */
+/** Actions that may help after each failure, in order of preference. */
 const ACTIONS_BY_RESULT: Partial<Record<ResultName, readonly RetryAction[]>> = {
   endpoint_refused: ["continue_elsewhere", "retry_elsewhere"],
   endpoint_leaving: ["continue_elsewhere", "retry_elsewhere"],
@@ -31,7 +32,7 @@
   foreign_result: ["continue_elsewhere", "retry_elsewhere"],
 };
 
-const CHECKS: Record<RetryAction, (situation: RetrySituation) => boolean> = {
+const CHECKS: Record<RetryAction, (context: RetryContext) => boolean> = {
   resume: mayResume,
   continue_elsewhere: mayContinueElsewhere,
   retry_elsewhere: mayRetryElsewhere,
@@ -43,82 +44,82 @@
   retry_elsewhere: () => ({ action: "retry_elsewhere" }),
 };
 
-/** Decides at once; what can't be helped is never held until the deadline. */
-export function decideRetry(situation: RetrySituation): RetryDecision {
-  const actions = ACTIONS_BY_RESULT[situation.result] ?? [];
+/** Decides what to do; fails at once, not at the deadline, if nothing helps. */
+export function decideRetry(context: RetryContext): RetryDecision {
+  const actions = ACTIONS_BY_RESULT[context.result] ?? [];
   for (const action of actions) {
-    if (!CHECKS[action](situation)) continue;
-    return DECISIONS[action](situation.receivedLength);
+    if (!CHECKS[action](context)) continue;
+    return DECISIONS[action](context.receivedLength);
   }
-  return { action: "fail", ...describeFailure(situation) };
+  return { action: "fail", ...describeFailure(context) };
 }
 
 /**
- * True only when no endpoint can have run this stage. A record that says
- * `started: false` vouches for its own call alone: as the answer to a resumed
- * attempt it says nothing of the call that broke. Taken as proof then, a
- * `once` stage would run twice; one would see two bookings.
+ * True only when no endpoint can have run this stage. A failure record with
+ * `started: false` covers its own call only: as the answer to a resumed attempt
+ * it doesn't cover the call whose connection broke. Accepting it as proof there
+ * would run a `once` stage twice, for example make two bookings.
  */
-export function isProvedNotRun(situation: RetrySituation): boolean {
-  if (situation.earlierAttemptMayHaveRun || situation.resumes > 0) return false;
-  if (situation.receivedLength > 0) return false;
-  if (situation.started !== undefined) return !situation.started;
-  return situation.result === "endpoint_refused";
+export function isProvenNotRun(context: RetryContext): boolean {
+  if (context.earlierAttemptMayHaveRun || context.resumes > 0) return false;
+  if (context.receivedLength > 0) return false;
+  if (context.started !== undefined) return !context.started;
+  return context.result === "endpoint_refused";
 }
 
-function mayResume(situation: RetrySituation): boolean {
+function mayResume(context: RetryContext): boolean {
   // An endpoint that sent a failure record has ended the attempt.
-  if (situation.started !== undefined) return false;
-  return situation.canResume && situation.resumes < MOST_RESUMES &&
-    situation.remainingMilliseconds > 0;
+  if (context.started !== undefined) return false;
+  return context.canResume && context.resumes < MAXIMUM_RESUMES &&
+    context.remainingMilliseconds > 0;
 }
 
-function mayContinueElsewhere(situation: RetrySituation): boolean {
-  return situation.canContinue && situation.receivedLength > 0 &&
-    maySendAgain(situation);
+function mayContinueElsewhere(context: RetryContext): boolean {
+  return context.canContinue && context.receivedLength > 0 &&
+    mayResend(context);
 }
 
-function mayRetryElsewhere(situation: RetrySituation): boolean {
-  // A new run may write another text. After a part has gone to the caller its
-  // answer would be put together from two texts, with a checksum that fits.
-  return situation.deliveredLength === 0 && maySendAgain(situation);
+function mayRetryElsewhere(context: RetryContext): boolean {
+  // A new run may generate a different text. After a part was delivered, the
+  // caller's answer would be a mix of two texts with a matching checksum.
+  return context.deliveredLength === 0 && mayResend(context);
 }
 
-function maySendAgain(situation: RetrySituation): boolean {
-  if (situation.effect === "once" && !isProvedNotRun(situation)) return false;
-  return situation.attempts < MOST_ATTEMPTS && situation.budgetAllows &&
-    situation.otherEndpoints > 0 && hasTime(situation);
+function mayResend(context: RetryContext): boolean {
+  if (context.effect === "once" && !isProvenNotRun(context)) return false;
+  return context.attempts < MAXIMUM_ATTEMPTS && context.budgetAllows &&
+    context.otherEndpoints > 0 && hasTime(context);
 }
 
-function hasTime(situation: RetrySituation): boolean {
-  return situation.remainingMilliseconds > 0 &&
-    situation.remainingMilliseconds >= situation.minimumMilliseconds;
+function hasTime(context: RetryContext): boolean {
+  return context.remainingMilliseconds > 0 &&
+    context.remainingMilliseconds >= context.minimumMilliseconds;
 }
 
 function describeFailure(
-  situation: RetrySituation,
+  context: RetryContext,
 ): { readonly result: ResultName; readonly outcome: Outcome } {
-  const isProved = isProvedNotRun(situation);
-  const mayHaveActed = situation.effect === "once" && !isProved;
-  const outcome = mayHaveActed || situation.deliveredLength > 0
+  const isProven = isProvenNotRun(context);
+  const mayHaveActed = context.effect === "once" && !isProven;
+  const outcome = mayHaveActed || context.deliveredLength > 0
     ? "outcome_unknown"
-    : situation.outcomeBefore;
+    : context.outcomeBefore;
   return {
-    result: nameFailure(situation, { isProved, mayHaveActed }),
+    result: failureResult(context, { isProven, mayHaveActed }),
     outcome,
   };
 }
 
-function nameFailure(
-  situation: RetrySituation,
-  known: { readonly isProved: boolean; readonly mayHaveActed: boolean },
+function failureResult(
+  context: RetryContext,
+  flags: { readonly isProven: boolean; readonly mayHaveActed: boolean },
 ): ResultName {
-  if (ACTIONS_BY_RESULT[situation.result] === undefined) {
-    return situation.result;
+  if (ACTIONS_BY_RESULT[context.result] === undefined) {
+    return context.result;
   }
-  if (known.mayHaveActed) return "outcome_unknown";
-  if (!hasTime(situation)) return "deadline_exceeded";
-  if (situation.deliveredLength > 0) return "stream_cut";
-  if (known.isProved && situation.otherEndpoints === 0) return "no_endpoint";
+  if (flags.mayHaveActed) return "outcome_unknown";
+  if (!hasTime(context)) return "deadline_exceeded";
+  if (context.deliveredLength > 0) return "stream_cut";
+  if (flags.isProven && context.otherEndpoints === 0) return "no_endpoint";
   return "stage_failed";
 }
--- a/packages/kelpspar-decisions/src/retries/comeback.ts
+++ b/packages/kelpspar-decisions/src/retries/retry_delay.ts
@@ -4,11 +4,11 @@
 const SHORTEST_MILLISECONDS = 50;
 const LONGEST_MILLISECONDS = 30_000;
 
-/** Bounds of the wait that a refused caller is told. */
-export interface ComebackOptions {
+/** Bounds of the retry delay that a rejected caller gets. */
+export interface RetryDelayOptions {
   readonly random: RandomSource;
-  /** Failures in a row that the caller has had; each doubles the wait. */
-  readonly failuresInARow?: number;
+  /** The caller's consecutive failures; each doubles the delay. */
+  readonly consecutiveFailures?: number;
   /** Default 50 milliseconds. */
   readonly shortestMilliseconds?: number;
   /** Default 30,000 milliseconds. */
@@ -16,19 +16,20 @@
 }
 
 /**
- * When a refused caller should come back, in whole milliseconds: `wait`,
- * doubled for each failure in a row, times a chance factor from 0.5 to 1.5.
+ * Returns the delay after which a rejected caller should retry, in whole
+ * milliseconds: `wait`, doubled for each consecutive failure, times a random
+ * factor from 0.5 to 1.5.
  *
- * Without the chance factor all callers refused in one burst come back as one
- * burst and are refused again; the refusals then show as a sawtooth.
+ * Without jitter, all callers rejected in one burst retry in one burst and are
+ * rejected again; the rejections then form a sawtooth.
  */
-export function comebackMilliseconds(
+export function retryDelayMilliseconds(
   wait: number,
-  options: ComebackOptions,
+  options: RetryDelayOptions,
 ): number {
   const shortest = options.shortestMilliseconds ?? SHORTEST_MILLISECONDS;
   const longest = options.longestMilliseconds ?? LONGEST_MILLISECONDS;
-  const doubled = wait * 2 ** (options.failuresInARow ?? 0);
+  const doubled = wait * 2 ** (options.consecutiveFailures ?? 0);
   const base = Math.min(longest, Math.max(shortest, doubled));
   return Math.ceil(base * (LOWEST_FACTOR + options.random.next()));
 }
--- a/packages/kelpspar-decisions/src/retries/sliding_counter.ts
+++ b/packages/kelpspar-decisions/src/retries/sliding_window_counter.ts
@@ -1,55 +1,55 @@
 const DEFAULT_WINDOW_MILLISECONDS = 10_000;
 const DEFAULT_SLICES = 10;
 
-/** How long a counter remembers. */
-export interface SlidingCounterOptions {
+/** Length and resolution of the window. */
+export interface SlidingWindowCounterOptions {
   /** Default 10,000 milliseconds. */
   readonly windowMilliseconds?: number;
-  /** Slices the window is counted in; default 10. */
+  /** Slices that the window is divided into; default 10. */
   readonly slices?: number;
 }
 
 /**
- * Counts what happened within a sliding window. The window moves by whole
- * slices: an event counts until its slice is `slices` slices old, so for
- * between nine tenths and the whole of the window by default.
+ * Counts events within a sliding window. The window advances by whole slices:
+ * an event counts until its slice is `slices` slices old, by default for nine
+ * tenths of the window to the whole window.
  */
-export class SlidingCounter {
+export class SlidingWindowCounter {
   readonly #counts: Float64Array;
   readonly #sliceMilliseconds: number;
   #sum = 0;
   #slice = 0;
 
-  constructor(options: SlidingCounterOptions = {}) {
+  constructor(options: SlidingWindowCounterOptions = {}) {
     const window = options.windowMilliseconds ?? DEFAULT_WINDOW_MILLISECONDS;
     this.#counts = new Float64Array(options.slices ?? DEFAULT_SLICES);
     this.#sliceMilliseconds = window / this.#counts.length;
   }
 
   add(amount: number, now: number): void {
-    this.#moveTo(now);
+    this.#advanceTo(now);
     const place = this.#slice % this.#counts.length;
     this.#counts[place] = (this.#counts[place] ?? 0) + amount;
     this.#sum += amount;
   }
 
-  /** The sum of what was added within the window. */
+  /** The sum of the amounts added within the window. */
   sum(now: number): number {
-    this.#moveTo(now);
+    this.#advanceTo(now);
     return this.#sum;
   }
 
-  #moveTo(now: number): void {
+  #advanceTo(now: number): void {
     const slice = Math.floor(now / this.#sliceMilliseconds);
     if (slice <= this.#slice) return;
     if (slice - this.#slice >= this.#counts.length) this.#clear();
     while (this.#slice < slice) {
       this.#slice = this.#sum === 0 ? slice : this.#slice + 1;
-      this.#dropOldest();
+      this.#evictOldestSlice();
     }
   }
 
-  #dropOldest(): void {
+  #evictOldestSlice(): void {
     const place = this.#slice % this.#counts.length;
     this.#sum -= this.#counts[place] ?? 0;
     this.#counts[place] = 0;
--- a/packages/kelpspar-gateway/src/retries/service_retry_budget.ts
+++ b/packages/kelpspar-gateway/src/retries/service_retry_budget.ts
@@ -1,4 +1,4 @@
-import { SlidingCounter } from "kelpspar-decisions/retries";
+import { SlidingWindowCounter } from "kelpspar-decisions/retries";
 
 /** What all daemons together may repeat. */
 export interface ServiceRetryBudgetOptions {
@@ -16,8 +16,8 @@
 const SLACK_GIVEN_OUT = 0.7;
 
 interface Tally {
-  readonly requests: SlidingCounter;
-  readonly repeats: SlidingCounter;
+  readonly requests: SlidingWindowCounter;
+  readonly repeats: SlidingWindowCounter;
 }
 
 /**
@@ -70,8 +70,8 @@
       slices: 11,
     };
     const tally = {
-      requests: new SlidingCounter({ ...counter, windowMilliseconds }),
-      repeats: new SlidingCounter(counter),
+      requests: new SlidingWindowCounter({ ...counter, windowMilliseconds }),
+      repeats: new SlidingWindowCounter(counter),
     };
     this.#tallies.set(service, tally);
     return tally;
