--- a/packages/kelpspar-daemon/src/endpoints/endpoint_watch.ts
+++ b/packages/kelpspar-daemon/src/endpoints/endpoint_watch.ts
@@ -5,7 +5,7 @@
   TimerService,
 } from "kelpspar-shared";
 import type { DaemonDigest, Member } from "kelpspar-decisions/membership";
-import type { Watch } from "kelpspar-decisions/routing";
+import type { WatchAssignment } from "kelpspar-decisions/routing";
 import type { PeerDigest } from "../peers/peer_digest.ts";
 import type { ConfigurationIndexReader } from "../state/configuration_reader.ts";
 import type { DecisionParts } from "../scheduling/decision_parts.ts";
@@ -61,7 +61,7 @@
   readonly #published = new Map<string, PublishedShape>();
   #assignedTo = "";
   readonly #busy = new Set<string>();
-  #watches: readonly Watch[] = [];
+  #watches: readonly WatchAssignment[] = [];
 
   constructor(options: EndpointWatchOptions) {
     this.#options = options;
@@ -106,7 +106,7 @@
     const { registry } = this.#options.parts;
     const now = this.#options.timer.now();
     for (const address of registry.probesDue(now)) void this.#ask(address);
-    registry.judge(now);
+    registry.ejectLatencyOutliers(now);
   }
 
   /** Takes in what a peer says of the endpoints that it watches. */
--- a/packages/kelpspar-daemon/src/requests/probe_silence.ts
+++ b/packages/kelpspar-daemon/src/requests/probe_silence.ts
@@ -36,7 +36,7 @@
       direct: true,
     });
   }
-  const verdict = call.watch.judge({
+  const verdict = call.watch.evaluateProbe({
     answered: report !== undefined,
     isQueueing: (report?.waiting ?? 0) > 0,
     suspectedAt,
--- a/packages/kelpspar-decisions/src/__tests__/unit/routing_choice_test.ts
+++ b/packages/kelpspar-decisions/src/__tests__/unit/routing_choice_test.ts
@@ -53,7 +53,7 @@
   registry.report({ endpointId, report: content, now: at, direct });
 }
 
-/** A registry of endpoints that have reported that they are idle. */
+/** Creates a registry of endpoints that have reported as idle. */
 function registryOf(rows: Rows, options = {}): EndpointRegistry {
   const registry = new EndpointRegistry(options);
   list(registry, rows);
@@ -70,7 +70,7 @@
   return "none" in chosen ? chosen.none : chosen.endpointId;
 }
 
-function chosenOf(registry: EndpointRegistry, call = {}): string {
+function distinctChoices(registry: EndpointRegistry, call = {}): string {
   const chosen = Array.from({ length: 60 }, () => choose(registry, call));
   return [...new Set(chosen)].sort().join(" ");
 }
@@ -85,7 +85,7 @@
   registry.callEnded({ ...ended, ...options });
 }
 
-test("only endpoints that can take the call are chosen", () => {
+test("only compatible endpoints with free capacity are chosen", () => {
   const rows = { a: {}, b: {}, c: {}, d: {}, e: {}, f: {} };
   const registry = registryOf(rows, { sliceOf: () => 1 });
   expect(choose(new EndpointRegistry())).toEqual("no_endpoint");
@@ -94,36 +94,38 @@
   report(registry, "d", { role: "decode" });
   report(registry, "e", { state: "leaving" });
   report(registry, "f", { adapters: ["x"] });
-  expect(chosenOf(registry, { role: "prefill" })).toEqual("a f");
-  expect(chosenOf(registry, { adapter: "x" })).toEqual("f");
-  expect(chosenOf(registry, { exclude: new Set(["a", "d"]) })).toEqual("f");
+  expect(distinctChoices(registry, { role: "prefill" })).toEqual("a f");
+  expect(distinctChoices(registry, { adapter: "x" })).toEqual("f");
+  expect(distinctChoices(registry, { exclude: new Set(["a", "d"]) })).toEqual(
+    "f",
+  );
   registry.callStarted({ endpointId: "f", at: 0 });
   expect(choose(registry, { adapter: "x" })).toEqual("all_full");
   expect(choose(registry, { adapter: "y" })).toEqual("no_endpoint");
 });
 
-test("the own zone is preferred until it is loaded or lost", () => {
+test("the local zone is preferred until it is loaded or lost", () => {
   const rows = { a: {}, b: { zone: "b" }, far: { zone: "far" } };
   const regionOf = (zone: string): string => zone === "far" ? "2" : "1";
   const registry = registryOf(rows, { regionOf });
-  expect(chosenOf(registry)).toEqual("a");
+  expect(distinctChoices(registry)).toEqual("a");
   report(registry, "a", { running: 4, waiting: 1 });
-  expect(chosenOf(registry)).toEqual("b");
+  expect(distinctChoices(registry)).toEqual("b");
   report(registry, "b", { running: 4, waiting: 4 });
-  expect(chosenOf(registry)).toEqual("far");
+  expect(distinctChoices(registry)).toEqual("far");
   report(registry, "far", { running: 4, waiting: 1 });
-  expect(chosenOf(registry)).toEqual("a");
+  expect(distinctChoices(registry)).toEqual("a");
   report(registry, "b");
   report(registry, "b", { running: 9, sequence: 1 });
   registry.drain("a");
-  expect(chosenOf(registry)).toEqual("b");
+  expect(distinctChoices(registry)).toEqual("b");
 });
 
-// Symptom: a leaving endpoint gets work again. Sequence: it answers a call by
-// `leaving`; older reports and lists that say "live" keep arriving. Cause: see
-// LeavingTracker. A replacement under the same id starts clean, with slow start
-// and without the calls that were sent to its predecessor.
-test("leaving sticks to an incarnation, and its successor starts clean", () => {
+// Guards against new calls to a leaving endpoint: it answers a call with
+// `leaving` while stale reports and lists that say "live" keep arriving; see
+// LeavingTracker. A replacement under the same id starts without marks, in slow
+// start and without the calls that were sent to its predecessor.
+test("leaving is sticky for an incarnation, and its successor starts clean", () => {
   const registry = registryOf({ a: {} });
   const generation = registry.callStarted({ endpointId: "a", at: 1 });
   fail(registry, "a", { outcome: "leaving", at: 2 });
@@ -144,15 +146,15 @@
   expect(choose(registry, { now: 6 })).toEqual("a");
 });
 
-// Symptom: endpoints stay out of use after a switch came back. Sequence: every
-// connection is refused for a while; the endpoints never stopped. Cause: three
-// refusals count as leaving, and leaving is sticky.
-test("refusals stop new calls, and a direct answer takes them back", () => {
+// Guards against endpoints that stay unused after a failed switch recovers: all
+// connections to running endpoints are refused for a while, three refusals mark
+// an endpoint as leaving, and that mark is sticky.
+test("refusals stop new calls, and a direct answer clears them", () => {
   const registry = registryOf({ a: {}, b: {} });
   const due = (now: number): string[] =>
     registry.probesDue(now).map((one) => one.endpointId);
   fail(registry, "a", { outcome: "refused", at: 10 });
-  expect(chosenOf(registry, { now: 10 })).toEqual("b");
+  expect(distinctChoices(registry, { now: 10 })).toEqual("b");
   expect([due(10), due(11)]).toEqual([["a"], []]);
   for (const at of [20, 30, 6_000, 20_000, 50_000]) {
     registry.probeFailed({ endpointId: "a", result: "refused", at });
@@ -167,19 +169,20 @@
   expect(registry.status(60_601)[0]?.leavingBy).toEqual([]);
 });
 
-// Symptom: every call is refused although every endpoint is well. Sequence:
-// something between forgets all connections; every endpoint becomes suspect.
-test("suspects are chosen when there is nobody else, but not before", () => {
+// Guards against rejecting every call while all endpoints are healthy: a
+// network device drops the state of all connections, and every endpoint becomes
+// suspect.
+test("suspects are chosen when there are no other endpoints, but not before", () => {
   const registry = registryOf({ a: {}, b: {} }, { sliceOf: () => 1 });
   registry.suspect("a", 0);
-  expect(chosenOf(registry)).toEqual("b");
+  expect(distinctChoices(registry)).toEqual("b");
   registry.callStarted({ endpointId: "b", at: 0 });
   expect(choose(registry)).toEqual("all_full");
   registry.suspect("b", 0);
   expect(choose(registry)).toEqual("a");
 });
 
-test("daemons agree on a prefix's endpoint and spread a hot one", () => {
+test("daemons agree on a prefix's endpoint and spread a hot prefix", () => {
   const names = Array.from({ length: 8 }, (_, index) => `e${index}`);
   const daemons = [1, 2, 3].map((seed) => {
     const registry = registryOf(
@@ -188,30 +191,30 @@
     names.forEach((id, index) => report(registry, id, { running: index % 2 }));
     return { registry, random: new SeededRandom(seed) };
   });
-  const used = new Set<string>();
+  const usedEndpoints = new Set<string>();
   for (let prefix = 0; prefix < 200; prefix++) {
     const chosen = daemons.map(({ registry, random }) =>
       choose(registry, { prefixHash: `prefix-${prefix}`, random })
     );
     expect(new Set(chosen).size).toEqual(1);
-    used.add(chosen[0] ?? "");
+    usedEndpoints.add(chosen[0] ?? "");
   }
-  expect(used.size).toEqual(8);
-  const hot = new Set<string>();
+  expect(usedEndpoints.size).toEqual(8);
+  const hotEndpoints = new Set<string>();
   const [first] = daemons;
   for (let count = 0; count < 20 && first !== undefined; count++) {
     const endpointId = choose(first.registry, { prefixHash: "hot" });
     first.registry.callStarted({ endpointId, at: 0 });
-    hot.add(endpointId);
+    hotEndpoints.add(endpointId);
   }
-  expect(hot.size >= 6).toEqual(true);
+  expect(hotEndpoints.size >= 6).toEqual(true);
 });
 
-test("a cached prefix is worth a stated load difference and no more", () => {
+test("a cached prefix is preferred up to a bounded load difference", () => {
   const registry = registryOf({ a: {}, b: {} });
   const call = { prefixHash: "p", prefixes: { holders: () => ["a"] } };
   report(registry, "a", { running: 1 });
-  expect(chosenOf(registry, call)).toEqual("a");
+  expect(distinctChoices(registry, call)).toEqual("a");
   report(registry, "a", { running: 4 });
-  expect(chosenOf(registry, call)).toEqual("b");
+  expect(distinctChoices(registry, call)).toEqual("b");
 });
--- a/packages/kelpspar-decisions/src/__tests__/unit/routing_herd_test.ts
+++ b/packages/kelpspar-decisions/src/__tests__/unit/routing_herd_test.ts
@@ -8,15 +8,15 @@
 const CONCURRENCY = 8;
 const REPORT_MILLISECONDS = 1_000;
 const MEASURED_FROM = 10_000;
-const MEASURED_CALL_TIMES = 300;
+const MEASURED_CALL_DURATIONS = 300;
 
 interface LoopOptions {
   readonly rule: "product" | "without_ejection" | "least_reported" | "random";
   readonly daemons: number;
-  /** Mean time of a call at an endpoint that is not slow. */
+  /** Mean duration of a call at an endpoint that isn't slow. */
   readonly callMilliseconds: number;
   readonly utilization: number;
-  /** How much longer the first endpoint takes from MEASURED_FROM on. */
+  /** Slowdown of the first endpoint from MEASURED_FROM on; default 1. */
   readonly slowFactor?: number;
 }
 
@@ -29,10 +29,10 @@
 }
 
 /**
- * A closed loop: daemons that all see one set of reports, made each second and
- * a second old on arrival; endpoints that run 8 calls and queue the others;
- * calls that come at random. Returns the p99 of the queue that calls meet, and
- * the share of the calls that the first endpoint gets.
+ * Closed-loop simulation: all daemons see the same reports, created each second
+ * and one second old on arrival; endpoints run 8 calls and queue the others;
+ * calls arrive at random. Returns the p99 queue length that calls encounter,
+ * and the share of the calls that the first endpoint gets.
  */
 function runLoop(options: LoopOptions): { p99: number; firstShare: number } {
   const { rule, callMilliseconds, slowFactor = 1 } = options;
@@ -48,9 +48,9 @@
     accepted: 0,
   }));
   const rate = options.utilization * ENDPOINTS * CONCURRENCY / callMilliseconds;
-  const length = MEASURED_FROM + MEASURED_CALL_TIMES * callMilliseconds;
-  const queuesMet: number[] = [];
-  let [seen, underway]: LoadReport[][] = [[], []];
+  const length = MEASURED_FROM + MEASURED_CALL_DURATIONS * callMilliseconds;
+  const queueLengths: number[] = [];
+  let [visibleReports, reportsInTransit]: LoadReport[][] = [[], []];
   let [arrival, sentToFirst] = [0, 0];
   for (let now = 0; now < length; now += callMilliseconds / 100) {
     for (const { endpointId, running, waiting } of endpoints) {
@@ -66,37 +66,42 @@
       }
     }
     if (now % REPORT_MILLISECONDS === 0) {
-      seen = underway ?? [];
-      underway = endpoints.map((one) => reportOf(one, now));
+      visibleReports = reportsInTransit ?? [];
+      reportsInTransit = endpoints.map((one) => reportOf(one, now));
       for (const daemon of daemons) {
-        seen.forEach((report, index) =>
+        visibleReports.forEach((report, index) =>
           daemon.report({ endpointId: `e${index}`, report, now, direct: true })
         );
-        daemon.judge(now);
+        daemon.ejectLatencyOutliers(now);
       }
     }
     while (arrival < now) {
       arrival -= Math.log(1 - random.next()) / rate;
       const daemon = daemons[random.nextInteger(daemons.length)];
       if (daemon === undefined) continue;
-      const index = choose(daemon, { rule, seen: seen ?? [], now, random });
+      const index = choose(daemon, {
+        rule,
+        visibleReports: visibleReports ?? [],
+        now,
+        random,
+      });
       const endpoint = endpoints[index];
       if (endpoint === undefined) continue;
       const { endpointId, waiting } = endpoint;
-      const isSlow = index === 0 && now >= MEASURED_FROM;
-      const mean = callMilliseconds * (isSlow ? slowFactor : 1);
+      const isSlowEndpoint = index === 0 && now >= MEASURED_FROM;
+      const mean = callMilliseconds * (isSlowEndpoint ? slowFactor : 1);
       const length = -Math.log(1 - random.next()) * mean;
       const generation = daemon.callStarted({ endpointId, at: now });
-      if (now >= MEASURED_FROM) queuesMet.push(waiting.length);
-      if (isSlow) sentToFirst++;
+      if (now >= MEASURED_FROM) queueLengths.push(waiting.length);
+      if (isSlowEndpoint) sentToFirst++;
       endpoint.accepted++;
       waiting.push({ daemon, generation, at: now, length, endsAt: 0 });
     }
   }
-  queuesMet.sort((left, right) => left - right);
+  queueLengths.sort((left, right) => left - right);
   return {
-    p99: queuesMet[Math.floor(queuesMet.length * 0.99)] ?? 0,
-    firstShare: sentToFirst / queuesMet.length,
+    p99: queueLengths[Math.floor(queueLengths.length * 0.99)] ?? 0,
+    firstShare: sentToFirst / queueLengths.length,
   };
 }
 
@@ -104,15 +109,15 @@
   daemon: EndpointRegistry,
   options: {
     readonly rule: LoopOptions["rule"];
-    readonly seen: readonly LoadReport[];
+    readonly visibleReports: readonly LoadReport[];
     readonly now: number;
     readonly random: SeededRandom;
   },
 ): number {
-  const { rule, seen, now, random } = options;
+  const { rule, visibleReports, now, random } = options;
   if (rule === "random") return random.nextInteger(ENDPOINTS);
   if (rule === "least_reported") {
-    const loads = seen.map((one) => one.running + one.waiting);
+    const loads = visibleReports.map((one) => one.running + one.waiting);
     return Math.max(0, loads.indexOf(Math.min(...loads)));
   }
   const call = { service: "encode", zone: "a", now, random };
@@ -163,11 +168,11 @@
 ];
 
 [100, 1_000].forEach((callMilliseconds, index) => {
-  // Symptom: queues at the endpoints swing with the period of the reports.
-  // Sequence: a report shows one endpoint idle; every daemon sends to it until
-  // the next report, which shows its queue and another one idle. Cause: load is
-  // judged by a report that is older than the calls it counts.
-  test(`a herd on calls of ${callMilliseconds} ms`, (t) => {
+  // Guards against herding, where the endpoints' queues oscillate with the
+  // report period: a report shows one endpoint as idle, and every daemon sends
+  // to it until the next report shows its queue and another endpoint as idle.
+  // The load comes from a report that is older than the calls it counts.
+  test(`no herding with calls of ${callMilliseconds} ms`, (t) => {
     const p99 = (rule: LoopOptions["rule"], daemons: number): number =>
       runLoop({ rule, daemons, callMilliseconds, utilization: 0.85 }).p99;
     const least = p99("least_reported", 8);
@@ -181,21 +186,23 @@
     }
   });
 
-  // Symptom: an endpoint gets five times slower and its share of the calls
-  // misses the deadline. Sequence: it still answers, so no failure shows.
-  // Cause: only latency and calls in flight tell it from the others.
-  test(`one slow endpoint, calls of ${callMilliseconds} ms`, (t) => {
+  // Guards against missed deadlines at an endpoint that is five times slower:
+  // it still answers, so there are no failures, and only latency and calls in
+  // flight distinguish it from the others.
+  test(`one slow endpoint with calls of ${callMilliseconds} ms`, (t) => {
     const load = { callMilliseconds, utilization: 0.6, slowFactor: 5 };
     for (const daemons of [1, 3, 8]) {
       const shareOf = (rule: LoopOptions["rule"]): number =>
         100 * runLoop({ daemons, rule, ...load }).firstShare;
       const product = shareOf("product");
-      const byLoad = shareOf("without_ejection");
+      const withoutEjection = shareOf("without_ejection");
       t.diagnostic(
-        `${daemons} daemons: ${product.toFixed(1)} % of the calls meet it, ` +
-          `without ejection ${byLoad.toFixed(1)} %; an even share is 12.5 %`,
+        `${daemons} daemons: ${product.toFixed(1)} % of the calls go to it, ` +
+          `without ejection ${
+            withoutEjection.toFixed(1)
+          } %; an even share is 12.5 %`,
       );
-      expect(byLoad < 6 && product < byLoad).toEqual(true);
+      expect(withoutEjection < 6 && product < withoutEjection).toEqual(true);
     }
   });
 });
--- a/packages/kelpspar-decisions/src/__tests__/unit/routing_leaving_test.ts
+++ b/packages/kelpspar-decisions/src/__tests__/unit/routing_leaving_test.ts
@@ -13,7 +13,7 @@
   "undrain",
 ] as const;
 
-/** Histories of a few kinds of events each, so that none drowns the others. */
+/** Histories with few event types each, so that no type dominates. */
 const historyArbitrary = fc.subarray([...TYPES], { minLength: 1 })
   .chain((types) =>
     fc.array(
@@ -48,7 +48,7 @@
   }
 }
 
-/** The VM whose first sighting is the latest of the first `count` events. */
+/** The VM with the latest first observation in the first `count` events. */
 function vmAt(events: readonly Event[], count: number): string | undefined {
   const seen = events.slice(0, count)
     .filter((one) => one.type === "listed" || one.type === "drain_vm");
@@ -63,40 +63,40 @@
   return [...new Set(seen.map((one) => one.process))].at(-1);
 }
 
-/** Asks the whole history, event by event, who still speaks against "e". */
+/** Returns whether "e" is leaving by replaying the whole history. */
 function isLeavingByReplay(events: readonly Event[]): boolean {
   const vmNow = vmAt(events, events.length);
   const processNow = processAt(events, events.length);
   const firstOf = (find: typeof vmAt): string | undefined =>
     events.map((_, index) => find(events, index + 1)).find((one) => one);
   const firstReport = events.findIndex((one) => one.type === "reported");
-  const heardAfter = firstReport < 0 ? events.length : firstReport;
-  const vmWhenHeard = vmAt(events, heardAfter);
+  const firstReportIndex = firstReport < 0 ? events.length : firstReport;
+  const vmAtFirstReport = vmAt(events, firstReportIndex);
   return events.some((event, index) => {
     const vm = vmAt(events, index) ?? firstOf(vmAt);
     const process = processAt(events, index) ?? firstOf(processAt);
     const later = events.slice(index + 1);
     const isUndrained = later.some((one) => one.type === "undrain");
-    const isSameVm = vmWhenHeard === undefined || vmWhenHeard === vm;
+    const isSameVm = vmAtFirstReport === undefined || vmAtFirstReport === vm;
     const isBound = processAt(events, index) !== undefined || isSameVm;
-    const isTakenBack = later.some((_, offset) =>
-      refutes(events, index + 1 + offset)
+    const isCleared = later.some((_, offset) =>
+      clearsRefusals(events, index + 1 + offset)
     );
-    const holds: Record<Event["type"], boolean> = {
+    const isMarkedBy: Record<Event["type"], boolean> = {
       listed: event.leaving && event.vm === vmNow,
       reported: event.leaving && event.process === processNow,
       recorded: isBound && process === processNow,
-      refused: isThirdRefusal(events, index) && !isTakenBack,
+      refused: isThirdRefusal(events, index) && !isCleared,
       drain: vm === vmNow && !isUndrained,
       drain_vm: event.vm === vmNow && !isUndrained,
       undrain: false,
     };
-    return holds[event.type];
+    return isMarkedBy[event.type];
   });
 }
 
-/** True when the event at `index` takes refusals before it back. */
-function refutes(events: readonly Event[], index: number): boolean {
+/** True when the event at `index` clears earlier refusals. */
+function clearsRefusals(events: readonly Event[], index: number): boolean {
   const vm = vmAt(events, index);
   const process = processAt(events, index + 1);
   if (vm !== undefined && vm !== vmAt(events, index + 1)) return true;
@@ -109,17 +109,17 @@
 function isThirdRefusal(events: readonly Event[], index: number): boolean {
   let refusals = 0;
   events.slice(0, index + 1).forEach((event, at) => {
-    if (refutes(events, at)) refusals = 0;
+    if (clearsRefusals(events, at)) refusals = 0;
     if (event.type !== "refused") return;
     refusals = event.wait > 10_000 ? 1 : refusals + 1;
   });
   return refusals >= 3;
 }
 
-// Symptom: a leaving endpoint gets work again. Sequence: it says that it is
-// leaving; a VM list or a relayed report from before says that it is live.
-// Cause: the newest arrival was taken for the newest state.
-test("who is leaving is the same as by a replay of all events", () => {
+// Guards against new calls to a leaving endpoint: it reports that it is
+// leaving, and a stale VM list or relayed report says that it is live. The
+// latest arrival isn't the latest state.
+test("the tracker agrees with a replay of all events", () => {
   fc.assert(
     fc.property(historyArbitrary, (events) => {
       const tracker = new LeavingTracker();
--- a/packages/kelpspar-decisions/src/__tests__/unit/routing_limit_test.ts
+++ b/packages/kelpspar-decisions/src/__tests__/unit/routing_limit_test.ts
@@ -10,8 +10,9 @@
 const DAEMONS = 8;
 
 /**
- * Daemons that send all they may to one endpoint that queues, after 10 s of
- * little load. Returns shares and counts of the second half minute.
+ * Simulates daemons that send as many calls as allowed to one endpoint with a
+ * queue, after 10 s of low load. Returns the busy share, mean queue length and
+ * ended calls per daemon of the last 30 s.
  */
 function runLoop(
   options: { readonly isAdaptive: boolean; readonly lengthAt30: number },
@@ -24,18 +25,22 @@
   type Call = { daemon: (typeof daemons)[number]; at: number; endsAt: number };
   let running: Call[] = [];
   const waiting: Call[] = [];
-  let [reported, made, busy, queued] = [0, 0, 0, 0];
+  let [reported, created, busy, queued] = [0, 0, 0, 0];
   for (let now = 0; now < 60_000; now++) {
-    const isMeasured = now >= 30_000;
+    const isMeasuring = now >= 30_000;
     for (const { daemon, at } of running.filter((one) => one.endsAt <= now)) {
       const latencyMilliseconds = now - at;
       const inFlight = daemon.inFlight--;
-      daemon.ended += isMeasured ? 1 : 0;
-      const ended = { latencyMilliseconds, inFlight, isQueueing: reported > 0 };
+      daemon.ended += isMeasuring ? 1 : 0;
+      const ended = {
+        latencyMilliseconds,
+        inFlight,
+        isQueueing: reported > 0,
+      };
       daemon.limit.callEnded(sampleOf({ at: now, ...ended }));
     }
     running = running.filter((one) => one.endsAt > now);
-    if (now % 500 === 0) [reported, made] = [made, waiting.length];
+    if (now % 500 === 0) [reported, created] = [created, waiting.length];
     for (const daemon of daemons) {
       const allowed = options.isAdaptive ? daemon.limit.limit : SLICE;
       const wanted = now < 10_000 ? 1 : allowed;
@@ -44,12 +49,12 @@
       }
     }
     for (const call of waiting.splice(0, CONCURRENCY - running.length)) {
-      const mean = isMeasured ? options.lengthAt30 : 100;
+      const mean = isMeasuring ? options.lengthAt30 : 100;
       call.endsAt = now - Math.log(1 - random.next()) * mean + 1;
       running.push(call);
     }
-    busy += isMeasured ? running.length / CONCURRENCY / 30_000 : 0;
-    queued += isMeasured ? waiting.length / 30_000 : 0;
+    busy += isMeasuring ? running.length / CONCURRENCY / 30_000 : 0;
+    queued += isMeasuring ? waiting.length / 30_000 : 0;
   }
   const ended = daemons.map((one) => one.ended);
   return { busy, queued, fewest: Math.min(...ended), most: Math.max(...ended) };
@@ -63,23 +68,23 @@
 test("limits shorten the queue, keep the endpoint busy and are fair", (t) => {
   for (const lengthAt30 of [100, 400]) {
     const limited = runLoop({ isAdaptive: true, lengthAt30 });
-    const free = runLoop({ isAdaptive: false, lengthAt30 });
+    const unlimited = runLoop({ isAdaptive: false, lengthAt30 });
     t.diagnostic(
       `calls of ${lengthAt30} ms: ${limited.queued.toFixed(1)} waiting, ` +
         `${limited.busy.toFixed(3)} busy, a daemon completed ` +
         `${limited.fewest} to ${limited.most}; without limits ` +
-        `${free.queued.toFixed(1)} waiting`,
+        `${unlimited.queued.toFixed(1)} waiting`,
     );
-    expect(limited.queued < free.queued / 2.5).toEqual(true);
+    expect(limited.queued < unlimited.queued / 2.5).toEqual(true);
     expect(limited.busy > 0.95).toEqual(true);
     expect(limited.most < 4 * limited.fewest).toEqual(true);
   }
 });
 
-// Symptom: calls are held back before idle endpoints. Sequence: inputs get
-// longer, every call takes longer, no endpoint has a queue. Cause: a latency
-// over the baseline is taken for a queue.
-test("latency alone never shrinks a limit", () => {
+// Guards against calls held back from idle endpoints: inputs and therefore
+// calls get longer while no endpoint has a queue, and the latency above the
+// baseline is mistaken for queueing.
+test("latency alone never decreases a limit", () => {
   const limit = new AdaptiveLimit({ slice: SLICE });
   for (let at = 0; at < 20_000; at += 10) {
     const latencyMilliseconds = at < 10_000 ? 10 : 100;
@@ -88,9 +93,9 @@
   expect(limit.limit).toEqual(SLICE);
 });
 
-// Symptom: one moment of overload leaves a limit at its floor. Sequence: many
-// calls sent before it shrank fail after. Cause: they tell of the old limit.
-test("a limit shrinks once for the calls of one round", () => {
+// Guards against a limit that drops to its floor after a brief overload: many
+// calls sent before the decrease fail after it, but reflect the old limit.
+test("a limit decreases once for the calls of one round trip", () => {
   const limit = new AdaptiveLimit({ slice: SLICE });
   for (let at = 100; at < 110; at++) {
     const sent = { latencyMilliseconds: 100, inFlight: SLICE };
@@ -108,17 +113,21 @@
   });
   const samples = fc.array(sample, { maxLength: 200, size: "max" });
   fc.assert(
-    fc.property(samples, fc.integer({ min: 1, max: 9 }), (some, slice) => {
-      const limit = new AdaptiveLimit({ slice: SLICE });
-      limit.setSlice(slice);
-      some.forEach((one, index) => {
-        const before = limit.limit;
-        limit.callEnded(sampleOf({ ...one, at: index * 50 }));
-        expect(limit.limit >= 1 && limit.limit <= slice).toEqual(true);
-        const grew = limit.limit > before;
-        expect(grew && one.outcome === "overloaded").toEqual(false);
-      });
-    }),
+    fc.property(
+      samples,
+      fc.integer({ min: 1, max: 9 }),
+      (randomSamples, slice) => {
+        const limit = new AdaptiveLimit({ slice: SLICE });
+        limit.setSlice(slice);
+        randomSamples.forEach((one, index) => {
+          const before = limit.limit;
+          limit.callEnded(sampleOf({ ...one, at: index * 50 }));
+          expect(limit.limit >= 1 && limit.limit <= slice).toEqual(true);
+          const grew = limit.limit > before;
+          expect(grew && one.outcome === "overloaded").toEqual(false);
+        });
+      },
+    ),
     { seed: 9, numRuns: 500 },
   );
 });
--- a/packages/kelpspar-decisions/src/__tests__/unit/routing_prefix_test.ts
+++ b/packages/kelpspar-decisions/src/__tests__/unit/routing_prefix_test.ts
@@ -7,7 +7,7 @@
 const HASHES = ["h0", "h1", "h2", "h3", "h4"];
 const ENDPOINTS = ["e0", "e1", "e2"];
 
-/** One engine as it really is, with everything that ever happened to it. */
+/** Model of an engine: its actual cache and all of its events. */
 class Engine {
   incarnation = 1;
   events: CacheEvent[] = [];
@@ -33,15 +33,15 @@
   fc.nat(HASHES.length - 1),
 );
 
-/** Asks for events after the cursor, losing some, then for a snapshot. */
+/** Polls events after the cursor, drops some if lossy, then a snapshot. */
 function poll(
   index: PrefixIndex,
-  options: { endpointId: string; engine: Engine; loses: boolean },
+  options: { endpointId: string; engine: Engine; isLossy: boolean },
 ): void {
-  const { endpointId, engine, loses } = options;
+  const { endpointId, engine, isLossy } = options;
   const cursor = index.cursorOf(endpointId);
   const events = engine.events.filter((one) =>
-    one.sequence > cursor && !(loses && one.sequence % 2 === 0)
+    one.sequence > cursor && !(isLossy && one.sequence % 2 === 0)
   );
   const incarnation = `p${engine.incarnation}`;
   const lastSequence = engine.events.length;
@@ -51,10 +51,10 @@
   index.applySnapshot(endpointId, { incarnation, prefixHashes, lastSequence });
 }
 
-// Symptom: calls go where their prefix is not cached, for good. Sequence: an
-// event is lost, or an engine restarts and counts from 1 again. Cause: the gap
-// went unnoticed.
-test("after a poll the index is the map fed with the whole history", () => {
+// Guards against calls routed permanently to endpoints without their prefix: an
+// event is lost, or an engine restarts and numbers its events from 1 again, and
+// the gap goes unnoticed.
+test("after a poll the index matches the engine's cache", () => {
   const history = fc.array(stepArbitrary, { maxLength: 60, size: "max" });
   fc.assert(
     fc.property(history, (steps) => {
@@ -67,7 +67,7 @@
         if (type === "restart") engine.restart();
         if (type !== "poll" && type !== "lossy") continue;
         const endpointId = ENDPOINTS[at] ?? "";
-        poll(index, { endpointId, engine, loses: type === "lossy" });
+        poll(index, { endpointId, engine, isLossy: type === "lossy" });
         const known = HASHES.filter((one) =>
           index.holders(one).includes(endpointId)
         );
@@ -78,8 +78,8 @@
   );
 });
 
-test("memory is bounded, and what was stored last is kept", () => {
-  const index = new PrefixIndex({ mostEntries: 10 });
+test("memory is bounded, and the latest stored prefixes are kept", () => {
+  const index = new PrefixIndex({ maximumEntries: 10 });
   for (let sequence = 1; sequence <= 1_000; sequence++) {
     const event = { type: "stored" as const, prefixHash: `h${sequence}` };
     const events = [{ sequence, ...event }];
--- a/packages/kelpspar-decisions/src/__tests__/unit/routing_shared_pace_test.ts
+++ b/packages/kelpspar-decisions/src/__tests__/unit/routing_shared_pace_test.ts
@@ -1,49 +1,54 @@
-import type { PaceRequest } from "../../routing/shared_pace.ts";
+import type { RateLimitRequest } from "../../routing/shared_pace.ts";
 import { expect } from "earl";
 import { SeededRandom } from "kelpspar-shared";
 import { test } from "node:test";
-import { SharedPace } from "../../routing/shared_pace.ts";
+import { SharedRateLimiter } from "../../routing/shared_pace.ts";
 
 const PER_SECOND = 6;
-/** What the rules allow in any second beside what the endpoint bears. */
+/** Tolerance that the requirements allow above the endpoint's rate limit. */
 const OVERSHOOT = 1.5;
 const SLACK = 5;
-const MOST_IN_A_SECOND = PER_SECOND * OVERSHOOT + SLACK;
+const MAXIMUM_PER_SECOND = PER_SECOND * OVERSHOOT + SLACK;
 const COLD_MILLISECONDS = 3_000;
 const STEP_MILLISECONDS = 10;
 
 function maySend(
-  pace: SharedPace,
+  limiter: SharedRateLimiter,
   endpointId: string,
-  request: PaceRequest,
+  request: RateLimitRequest,
 ): boolean {
-  return pace.waitFor(endpointId, request) === 0;
+  return limiter.delayFor(endpointId, request) === 0;
 }
 
-interface Play {
+interface FloodOptions {
   readonly senders: number;
-  /** What each sender takes the number of senders for. */
-  readonly believed: number;
+  /** Number of senders that each sender assumes. */
+  readonly assumedSenders: number;
   readonly seed: number;
 }
 
-/** When a cold endpoint gets requests that all senders have without end. */
-function playFlood({ senders, believed, seed }: Play): readonly number[] {
+/** Times of requests to a cold endpoint while all senders have a backlog. */
+function simulateFlood(
+  { senders, assumedSenders, seed }: FloodOptions,
+): readonly number[] {
   const random = new SeededRandom(seed);
-  const paces = Array.from({ length: senders }, () => new SharedPace(random));
+  const limiters = Array.from(
+    { length: senders },
+    () => new SharedRateLimiter(random),
+  );
   const sentAt: number[] = [];
   for (let now = 0; now < COLD_MILLISECONDS; now += STEP_MILLISECONDS) {
-    for (const pace of paces) {
-      const request = { perSecond: PER_SECOND, sharers: believed, now };
-      if (!maySend(pace, "i1", request)) continue;
-      pace.sent("i1", now);
+    for (const limiter of limiters) {
+      const request = { perSecond: PER_SECOND, senders: assumedSenders, now };
+      if (!maySend(limiter, "i1", request)) continue;
+      limiter.recordSent("i1", now);
       sentAt.push(now);
     }
   }
   return sentAt;
 }
 
-function mostInASecond(sentAt: readonly number[]): number {
+function maximumPerSecond(sentAt: readonly number[]): number {
   return Math.max(
     0,
     ...sentAt.map((from) =>
@@ -52,46 +57,46 @@
   );
 }
 
-// Guards against a flood of a cold endpoint by daemons that know of no other's.
+// Guards against overloading a cold endpoint by senders without coordination.
 for (const senders of [1, 2, 8, 85, 340]) {
-  test(`${senders} senders keep together to what a cold endpoint bears`, () => {
+  test(`${senders} senders together respect a cold endpoint's rate limit`, () => {
     for (let seed = 1; seed <= 20; seed++) {
-      const sentAt = playFlood({ senders, believed: senders, seed });
-      expect(mostInASecond(sentAt) <= MOST_IN_A_SECOND).toEqual(true);
+      const sentAt = simulateFlood({ senders, assumedSenders: senders, seed });
+      expect(maximumPerSecond(sentAt) <= MAXIMUM_PER_SECOND).toEqual(true);
     }
   });
 }
 
-// Guards against cold endpoints that get nothing and stay idle.
-test("a cold endpoint gets more than half of what it bears", () => {
+// Guards against cold endpoints that get no requests and stay idle.
+test("a cold endpoint gets more than half of its rate limit", () => {
   for (const senders of [1, 8, 85]) {
     let sent = 0;
-    const plays = 20;
-    for (let seed = 1; seed <= plays; seed++) {
-      sent += playFlood({ senders, believed: senders, seed }).length;
+    const runs = 20;
+    for (let seed = 1; seed <= runs; seed++) {
+      sent += simulateFlood({ senders, assumedSenders: senders, seed }).length;
     }
-    const borne = plays * PER_SECOND * COLD_MILLISECONDS / 1_000;
-    expect(sent / borne > 0.5 && sent / borne <= 1).toEqual(true);
+    const allowed = runs * PER_SECOND * COLD_MILLISECONDS / 1_000;
+    expect(sent / allowed > 0.5 && sent / allowed <= 1).toEqual(true);
   }
 });
 
-// Guards against a view of the fleet that lacks some of its daemons.
-test("senders that miss a fifth of the others keep to the bound", () => {
+// Guards against an incomplete membership view.
+test("senders that miss a fifth of the others respect the limit", () => {
   for (let seed = 1; seed <= 20; seed++) {
-    const sentAt = playFlood({ senders: 85, believed: 68, seed });
-    expect(mostInASecond(sentAt) <= MOST_IN_A_SECOND).toEqual(true);
+    const sentAt = simulateFlood({ senders: 85, assumedSenders: 68, seed });
+    expect(maximumPerSecond(sentAt) <= MAXIMUM_PER_SECOND).toEqual(true);
   }
 });
 
-// Guards against a second cold time that goes on with the share of the first.
-test("an endpoint that wasn't asked for long is paced anew", () => {
-  const pace = new SharedPace(new SeededRandom(1));
-  const request = { perSecond: 1, sharers: 1_000 };
-  pace.sent("i1", 0);
-  expect(maySend(pace, "i1", { ...request, now: 900_000 })).toEqual(false);
-  expect(maySend(pace, "i1", { ...request, now: 901_000 })).toEqual(false);
-  expect(maySend(pace, "i2", { ...request, sharers: 1, now: 0 }))
+// Guards against a second cold start that continues with the first one's pace.
+test("the pacer of an endpoint that was unused for long is reset", () => {
+  const limiter = new SharedRateLimiter(new SeededRandom(1));
+  const request = { perSecond: 1, senders: 1_000 };
+  limiter.recordSent("i1", 0);
+  expect(maySend(limiter, "i1", { ...request, now: 900_000 })).toEqual(false);
+  expect(maySend(limiter, "i1", { ...request, now: 901_000 })).toEqual(false);
+  expect(maySend(limiter, "i2", { ...request, senders: 1, now: 0 }))
     .toEqual(false);
-  expect(maySend(pace, "i2", { ...request, sharers: 1, now: 1_000 }))
+  expect(maySend(limiter, "i2", { ...request, senders: 1, now: 1_000 }))
     .toEqual(true);
 });
--- a/packages/kelpspar-decisions/src/__tests__/unit/routing_watch_test.ts
+++ b/packages/kelpspar-decisions/src/__tests__/unit/routing_watch_test.ts
@@ -1,19 +1,23 @@
-import type { Placed, SilenceProbe } from "../../routing/mod.ts";
+import type { SilenceProbe, ZonedNode } from "../../routing/mod.ts";
 import { test } from "node:test";
 import { expect } from "earl";
 import { assignWatches, ConnectionWatch } from "../../routing/mod.ts";
 
-function placed(prefix: string, count: number, zones: number): Placed[] {
+function createNodes(
+  prefix: string,
+  count: number,
+  zones: number,
+): ZonedNode[] {
   return Array.from({ length: count }, (_, index) => ({
     id: `${prefix}${index}`,
     availabilityZone: `z${index % zones}`,
   }));
 }
 
-/** Who watches what, by endpoint; the publisher stands first. */
+/** Watchers by endpoint; the publisher comes first. */
 function watchersOf(
-  daemons: readonly Placed[],
-  endpoints: readonly Placed[],
+  daemons: readonly ZonedNode[],
+  endpoints: readonly ZonedNode[],
 ): Map<string, string[]> {
   const watchers = new Map(
     endpoints.map(({ id }) => [id, new Array<string>()]),
@@ -28,9 +32,9 @@
   return watchers;
 }
 
-test("each endpoint has two watchers, and one that goes moves only its own", (t) => {
-  const daemons = placed("d", 340, 10);
-  const endpoints = placed("e", 2_500, 10);
+test("each endpoint has two watchers, and a lost one moves only its own", (t) => {
+  const daemons = createNodes("d", 340, 10);
+  const endpoints = createNodes("e", 2_500, 10);
   const before = watchersOf(daemons, endpoints);
   const after = watchersOf(daemons.filter((one) => one.id !== "d7"), endpoints);
   const loads = new Map<string, number>();
@@ -46,23 +50,29 @@
   expect(most < 35).toEqual(true);
 });
 
-test("a lost zone is watched from others, and a small fleet by everybody", () => {
-  const endpoints = placed("e", 300, 3);
-  const daemons = placed("d", 30, 3).filter((one) =>
+test("a lost zone is watched from others, and a small fleet by all daemons", () => {
+  const endpoints = createNodes("e", 300, 3);
+  const daemons = createNodes("d", 30, 3).filter((one) =>
     one.availabilityZone !== "z0"
   );
   expect(watchersOf(daemons, endpoints).get("e0")?.length).toEqual(2);
-  const few = watchersOf(placed("d", 8, 3), placed("e", 24, 3));
-  expect([...few.values()].every((one) => one.length === 8)).toEqual(true);
+  const smallFleet = watchersOf(
+    createNodes("d", 8, 3),
+    createNodes("e", 24, 3),
+  );
+  expect([...smallFleet.values()].every((one) => one.length === 8)).toEqual(
+    true,
+  );
 });
 
 function probe(fields: Partial<SilenceProbe> = {}): SilenceProbe {
   return { answered: true, isQueueing: false, suspectedAt: 3_000, ...fields };
 }
 
-// Symptom: calls hang until their deadline. Sequence: something between forgets
-// the connection; new ones work. Cause: silence is no failure.
-test("a silent call is judged by a probe and by its effect", () => {
+// Guards against calls that hang until their deadline: a network device drops
+// the connection's state while new connections work, and silence isn't a
+// failure.
+test("a silent call is handled by its probe result and effect", () => {
   const verdicts = [];
   for (const effect of ["none", "once"] as const) {
     for (const isResumable of [true, false]) {
@@ -74,12 +84,12 @@
           startedAt: 1_000,
         });
         expect(watch.suspectAt(10)).toEqual(3_000);
-        const verdict = watch.judge(probe({ answered }));
+        const verdict = watch.evaluateProbe(probe({ answered }));
         verdicts.push(`${verdict?.endpoint} ${verdict?.call}`);
         watch.progressed(3_500);
-        expect(watch.judge(probe())).toEqual(undefined);
-        const soon = effect === "none" ? 250 : 2_000;
-        expect(watch.suspectAt(10)).toEqual(3_500 + soon);
+        expect(watch.evaluateProbe(probe())).toEqual(undefined);
+        const streamTimeout = effect === "none" ? 250 : 2_000;
+        expect(watch.suspectAt(10)).toEqual(3_500 + streamTimeout);
         expect(watch.suspectAt(9_000)).toEqual(5_500);
       }
     }
@@ -96,17 +106,17 @@
   ]);
 });
 
-// Symptom: an overloaded service gets every waiting call twice. Sequence: calls
-// queue there for longer than the progress timeout and are sent again.
-test("a call that may be queueing gets one more timeout, and only one", () => {
+// Guards against doubling the load of an overloaded service: calls are queued
+// there for longer than the progress timeout and are sent again.
+test("a call that may be queued gets one more timeout, and only one", () => {
   const watch = new ConnectionWatch({
     effect: "none",
     isResumable: false,
     progressTimeoutMilliseconds: 2_000,
     startedAt: 1_000,
   });
-  expect(watch.judge(probe({ isQueueing: true }))).toEqual(undefined);
+  expect(watch.evaluateProbe(probe({ isQueueing: true }))).toEqual(undefined);
   expect(watch.suspectAt()).toEqual(5_000);
   const later = probe({ isQueueing: true, suspectedAt: 5_000 });
-  expect(watch.judge(later)?.call).toEqual("resend_elsewhere");
+  expect(watch.evaluateProbe(later)?.call).toEqual("resend_elsewhere");
 });
--- a/packages/kelpspar-decisions/src/routing/adaptive_limit.ts
+++ b/packages/kelpspar-decisions/src/routing/adaptive_limit.ts
@@ -3,48 +3,48 @@
 
 const DEFAULT_FLOOR = 1;
 const DEFAULT_TOLERANCE = 1.5;
-const SHRINK_ON_LATENCY = 0.85;
-const SHRINK_ON_OVERLOAD = 0.75;
-const SHARE_OF_LIMIT_IN_USE = 0.9;
-const BASELINES_KEPT = 64;
+const LATENCY_DECREASE_FACTOR = 0.85;
+const OVERLOAD_DECREASE_FACTOR = 0.75;
+const MINIMUM_UTILIZATION_TO_GROW = 0.9;
+const MAXIMUM_BASELINES = 64;
 
-/** The bounds of a limit and how sensitive it is. */
+/** Bounds and sensitivity of a limit. */
 export interface AdaptiveLimitOptions {
   /** This daemon's slice of the endpoint's concurrency. */
   readonly slice: number;
-  /** The limit never falls below it, so that it can grow again; default 1. */
+  /** Minimum of the limit, from which it can grow again; default 1. */
   readonly floor?: number;
-  /** Latency over its own baseline that shrinks the limit; default 1.5. */
+  /** Ratio of latency to baseline that decreases the limit; default 1.5. */
   readonly tolerance?: number;
 }
 
-/** A call that ended, as the limit sees it. */
+/** A call that ended, as input of the limit. */
 export interface LimitSample {
   /** Monotonic milliseconds. */
   readonly at: number;
   readonly latencyMilliseconds: number;
   readonly outcome: CallOutcome;
-  /** Own calls in flight while it ran, itself included. */
+  /** This daemon's calls in flight while it ran, including itself. */
   readonly inFlight: number;
-  /** True when the endpoint's last report shows calls waiting. */
+  /** True when the endpoint's last load report shows queued calls. */
   readonly isQueueing: boolean;
-  /** Latencies are compared within one model. */
+  /** Latencies are compared per model. */
   readonly model: string;
 }
 
 /**
- * How many calls this daemon may have in flight at one endpoint. It shrinks by
- * a factor when the endpoint says it is full, or when latency grows past the
- * endpoint's own baseline, and grows by the square root of the limit in a round
- * of successes at the limit.
+ * Limits the calls that this daemon may have in flight at one endpoint. The
+ * limit decreases by a factor when the endpoint reports overload, or when
+ * latency exceeds the endpoint's own baseline, and increases by the square root
+ * of the limit per round trip of successes at the limit.
  *
- * What goes wrong with latency alone: callers begin to send longer inputs,
- * every endpoint gets slower, and every limit shrinks though nothing waits. It
- * shows as calls held back before idle endpoints. So latency shrinks a limit
- * only while the endpoint reports a queue.
+ * With latency alone as the signal, longer inputs from callers would slow down
+ * every endpoint and decrease every limit although nothing is queued; the
+ * symptom is calls held back from idle endpoints. Latency therefore decreases a
+ * limit only while the endpoint reports a queue.
  *
- * One shrinking a round: a sample counts only when its call began after the
- * last one, since earlier calls tell of the old limit.
+ * The limit decreases once per round trip: a sample counts only if its call
+ * started after the last decrease, because earlier calls reflect the old limit.
  */
 export class AdaptiveLimit {
   readonly #floor: number;
@@ -52,7 +52,7 @@
   readonly #baselines = new Map<string, LatencyBaseline>();
   #slice: number;
   #limit: number;
-  #shrunkAt = Number.NEGATIVE_INFINITY;
+  #lastDecreaseAt = Number.NEGATIVE_INFINITY;
 
   constructor(options: AdaptiveLimitOptions) {
     this.#floor = options.floor ?? DEFAULT_FLOOR;
@@ -61,61 +61,59 @@
     this.#limit = this.#slice;
   }
 
-  /** Calls allowed in flight, a whole number. */
+  /** Calls allowed in flight, an integer. */
   get limit(): number {
     return Math.floor(this.#limit);
   }
 
-  /** Sets the daemon's slice. A limit that stood at the old one follows it. */
+  /** Sets the daemon's slice. A limit equal to the old slice follows it. */
   setSlice(slice: number): void {
-    const stoodAtSlice = this.#limit >= this.#slice;
+    const wasAtSlice = this.#limit >= this.#slice;
     this.#slice = Math.max(this.#floor, slice);
-    this.#limit = stoodAtSlice
-      ? this.#slice
-      : Math.min(this.#limit, this.#slice);
+    this.#limit = wasAtSlice ? this.#slice : Math.min(this.#limit, this.#slice);
   }
 
   callEnded(sample: LimitSample): void {
-    if (sample.outcome === "overloaded") this.#overloaded(sample);
-    if (sample.outcome === "success") this.#succeeded(sample);
+    if (sample.outcome === "overloaded") this.#handleOverload(sample);
+    if (sample.outcome === "success") this.#handleSuccess(sample);
   }
 
-  #overloaded(sample: LimitSample): void {
+  #handleOverload(sample: LimitSample): void {
     const reached = Math.min(this.#limit, sample.inFlight);
-    this.#shrinkTo(reached * SHRINK_ON_OVERLOAD, sample);
+    this.#decreaseTo(reached * OVERLOAD_DECREASE_FACTOR, sample);
   }
 
-  #succeeded(sample: LimitSample): void {
-    const baseline = this.#baselineOf(sample.model);
+  #handleSuccess(sample: LimitSample): void {
+    const baseline = this.#getOrCreateBaseline(sample.model);
     baseline.add(sample);
     if (sample.isQueueing && baseline.growth > this.#toleratedGrowth()) {
-      this.#shrinkTo(this.#limit * SHRINK_ON_LATENCY, sample);
+      this.#decreaseTo(this.#limit * LATENCY_DECREASE_FACTOR, sample);
       return;
     }
-    if (sample.inFlight < this.limit * SHARE_OF_LIMIT_IN_USE) return;
+    if (sample.inFlight < this.limit * MINIMUM_UTILIZATION_TO_GROW) return;
     const grown = this.#limit + 1 / Math.sqrt(this.#limit);
     this.#limit = Math.min(this.#slice, grown);
   }
 
   /**
-   * What goes wrong with one threshold for all: daemons whose baselines differ
-   * a little end at the floor and at the slice, and stay there. The smaller a
-   * limit, the more growth it stands, so that equal daemons meet in the middle.
+   * With a fixed threshold, daemons whose baselines differ slightly would end
+   * up at the floor and at the slice, and stay there. Smaller limits tolerate
+   * more latency growth, so that equal daemons converge.
    */
   #toleratedGrowth(): number {
     return this.#tolerance * Math.sqrt(this.#slice / this.#limit);
   }
 
-  #shrinkTo(limit: number, sample: LimitSample): void {
-    if (sample.at - sample.latencyMilliseconds < this.#shrunkAt) return;
-    this.#shrunkAt = sample.at;
+  #decreaseTo(limit: number, sample: LimitSample): void {
+    if (sample.at - sample.latencyMilliseconds < this.#lastDecreaseAt) return;
+    this.#lastDecreaseAt = sample.at;
     this.#limit = Math.max(this.#floor, limit);
   }
 
-  #baselineOf(model: string): LatencyBaseline {
-    const known = this.#baselines.get(model);
-    if (known !== undefined) return known;
-    if (this.#baselines.size >= BASELINES_KEPT) this.#baselines.clear();
+  #getOrCreateBaseline(model: string): LatencyBaseline {
+    const existing = this.#baselines.get(model);
+    if (existing !== undefined) return existing;
+    if (this.#baselines.size >= MAXIMUM_BASELINES) this.#baselines.clear();
     const baseline = new LatencyBaseline();
     this.#baselines.set(model, baseline);
     return baseline;
--- a/packages/kelpspar-decisions/src/routing/bounded_load_choice.ts
+++ b/packages/kelpspar-decisions/src/routing/bounded_load_choice.ts
@@ -3,7 +3,7 @@
 import type { EndpointEntry } from "./endpoint_entry.ts";
 import { hashText, rendezvousScore } from "./rendezvous_hash.ts";
 
-/** What a prefix is placed by. */
+/** Inputs for placing a prefix. */
 export interface BoundedLoadOptions {
   readonly prefixHash: string;
   readonly weights: ChoiceWeights;
@@ -12,10 +12,10 @@
 }
 
 /**
- * The endpoint that a prefix belongs to while none holds it: the first in the
- * prefix's own order of the endpoints whose load is not far over the mean. All
- * daemons come to the same one without talking, so that the prefix is cached
- * once, and a hot prefix spreads no further than its load needs.
+ * Chooses the endpoint for a prefix that no endpoint has cached: the first in
+ * the prefix's rendezvous order whose load is not far above the mean. All
+ * daemons choose the same endpoint without coordination, so that the prefix is
+ * cached once, and a hot prefix spreads no further than its load requires.
  *
  * Source: Mirrokni, Thorup and Zadimoghaddam, "Consistent hashing with bounded
  * loads", 2018.
@@ -25,7 +25,9 @@
   options: BoundedLoadOptions & { readonly search: CandidateSearch },
 ): EndpointEntry | undefined {
   const { now, search } = options;
-  const open = candidates.filter((entry) => search.admit(entry) === "open");
+  const open = candidates.filter((entry) =>
+    search.availabilityOf(entry) === "open"
+  );
   let load = 1;
   let capacity = 0;
   for (const entry of open) {
--- a/packages/kelpspar-decisions/src/routing/call_ended.ts
+++ b/packages/kelpspar-decisions/src/routing/call_ended.ts
@@ -4,15 +4,15 @@
 export interface CallEnded {
   readonly endpointId: string;
   /**
-   * What `callStarted` returned. A call that outlived the incarnation it was
-   * sent to says nothing of the one that took its place.
+   * The value that `callStarted` returned. A call that outlived the incarnation
+   * it was sent to carries no information about the incarnation's successor.
    */
   readonly generation: number;
   /** When it ended, monotonic milliseconds. */
   readonly at: number;
   /**
-   * What latencies are compared by, milliseconds: the time to the first record
-   * for streams, whose lengths differ, and the whole time for other calls.
+   * The latency to compare, milliseconds: the time to the first record for
+   * streams, whose lengths differ, and the total time for other calls.
    */
   readonly latencyMilliseconds: number;
   readonly outcome: CallOutcome;
--- a/packages/kelpspar-decisions/src/routing/call_outcome.ts
+++ b/packages/kelpspar-decisions/src/routing/call_outcome.ts
@@ -1,8 +1,8 @@
 /**
- * How a call to an endpoint ended, as routing counts it. `silent`: no progress
- * in time; `refused`: no connection; `overloaded` and `leaving`: the endpoint
- * said so itself and did not start the call; `cancelled`: nobody wanted the
- * result any more.
+ * Outcome of a call to an endpoint, as routing classifies it. `silent`: no
+ * progress before the timeout; `refused`: no connection; `overloaded` and
+ * `leaving`: the endpoint reported this and didn't start the call;
+ * `cancelled`: the result was no longer needed.
  */
 export type CallOutcome =
   | "success"
--- a/packages/kelpspar-decisions/src/routing/call_time_average.ts
+++ b/packages/kelpspar-decisions/src/routing/call_time_average.ts
@@ -1,15 +1,16 @@
-const ASSUMED_MILLISECONDS = 1_000;
-const ENDS_TO_TRUST = 5;
-const KEPT_PER_END = 0.995;
+const DEFAULT_CALL_MILLISECONDS = 1_000;
+const MINIMUM_CALLS = 5;
+const DECAY_PER_CALL = 0.995;
 
 /**
- * The mean time that calls spend in flight at a service, by Little's law: calls
- * in flight over time, divided by calls that ended. It needs no record a call.
+ * Mean time that calls of a service are in flight, by Little's law: the
+ * integral of calls in flight over time, divided by the calls that ended. It
+ * needs no state per call.
  */
 export class CallTimeAverage {
   #inFlight = 0;
-  #area = 0;
-  #ends = 0;
+  #inFlightMilliseconds = 0;
+  #endedCalls = 0;
   #lastAt = 0;
 
   callStarted(at: number): void {
@@ -17,7 +18,7 @@
     this.#inFlight++;
   }
 
-  /** Stops counting a call whose end will not be told. */
+  /** Stops counting a call whose end won't be reported. */
   abandon(at: number): void {
     this.#advance(at);
     this.#inFlight = Math.max(0, this.#inFlight - 1);
@@ -25,18 +26,19 @@
 
   callEnded(at: number): void {
     this.abandon(at);
-    this.#area *= KEPT_PER_END;
-    this.#ends = this.#ends * KEPT_PER_END + 1;
+    this.#inFlightMilliseconds *= DECAY_PER_CALL;
+    this.#endedCalls = this.#endedCalls * DECAY_PER_CALL + 1;
   }
 
-  /** Milliseconds, at least 1; assumed to be 1,000 before anything ended. */
+  /** Milliseconds, at least 1; 1,000 until enough calls have ended. */
   get milliseconds(): number {
-    if (this.#ends < ENDS_TO_TRUST) return ASSUMED_MILLISECONDS;
-    return Math.max(1, this.#area / this.#ends);
+    if (this.#endedCalls < MINIMUM_CALLS) return DEFAULT_CALL_MILLISECONDS;
+    return Math.max(1, this.#inFlightMilliseconds / this.#endedCalls);
   }
 
   #advance(at: number): void {
-    this.#area += this.#inFlight * Math.max(0, at - this.#lastAt);
+    this.#inFlightMilliseconds += this.#inFlight *
+      Math.max(0, at - this.#lastAt);
     this.#lastAt = at;
   }
 }
--- a/packages/kelpspar-decisions/src/routing/candidate_pool.ts
+++ b/packages/kelpspar-decisions/src/routing/candidate_pool.ts
@@ -1,9 +1,9 @@
 import type { EndpointEntry } from "./endpoint_entry.ts";
 
-/** Gives the region of an availability zone. */
+/** Returns the region of an availability zone. */
 export type RegionOfZone = (availabilityZone: string) => string;
 
-/** The endpoints that can take calls of one service and model, by zone. */
+/** Endpoints that can serve calls of one service and model, by zone. */
 export class CandidatePool {
   readonly key: string;
   readonly #regionOf: RegionOfZone;
@@ -40,39 +40,43 @@
     this.#regions = new Map();
   }
 
-  /** True when two zones are in one region. */
-  isNear(zone: string, otherZone: string): boolean {
+  /** True when two zones are in the same region. */
+  isSameRegion(zone: string, otherZone: string): boolean {
     return this.#regionOf(zone) === this.#regionOf(otherZone);
   }
 
   /** The candidates of all zones in the region of `zone`. */
   inRegionOf(zone: string): readonly EndpointEntry[] {
-    const known = this.#regions.get(zone);
-    if (known !== undefined) return known;
+    const cached = this.#regions.get(zone);
+    if (cached !== undefined) return cached;
     const entries = [...this.#zones].flatMap(([otherZone, candidates]) =>
-      this.isNear(zone, otherZone) ? candidates : []
+      this.isSameRegion(zone, otherZone) ? candidates : []
     );
     this.#regions.set(zone, entries);
     return entries;
   }
 
   /**
-   * The candidates as seen from `zone`: its own, then the others of its region,
-   * then the rest. Tiers without candidates are left out.
+   * Returns the candidates in tiers of distance from `zone`: the same zone, the
+   * rest of its region, all others. Empty tiers are omitted.
    */
   tiersFrom(zone: string): readonly (readonly EndpointEntry[])[] {
-    const known = this.#tiers.get(zone);
-    if (known !== undefined) return known;
+    const cached = this.#tiers.get(zone);
+    if (cached !== undefined) return cached;
     const region = this.#regionOf(zone);
     const own = this.#zones.get(zone) ?? [];
-    const near: EndpointEntry[] = [];
-    const far: EndpointEntry[] = [];
+    const sameRegion: EndpointEntry[] = [];
+    const otherRegions: EndpointEntry[] = [];
     for (const [otherZone, entries] of this.#zones) {
       if (otherZone === zone) continue;
-      const tier = this.#regionOf(otherZone) === region ? near : far;
+      const tier = this.#regionOf(otherZone) === region
+        ? sameRegion
+        : otherRegions;
       tier.push(...entries);
     }
-    const tiers = [own, near, far].filter((tier) => tier.length > 0);
+    const tiers = [own, sameRegion, otherRegions].filter((tier) =>
+      tier.length > 0
+    );
     this.#tiers.set(zone, tiers);
     return tiers;
   }
--- a/packages/kelpspar-decisions/src/routing/candidate_pools.ts
+++ b/packages/kelpspar-decisions/src/routing/candidate_pools.ts
@@ -2,12 +2,12 @@
 import type { RegionOfZone } from "./candidate_pool.ts";
 import { CandidatePool } from "./candidate_pool.ts";
 
-/** The key of a service's pool, or of one model's within it. */
+/** Returns the key of the pool of a service, or of a service and model. */
 export function poolKeyOf(service: string, model = ""): string {
   return model === "" ? service : `${service}/${model}`;
 }
 
-/** Finds the candidates of a call; kept up to date as endpoints change. */
+/** Index of candidate pools by service and model. */
 export class CandidatePools {
   readonly #regionOf: RegionOfZone;
   readonly #services = new Map<string, Map<string, CandidatePool>>();
@@ -16,12 +16,12 @@
     this.#regionOf = regionOf;
   }
 
-  /** The pool of a service and model (empty for none); undefined if empty. */
+  /** The pool of a service and model (empty string for no model), if any. */
   find(service: string, model: string): CandidatePool | undefined {
     return this.#services.get(service)?.get(model);
   }
 
-  /** Puts `entry` into exactly the pools of `models` within its service. */
+  /** Moves `entry` to exactly the pools of `models` within its service. */
   place(entry: EndpointEntry, models: readonly string[]): void {
     this.remove(entry);
     const service = entry.address.service;
@@ -36,7 +36,7 @@
     });
   }
 
-  /** Takes `entry` out of every pool. */
+  /** Removes `entry` from all pools. */
   remove(entry: EndpointEntry): void {
     for (const pool of entry.pools) pool.remove(entry);
     entry.pools = [];
--- a/packages/kelpspar-decisions/src/routing/candidate_search.ts
+++ b/packages/kelpspar-decisions/src/routing/candidate_search.ts
@@ -2,10 +2,10 @@
 import type { EndpointEntry } from "./endpoint_entry.ts";
 import type { EndpointRole } from "kelpspar-shared";
 
-const DRAWS_BEFORE_SCAN = 8;
-const SCAN_BELOW = 8;
+const MAXIMUM_DRAWS = 8;
+const SCAN_BELOW_CANDIDATES = 8;
 
-const ROLES_THAT_TAKE: Readonly<
+const COMPATIBLE_ROLES: Readonly<
   Record<EndpointRole, readonly EndpointRole[]>
 > = {
   any: ["any"],
@@ -14,10 +14,10 @@
   service: ["service", "any"],
 };
 
-/** Whether an endpoint can take a call now. */
-export type Admission = "open" | "full" | "suspect" | "closed";
+/** Whether an endpoint is available for a call now. */
+export type CandidateAvailability = "open" | "full" | "suspect" | "closed";
 
-/** The search of an endpoint for one call; notes why candidates fell out. */
+/** Searches an endpoint for one call and records why candidates failed. */
 export class CandidateSearch {
   readonly #call: ChooseOptions;
   #sawFull = false;
@@ -27,22 +27,22 @@
     this.#call = call;
   }
 
-  /** True when a candidate would do but is at its limit. */
+  /** True when a compatible candidate is at its limit. */
   get sawFull(): boolean {
     return this.#sawFull;
   }
 
-  /** True when a candidate would do but is suspect. */
+  /** True when a compatible candidate is suspect. */
   get sawSuspect(): boolean {
     return this.#sawSuspect;
   }
 
-  /** Whether `entry` can take the call. */
-  admit(entry: EndpointEntry): Admission {
+  /** Returns whether `entry` is available for the call. */
+  availabilityOf(entry: EndpointEntry): CandidateAvailability {
     const { exclude, now } = this.#call;
     if (entry.leaving || entry.health.isEjected) return "closed";
     if (exclude?.has(entry.address.endpointId)) return "closed";
-    if (!this.#suits(entry)) return "closed";
+    if (!this.#isCompatible(entry)) return "closed";
     if (entry.load.inFlight >= entry.limitAt(now)) {
       this.#sawFull ||= !entry.health.isSuspect;
       return "full";
@@ -53,42 +53,42 @@
   }
 
   /**
-   * The less loaded of two candidates drawn at random. A few draws find two
-   * that can take the call, unless most cannot; then all are looked through.
+   * Returns the less loaded of two random candidates. A few draws find two that
+   * are available, unless most are not; in that case it scans all of them.
    *
    * Source: Mitzenmacher, "The power of two choices in randomized load
    * balancing", 2001.
    */
-  drawBest(
+  pickLessLoaded(
     candidates: readonly EndpointEntry[],
-    wanted: Admission = "open",
+    wanted: CandidateAvailability = "open",
   ): EndpointEntry | undefined {
-    if (candidates.length < SCAN_BELOW || wanted !== "open") {
+    if (candidates.length < SCAN_BELOW_CANDIDATES || wanted !== "open") {
       return this.#scan(candidates, wanted);
     }
     let first: EndpointEntry | undefined;
-    for (let draw = 0; draw < DRAWS_BEFORE_SCAN; draw++) {
+    for (let draw = 0; draw < MAXIMUM_DRAWS; draw++) {
       const index = this.#call.random.nextInteger(candidates.length);
       const entry = candidates[index];
       if (entry === undefined || entry === first) continue;
-      if (this.admit(entry) !== wanted) continue;
-      if (first !== undefined) return this.#better(first, entry);
+      if (this.availabilityOf(entry) !== wanted) continue;
+      if (first !== undefined) return this.#lessLoaded(first, entry);
       first = entry;
     }
     return this.#scan(candidates, wanted);
   }
 
-  /** Draws two in one pass, each pair with the same chance. */
+  /** Samples two available candidates uniformly, in one pass. */
   #scan(
     candidates: readonly EndpointEntry[],
-    wanted: Admission,
+    wanted: CandidateAvailability,
   ): EndpointEntry | undefined {
     const { random } = this.#call;
     let first: EndpointEntry | undefined;
     let second: EndpointEntry | undefined;
     let seen = 0;
     for (const entry of candidates) {
-      if (this.admit(entry) !== wanted) continue;
+      if (this.availabilityOf(entry) !== wanted) continue;
       seen++;
       if (first === undefined) first = entry;
       else if (second === undefined) second = entry;
@@ -100,22 +100,22 @@
     }
     if (first === undefined || second === undefined) return first;
     return random.next() < 0.5
-      ? this.#better(first, second)
-      : this.#better(second, first);
+      ? this.#lessLoaded(first, second)
+      : this.#lessLoaded(second, first);
   }
 
-  #better(first: EndpointEntry, second: EndpointEntry): EndpointEntry {
+  #lessLoaded(first: EndpointEntry, second: EndpointEntry): EndpointEntry {
     const { now } = this.#call;
     return second.scoreAt(now) < first.scoreAt(now) ? second : first;
   }
 
-  #suits(entry: EndpointEntry): boolean {
+  #isCompatible(entry: EndpointEntry): boolean {
     const { adapter, role } = this.#call;
     const { report } = entry;
     if (adapter !== undefined && !report?.adapters.includes(adapter)) {
       return false;
     }
     if (role === undefined || report === undefined) return true;
-    return ROLES_THAT_TAKE[role].includes(report.role);
+    return COMPATIBLE_ROLES[role].includes(report.role);
   }
 }
--- a/packages/kelpspar-decisions/src/routing/choose_endpoint.ts
+++ b/packages/kelpspar-decisions/src/routing/choose_endpoint.ts
@@ -13,9 +13,9 @@
 type Tiers = readonly (readonly EndpointEntry[])[];
 
 /**
- * Chooses where a call goes: by load among the candidates of the own zone, of
- * others when that is loaded or lost, and by cached prefix within a stated load
- * difference. Counting the call is left to `registry.callStarted`.
+ * Chooses the endpoint for a call: by load among the candidates of the local
+ * zone, of other zones when that one is loaded or lost, and by cached prefix
+ * within a bounded load difference. `registry.callStarted` counts the call.
  */
 export function chooseEndpoint(
   registry: EndpointRegistry,
@@ -25,7 +25,7 @@
   const tiers = pool?.tiersFrom(call.zone) ?? [];
   const search = new CandidateSearch(call);
   const byLoad = chooseByLoad(tiers, { call, search });
-  if (byLoad === undefined) return chooseAmongRest(tiers, search);
+  if (byLoad === undefined) return chooseSuspectOrNone(tiers, search);
   if (call.prefixHash === undefined || pool === undefined) {
     return byLoad.address;
   }
@@ -52,7 +52,7 @@
   let best: EndpointEntry | undefined;
   let bestLoad = Number.POSITIVE_INFINITY;
   for (const tier of tiers) {
-    const entry = search.drawBest(tier);
+    const entry = search.pickLessLoaded(tier);
     if (entry === undefined) continue;
     const load = entry.utilizationAt(call.now);
     if (load + weights.spillDifference < bestLoad) {
@@ -65,19 +65,19 @@
 }
 
 /**
- * What goes wrong: something between the daemon and the endpoints forgets every
- * connection at once, so that all of them are suspect though all are well. Then
- * a suspect one is better than a refusal; while any other is merely full, it is
- * not, since its calls may hang.
+ * A network device between the daemon and the endpoints may drop the state of
+ * all connections at once, which makes healthy endpoints suspect. A suspect
+ * endpoint is then better than rejecting the call. While another endpoint is
+ * merely full it is not, because calls to a suspect endpoint may hang.
  */
-function chooseAmongRest(
+function chooseSuspectOrNone(
   tiers: Tiers,
   search: CandidateSearch,
 ): EndpointAddress | NoEndpoint {
   if (search.sawFull) return ALL_FULL;
   if (!search.sawSuspect) return NO_ENDPOINT;
   for (const tier of tiers) {
-    const entry = search.drawBest(tier, "suspect");
+    const entry = search.pickLessLoaded(tier, "suspect");
     if (entry !== undefined) return entry.address;
   }
   return NO_ENDPOINT;
@@ -90,10 +90,10 @@
 }
 
 /**
- * A prefix is looked for in the whole region, not in the own zone alone: a way
- * between zones takes milliseconds, reading a long prefix anew a hundred or
- * more. Kept to its zone, each daemon would fill its zone's few caches with
- * every prefix there is, and most calls would miss.
+ * Searches for a prefix in the whole region rather than in the local zone: a
+ * hop between zones takes milliseconds, a prefill of a long prefix a hundred or
+ * more. Restricted to the local zone, daemons would fill its few caches with
+ * every prefix in use, and most calls would miss.
  */
 function chooseForPrefix(
   registry: EndpointRegistry,
@@ -104,10 +104,10 @@
   const holders = call.prefixes?.holders(prefixHash) ?? [];
   const holder = leastLoadedHolder(registry, { call, search, holders, pool });
   if (holder !== undefined) {
-    const loadOfHolder = holder.utilizationAt(call.now);
-    const isWorthIt = loadOfHolder <=
+    const holderLoad = holder.utilizationAt(call.now);
+    const isWithinDifference = holderLoad <=
       byLoad.utilizationAt(call.now) + weights.affinityDifference;
-    return isWorthIt ? holder : byLoad;
+    return isWithinDifference ? holder : byLoad;
   }
   return chooseByPrefix(pool.inRegionOf(call.zone), {
     prefixHash,
@@ -129,8 +129,8 @@
   for (const endpointId of holders) {
     const entry = registry.entryOf(endpointId);
     if (entry === undefined || !entry.pools.includes(pool)) continue;
-    if (!pool.isNear(call.zone, entry.address.availabilityZone)) continue;
-    if (search.admit(entry) !== "open") continue;
+    if (!pool.isSameRegion(call.zone, entry.address.availabilityZone)) continue;
+    if (search.availabilityOf(entry) !== "open") continue;
     if (
       best === undefined || entry.scoreAt(call.now) < best.scoreAt(call.now)
     ) {
--- a/packages/kelpspar-decisions/src/routing/choose_options.ts
+++ b/packages/kelpspar-decisions/src/routing/choose_options.ts
@@ -1,26 +1,26 @@
 import type { EndpointRole, RandomSource } from "kelpspar-shared";
 
-/** Tells which endpoints hold a prompt prefix, as far as is known. */
+/** Looks up the endpoints that have a prompt prefix cached. */
 export interface PrefixHolders {
-  /** Ids of the endpoints that hold `prefixHash`; may be wrong. */
+  /** Ids of the endpoints that hold `prefixHash`; may be out of date. */
   holders(prefixHash: string): readonly string[];
 }
 
-/** How loads are weighed against nearness and cached prefixes. */
+/** Trade-off between load, zone and cached prefixes. */
 export interface ChoiceWeights {
-  /** Utilization of the own zone's choice from which others are looked at. */
+  /** Utilization in the local zone from which other zones are considered. */
   readonly spillUtilization: number;
-  /** How much lower another zone's utilization must be. */
+  /** Minimum by which another zone's utilization must be lower. */
   readonly spillDifference: number;
-  /** Utilization that a cached prefix is worth, and no more. */
+  /** Maximum extra utilization accepted for a cached prefix. */
   readonly affinityDifference: number;
-  /** Load over the mean up to which a prefix keeps to its own endpoint. */
+  /** Ratio of load to the mean up to which a prefix stays on its endpoint. */
   readonly boundedLoadFactor: number;
-  /** Utilization up to which an endpoint always takes its own prefixes. */
+  /** Utilization up to which an endpoint always accepts its own prefixes. */
   readonly ownPrefixUtilization: number;
 }
 
-/** The defaults of `ChoiceWeights`. */
+/** Default `ChoiceWeights`. */
 export const DEFAULT_CHOICE_WEIGHTS: ChoiceWeights = {
   spillUtilization: 0.9,
   spillDifference: 0.2,
@@ -37,14 +37,14 @@
   readonly adapter?: string;
   /** Identifies the prompt's shared prefix. */
   readonly prefixHash?: string;
-  /** The part of generation wanted; default whatever the endpoint does. */
+  /** The required role in generation; default any role. */
   readonly role?: EndpointRole;
-  /** The zone to stay in if its load allows. */
+  /** The preferred zone. */
   readonly zone: string;
   /** Monotonic milliseconds. */
   readonly now: number;
   readonly random: RandomSource;
-  /** Endpoints that were tried already. */
+  /** Endpoints that were already tried. */
   readonly exclude?: ReadonlySet<string>;
   readonly prefixes?: PrefixHolders;
   readonly weights?: ChoiceWeights;
@@ -52,6 +52,6 @@
 
 /** Why no endpoint was chosen. */
 export interface NoEndpoint {
-  /** `all_full`: some would do, but each is at its limit. */
+  /** `all_full`: there are compatible endpoints, but each is at its limit. */
   readonly none: "no_endpoint" | "all_full";
 }
--- a/packages/kelpspar-decisions/src/routing/connection_watch.ts
+++ b/packages/kelpspar-decisions/src/routing/connection_watch.ts
@@ -1,13 +1,13 @@
-const GAPS_BEFORE_SUSPICION = 4;
-const SHORTEST_SUSPICION_MILLISECONDS = 250;
+const SUSPICION_GAP_FACTOR = 4;
+const MINIMUM_SUSPICION_MILLISECONDS = 250;
 
-/** What a stage does to the world, as in the configuration. */
+/** External side effects of a stage, as in the configuration. */
 export type StageEffect = "none" | "once";
 
-/** The call whose progress is watched. */
+/** The call whose progress is monitored. */
 export interface ConnectionWatchOptions {
   readonly effect: StageEffect;
-  /** True for engines, which keep an attempt alive and stream it again. */
+  /** True for engines, which keep an attempt alive and can stream it again. */
   readonly isResumable: boolean;
   /** The service's progress timeout, milliseconds. */
   readonly progressTimeoutMilliseconds: number;
@@ -15,25 +15,25 @@
   readonly startedAt: number;
 }
 
-/** The answer, or none, of an endpoint's load address on a new connection. */
+/** Result of probing an endpoint's load address over a new connection. */
 export interface SilenceProbe {
   readonly answered: boolean;
-  /** True when the answer shows calls waiting there. */
+  /** True when the answer shows queued calls. */
   readonly isQueueing: boolean;
   /** When the call became suspect, monotonic milliseconds. */
   readonly suspectedAt: number;
 }
 
-/** What the daemon does about a call that went silent. */
+/** How the daemon handles a silent call. */
 export interface SilenceVerdict {
-  /** The connection is never used again, whatever the probe said. */
+  /** The connection is never reused, whatever the probe's result. */
   readonly connection: "destroy";
   readonly endpoint: "keep" | "eject";
   /**
    * `resume_here`: stream the same attempt from the offset, over a new
-   * connection; an endpoint that does not know it has not run it again.
-   * `resend_elsewhere`: send it to another endpoint, with the text
-   * so far if there is any. `give_up`: its outcome is unknown, say so at once.
+   * connection; an endpoint that doesn't know the attempt doesn't run it again.
+   * `resend_elsewhere`: send it to another endpoint, with the partial text if
+   * there is any. `give_up`: fail at once with an unknown outcome.
    */
   readonly call: "resume_here" | "resend_elsewhere" | "give_up";
 }
@@ -45,23 +45,23 @@
   >
 > = {
   answered: {
-    resumable: verdict("keep", "resume_here"),
-    none: verdict("keep", "resend_elsewhere"),
-    once: verdict("keep", "give_up"),
+    resumable: createVerdict("keep", "resume_here"),
+    none: createVerdict("keep", "resend_elsewhere"),
+    once: createVerdict("keep", "give_up"),
   },
   failed: {
-    resumable: verdict("eject", "resend_elsewhere"),
-    none: verdict("eject", "resend_elsewhere"),
-    once: verdict("eject", "give_up"),
+    resumable: createVerdict("eject", "resend_elsewhere"),
+    none: createVerdict("eject", "resend_elsewhere"),
+    once: createVerdict("eject", "give_up"),
   },
 };
 
 /**
- * Watches whether a call makes progress. What goes wrong: something between the
- * two ends forgets a connection; nothing more arrives and nothing fails, while
- * new connections work. It shows as calls that hang until their deadline. So a
- * call that is silent for too long makes the daemon probe the endpoint over a
- * new connection: an answer proves that the old one is what is silent, no
+ * Monitors the progress of a call. When a network device between the two ends
+ * drops a connection's state, nothing arrives and nothing fails, while new
+ * connections work; the symptom is calls that hang until their deadline. When a
+ * call is silent for too long, the daemon therefore probes the endpoint over a
+ * new connection: an answer proves that the old connection is dead, and no
  * answer that the endpoint is gone.
  *
  * Source: the brief, "What fails".
@@ -77,18 +77,19 @@
     this.#progressAt = options.startedAt;
   }
 
-  /** Notes that a record arrived. */
+  /** Records the arrival of a record. */
   progressed(now: number): void {
     this.#progressAt = now;
     this.#hasRecords = true;
   }
 
   /**
-   * When the call becomes suspect if nothing arrives, monotonic milliseconds.
-   * With `gapMilliseconds`, the p99 between two records of the service, a
-   * stream that runs is suspect sooner than the configured timeout. Not so
-   * before the first record, when the endpoint may just be queueing, nor for a
-   * call that may not be repeated, which a mistaken suspicion gives up.
+   * Time at which the call becomes suspect if nothing arrives, monotonic
+   * milliseconds. With `gapMilliseconds`, the p99 gap between two records of
+   * the service, a running stream becomes suspect before the configured
+   * timeout. This excludes calls before the first record, which may be queued
+   * at the endpoint, and non-repeatable calls, which a false suspicion would
+   * fail.
    */
   suspectAt(gapMilliseconds?: number): number {
     const { effect, progressTimeoutMilliseconds } = this.#options;
@@ -96,21 +97,22 @@
       gapMilliseconds !== undefined;
     if (!isEarly) return this.#progressAt + progressTimeoutMilliseconds;
     const timeout = Math.max(
-      SHORTEST_SUSPICION_MILLISECONDS,
-      GAPS_BEFORE_SUSPICION * gapMilliseconds,
+      MINIMUM_SUSPICION_MILLISECONDS,
+      SUSPICION_GAP_FACTOR * gapMilliseconds,
     );
     return this.#progressAt + Math.min(timeout, progressTimeoutMilliseconds);
   }
 
   /**
-   * What to do after the probe; undefined when the call may go on, since a
-   * record arrived meanwhile or the call may just be queueing.
+   * Decides what to do after the probe; undefined if the call may continue,
+   * because a record arrived in the meantime or the call may be queued.
    *
-   * What goes wrong without the second: an overloaded service answers nothing
-   * for a while, every waiting call is sent again elsewhere, and the load
-   * doubles. So a queue earns a call one more timeout, but only one.
+   * Without the second exception, an overloaded service that answers nothing
+   * for a while would have every queued call resent elsewhere, which doubles
+   * the load. A reported queue therefore extends a call's timeout, but only
+   * once.
    */
-  judge(probe: SilenceProbe): SilenceVerdict | undefined {
+  evaluateProbe(probe: SilenceProbe): SilenceVerdict | undefined {
     if (this.#progressAt >= probe.suspectedAt) return undefined;
     if (probe.isQueueing && !this.#hasRecords && !this.#isExtended) {
       this.#isExtended = true;
@@ -119,12 +121,14 @@
     }
     const { effect, isResumable } = this.#options;
     const verdicts = VERDICTS[probe.answered ? "answered" : "failed"];
-    const isStopped = effect === "once" && !probe.answered;
-    return isResumable && !isStopped ? verdicts.resumable : verdicts[effect];
+    const mustNotResume = effect === "once" && !probe.answered;
+    return isResumable && !mustNotResume
+      ? verdicts.resumable
+      : verdicts[effect];
   }
 }
 
-function verdict(
+function createVerdict(
   endpoint: SilenceVerdict["endpoint"],
   call: SilenceVerdict["call"],
 ): SilenceVerdict {
--- a/packages/kelpspar-decisions/src/routing/endpoint_entry.ts
+++ b/packages/kelpspar-decisions/src/routing/endpoint_entry.ts
@@ -1,33 +1,33 @@
 import type { AdaptiveLimit } from "./adaptive_limit.ts";
 import type { CandidatePool } from "./candidate_pool.ts";
 import type { EndpointHealth } from "./endpoint_health.ts";
-import type { LoadView } from "./load_view.ts";
+import type { LoadEstimator } from "./load_estimator.ts";
 import type { EndpointAddress, LoadReport } from "kelpspar-shared";
 import { ProbeSchedule } from "./probe_schedule.ts";
 import { hashText } from "./rendezvous_hash.ts";
 
-/** What an entry starts with, anew for each generation. */
+/** State of an entry that is recreated for each generation. */
 export interface EntryParts {
-  readonly load: LoadView;
+  readonly load: LoadEstimator;
   readonly health: EndpointHealth;
   readonly limit: AdaptiveLimit;
 }
 
-/** One endpoint inside the registry; readers outside get its status. */
+/** One endpoint within the registry; `EndpointStatus` is its public view. */
 export class EndpointEntry {
   readonly hash: number;
   address: EndpointAddress;
-  /** Counts incarnations, so that calls to an earlier one are told apart. */
+  /** Counts incarnations, to distinguish calls to an earlier one. */
   generation = 0;
   leaving = false;
   report: LoadReport | undefined;
-  /** Calls it runs at a time. */
+  /** Calls that the endpoint runs concurrently. */
   concurrency: number;
-  load: LoadView;
+  load: LoadEstimator;
   health: EndpointHealth;
   limit: AdaptiveLimit;
   probes = new ProbeSchedule();
-  /** The pools that it is a candidate of. */
+  /** The pools in which it is a candidate. */
   pools: readonly CandidatePool[] = [];
 
   constructor(
@@ -42,8 +42,8 @@
     this.limit = options.limit;
   }
 
-  /** Begins a generation that inherits nothing from the one before. */
-  renew(parts: EntryParts): void {
+  /** Starts a new generation that inherits nothing from the previous one. */
+  reset(parts: EntryParts): void {
     this.generation++;
     this.report = undefined;
     this.load = parts.load;
@@ -52,23 +52,23 @@
     this.probes = new ProbeSchedule();
   }
 
-  /** Own calls allowed at `now`; slow start lowers it, but never to none. */
+  /** This daemon's calls allowed at `now`, at least 1; slow start lowers it. */
   limitAt(now: number): number {
     const weight = this.health.weightAt(now);
     return Math.max(1, Math.floor(this.limit.limit * weight));
   }
 
-  /** Load over what it may take at `now`; 1 means that calls would wait. */
+  /** Load divided by capacity at `now`; from 1 on calls would queue. */
   utilizationAt(now: number): number {
     return this.load.level / this.capacityAt(now);
   }
 
-  /** What candidates compete by at `now`: the lower, the better. */
+  /** Score by which candidates are compared at `now`; lower is better. */
   scoreAt(now: number): number {
     return (this.load.estimateAt(now) + 1) / this.capacityAt(now);
   }
 
-  /** Calls it may run at a time at `now`, above 0. */
+  /** Concurrent calls allowed at `now` by slow start, above 0. */
   capacityAt(now: number): number {
     const weight = Math.max(0.01, this.health.weightAt(now));
     return this.concurrency * weight;
--- a/packages/kelpspar-decisions/src/routing/endpoint_events.ts
+++ b/packages/kelpspar-decisions/src/routing/endpoint_events.ts
@@ -1,6 +1,6 @@
 import type { EndpointAddress, LoadReport } from "kelpspar-shared";
 
-/** A row of the VM list that is an endpoint. */
+/** A row of the VM list for an endpoint. */
 export interface ListedEndpoint {
   readonly address: EndpointAddress;
   readonly state: "live" | "leaving";
@@ -13,11 +13,11 @@
   /** When it arrived, monotonic milliseconds. */
   readonly now: number;
   /**
-   * True when this daemon fetched it itself, over a new connection; that is an
-   * answered probe as well. Default false.
+   * True when this daemon fetched it over a new connection, which also counts
+   * as an answered probe. Default false.
    */
   readonly direct?: boolean;
-  /** Time it spent at other daemons on its way, milliseconds; default 0. */
+  /** Time for which other daemons held it, milliseconds; default 0. */
   readonly relayedMilliseconds?: number;
 }
 
@@ -28,10 +28,10 @@
   readonly at: number;
 }
 
-/** A fetch of the load report, as a probe or a poll, that gave none. */
+/** A failed fetch of the load report, by a probe or a poll. */
 export interface ProbeFailure {
   readonly endpointId: string;
-  /** `refused`: no connection; `failed`: a connection, but no answer. */
+  /** `refused`: no connection; `failed`: a connection without an answer. */
   readonly result: "refused" | "failed";
   /** Monotonic milliseconds. */
   readonly at: number;
--- a/packages/kelpspar-decisions/src/routing/endpoint_health.ts
+++ b/packages/kelpspar-decisions/src/routing/endpoint_health.ts
@@ -3,15 +3,15 @@
 import { RateWindow } from "./rate_window.ts";
 
 /**
- * `suspect`: avoided while others are there, until a probe says more.
- * `ejected`: gets no calls until probes were answered. `ramping`: slow start.
+ * `suspect`: avoided while there are other endpoints, until a probe decides.
+ * `ejected`: gets no calls until it answers probes. `ramping`: slow start.
  */
 export type HealthState = "healthy" | "suspect" | "ejected" | "ramping";
 
 /** Why an endpoint was ejected. */
 export type EjectionReason = "failures" | "latency" | "probe_failed";
 
-/** Health of one endpoint as this daemon sees it. */
+/** Health of one endpoint from this daemon's point of view. */
 export class EndpointHealth {
   readonly endpointId: string;
   /** Recent outcomes. */
@@ -19,8 +19,8 @@
   /** Latencies by pool. */
   readonly latencies = new Map<string, LatencyWindow>();
   /** Failures since the last success. */
-  failuresInRow = 0;
-  /** True while its outcomes alone would eject it. */
+  consecutiveFailures = 0;
+  /** True while its outcomes meet the criteria for ejection. */
   failing = false;
   readonly #options: OutlierOptions;
   #state: HealthState = "healthy";
@@ -28,7 +28,7 @@
   #ejections = 0;
   #ejectedUntil = 0;
   #suspectedAt = 0;
-  #returnedAt = 0;
+  #recoveredAt = 0;
   #rampFrom = Number.NEGATIVE_INFINITY;
   #probesAnswered = 0;
 
@@ -37,7 +37,7 @@
     this.#options = options;
   }
 
-  /** Its state at `now`; slow start ends by itself. */
+  /** Its state at `now`; slow start ends after its duration. */
   stateAt(now: number): HealthState {
     if (this.#state !== "ramping" || this.#isRampingAt(now)) return this.#state;
     return "healthy";
@@ -56,14 +56,14 @@
     return this.#reason;
   }
 
-  /** From when on probes are wanted; infinite when none are. */
-  get probesWantedFrom(): number {
+  /** Time from which probes are due; infinite when none are. */
+  get probesDueFrom(): number {
     if (this.#state === "suspect") return this.#suspectedAt;
     if (this.#state === "ejected") return this.#ejectedUntil;
     return Number.POSITIVE_INFINITY;
   }
 
-  /** Share of its ordinary work that it may get, 0 to 1. */
+  /** Share of its usual load that it may get, 0 to 1. */
   weightAt(now: number): number {
     if (this.#state === "healthy") return 1;
     if (this.#state === "ejected") return 0;
@@ -73,16 +73,16 @@
     return rampStartWeight + (1 - rampStartWeight) * progress;
   }
 
-  /** Begins slow start at `now`. */
+  /** Starts slow start at `now`. */
   startRamp(now: number): void {
     this.#state = "ramping";
     this.#rampFrom = now;
-    this.#returnedAt = now;
+    this.#recoveredAt = now;
     this.#reason = undefined;
-    this.#forgetOutcomes();
+    this.#clearOutcomes();
   }
 
-  /** Marks it until a probe says more. */
+  /** Marks it as suspect until a probe decides. */
   suspect(now: number): void {
     if (this.#state === "ejected" || this.#state === "suspect") return;
     this.#state = "suspect";
@@ -90,9 +90,10 @@
   }
 
   /**
-   * Ejects it. Each ejection for how it worked takes twice as long as the one
-   * before. One that answers no probe is judged anew by each probe, so it needs
-   * no sentence: when a switch comes back, its endpoints do at once.
+   * Ejects it. Each ejection for failures or latency lasts twice as long as the
+   * previous one. An ejection for failed probes doesn't back off, because each
+   * probe reevaluates it: endpoints return at once when a failed switch
+   * recovers.
    */
   eject(reason: EjectionReason, now: number): void {
     this.#ejectedUntil = now + this.#ejectionTime(reason, now);
@@ -101,25 +102,25 @@
     this.#probesAnswered = 0;
   }
 
-  /** Ends an ejection without probes, as when the whole pool fails. */
-  pardon(now: number): void {
+  /** Ends an ejection without probes, for example when the whole pool fails. */
+  cancelEjection(now: number): void {
     this.#state = "healthy";
     this.#reason = undefined;
-    this.#returnedAt = now;
-    this.failuresInRow = 0;
+    this.#recoveredAt = now;
+    this.consecutiveFailures = 0;
   }
 
-  /** Takes in an answered probe. */
+  /** Records an answered probe. */
   probeAnswered(now: number): void {
     if (this.#state === "suspect") this.#clearSuspicion(now);
     if (this.#state !== "ejected" || now < this.#ejectedUntil) return;
     this.#probesAnswered++;
-    if (this.#probesAnswered < this.#options.probesToReturn) return;
+    if (this.#probesAnswered < this.#options.probesToRecover) return;
     this.startRamp(now);
   }
 
-  /** True when a probe that failed now must eject it, again or at last. */
-  isProbeFailureFinal(now: number): boolean {
+  /** True when a probe that fails now ejects it or renews its ejection. */
+  ejectsOnProbeFailure(now: number): boolean {
     if (this.#state === "suspect") return true;
     return this.#state === "ejected" && now >= this.#ejectedUntil;
   }
@@ -127,8 +128,8 @@
   #ejectionTime(reason: EjectionReason, now: number): number {
     const options = this.#options;
     if (reason === "probe_failed") return options.ejectionMilliseconds;
-    const healthyFor = now - this.#returnedAt;
-    if (healthyFor >= options.forgiveMilliseconds) this.#ejections = 0;
+    const healthyFor = now - this.#recoveredAt;
+    if (healthyFor >= options.ejectionResetMilliseconds) this.#ejections = 0;
     return Math.min(
       options.maximumEjectionMilliseconds,
       options.ejectionMilliseconds * 2 ** this.#ejections++,
@@ -143,9 +144,9 @@
     return now - this.#rampFrom < this.#options.rampMilliseconds;
   }
 
-  #forgetOutcomes(): void {
+  #clearOutcomes(): void {
     this.failing = false;
-    this.failuresInRow = 0;
+    this.consecutiveFailures = 0;
     this.outcomes.clear();
     this.latencies.clear();
   }
--- a/packages/kelpspar-decisions/src/routing/endpoint_registry.ts
+++ b/packages/kelpspar-decisions/src/routing/endpoint_registry.ts
@@ -18,13 +18,13 @@
 import { OutlierDetector } from "./outlier_detector.ts";
 
 const DEFAULT_REPORT_LAG_MILLISECONDS = 500;
-const MOST_PROBES_AT_A_TIME = 32;
+const MAXIMUM_PROBES_PER_POLL = 32;
 const UNKNOWN_GENERATION = -1;
 
 /**
- * What this daemon knows of every endpoint. Events change it; `chooseEndpoint`
- * reads it; `status` gives operators an immutable picture. Times are monotonic
- * milliseconds.
+ * This daemon's state of every endpoint. Events update it, `chooseEndpoint`
+ * reads it, and `status` returns an immutable snapshot for operators. Times are
+ * monotonic milliseconds.
  */
 export class EndpointRegistry {
   readonly #reportLagMilliseconds: number;
@@ -43,42 +43,42 @@
     this.#pools = new CandidatePools(options.regionOf ?? (() => ""));
   }
 
-  /** Takes limits of a newly accepted configuration. */
+  /** Applies the limits of a newly accepted configuration. */
   configure(limits: Pick<OutlierOptions, "ejectedShare">): void {
     this.#detector.configure(limits);
   }
 
-  /** Takes in a whole VM list; endpoints not in it are forgotten. */
+  /** Applies a complete VM list; endpoints not in it are removed. */
   replaceList(endpoints: readonly ListedEndpoint[], now: number): void {
     const listed = new Set<string>();
     for (const row of endpoints) {
       listed.add(row.address.endpointId);
-      this.#list(row, now);
+      this.#upsertListed(row, now);
     }
     for (const [id, entry] of this.#entries) {
-      if (!listed.has(id)) this.#forget(entry, now);
+      if (!listed.has(id)) this.#removeEntry(entry, now);
     }
   }
 
-  /** Takes in a report; one of an earlier incarnation changes nothing. */
+  /** Applies a load report; one of an earlier incarnation is ignored. */
   report(arrival: ReportArrival): void {
     const { endpointId, report, now, direct = false } = arrival;
-    const sighting = this.#leaving.reported({
+    const observation = this.#leaving.reported({
       id: endpointId,
       incarnation: report.incarnation,
       leaving: report.state === "leaving",
       direct,
     });
     const entry = this.#entries.get(endpointId);
-    if (entry === undefined || sighting === "retired") return;
-    if (sighting === "renewed") this.#renew(entry, now);
-    if (direct) this.#probeAnswered(entry, now);
+    if (entry === undefined || observation === "retired") return;
+    if (observation === "renewed") this.#resetEntry(entry, now);
+    if (direct) this.#handleProbeAnswer(entry, now);
     const isNewer = report.sequence > (entry.report?.sequence ?? -1);
-    if (isNewer) this.#takeReport(entry, arrival);
-    this.#place(entry);
+    if (isNewer) this.#applyReport(entry, arrival);
+    this.#updatePools(entry);
   }
 
-  /** Counts a call as sent; returns the generation for `callEnded`. */
+  /** Counts a call as sent; returns the generation to pass to `callEnded`. */
   callStarted(call: CallStarted): number {
     const entry = this.#entries.get(call.endpointId);
     if (entry === undefined) return UNKNOWN_GENERATION;
@@ -86,7 +86,7 @@
     return entry.generation;
   }
 
-  /** Takes in the end of a call. */
+  /** Records the end of a call. */
   callEnded(ended: CallEnded): void {
     const entry = this.#entries.get(ended.endpointId);
     if (entry === undefined || entry.generation !== ended.generation) return;
@@ -98,58 +98,62 @@
     entry.limit.callEnded({ ...sample, inFlight, isQueueing, model });
     const poolKey = poolKeyOf(entry.address.service, model);
     this.#detector.callEnded(entry.health, { ...sample, poolKey });
-    if (outcome === "refused") this.#refused(entry, at);
-    if (outcome === "leaving") this.#recordedLeaving(entry);
+    if (outcome === "refused") this.#handleRefusal(entry, at);
+    if (outcome === "leaving") this.#handleLeavingRecord(entry);
   }
 
   /** Applies an operator's drain; see `LeavingTracker.drain`. */
   drain(endpointId: string, incarnation?: string): void {
     this.#leaving.drain(endpointId, incarnation);
-    this.#placeById(endpointId);
+    this.#updatePoolsById(endpointId);
   }
 
-  /** Takes an operator's drain back. */
+  /** Cancels an operator's drain. */
   undrain(endpointId: string): void {
     this.#leaving.undrain(endpointId);
-    this.#placeById(endpointId);
+    this.#updatePoolsById(endpointId);
   }
 
-  /** Avoids an endpoint until a probe says more. */
+  /** Marks an endpoint as suspect until a probe decides. */
   suspect(endpointId: string, now: number): void {
     this.#entries.get(endpointId)?.health.suspect(now);
   }
 
   /**
-   * Endpoints to probe now, a few at a time; counts them as probed. An answer
-   * goes to `report` as `direct`, a failure to `probeFailed`.
+   * Returns a limited number of endpoints to probe now and marks them as
+   * probed. Pass an answer to `report` as `direct`, and a failure to
+   * `probeFailed`.
    */
   probesDue(now: number): readonly EndpointAddress[] {
     const due: EndpointAddress[] = [];
     for (const entry of this.#entries.values()) {
-      if (due.length >= MOST_PROBES_AT_A_TIME) break;
-      if (!entry.probes.isDue(now, this.#probesWantedFrom(entry))) continue;
+      if (due.length >= MAXIMUM_PROBES_PER_POLL) break;
+      if (!entry.probes.isDue(now, this.#probesDueFrom(entry))) continue;
       entry.probes.sent(now);
       due.push(entry.address);
     }
     return due;
   }
 
-  /** The first failure makes an endpoint suspect, the next one ejects it. */
+  /** Makes an endpoint suspect at the first failure, ejects it at the next. */
   probeFailed(failure: ProbeFailure): void {
     const entry = this.#entries.get(failure.endpointId);
     if (entry === undefined) return;
     entry.probes.failed();
-    this.#detector.probed(entry.health, { answered: false, at: failure.at });
+    this.#detector.recordProbe(entry.health, {
+      answered: false,
+      at: failure.at,
+    });
     entry.health.suspect(failure.at);
-    if (failure.result === "refused") this.#refused(entry, failure.at);
+    if (failure.result === "refused") this.#handleRefusal(entry, failure.at);
   }
 
-  /** Compares latencies between endpoints; call it each second. */
-  judge(now: number): void {
-    this.#detector.judgeLatencies(now);
+  /** Ejects endpoints far slower than their peers; call it each second. */
+  ejectLatencyOutliers(now: number): void {
+    this.#detector.ejectLatencyOutliers(now);
   }
 
-  /** Every endpoint as it stands, sorted by id. */
+  /** The current status of every endpoint, sorted by id. */
   status(now: number): readonly EndpointStatus[] {
     const statuses = [...this.#entries.values()].map((entry) =>
       statusOf(entry, {
@@ -162,7 +166,7 @@
     );
   }
 
-  /** An endpoint's entry, for `chooseEndpoint`. */
+  /** Returns an endpoint's entry, for `chooseEndpoint`. */
   entryOf(endpointId: string): EndpointEntry | undefined {
     return this.#entries.get(endpointId);
   }
@@ -172,9 +176,9 @@
     return this.#pools.find(service, model);
   }
 
-  #list(row: ListedEndpoint, now: number): void {
+  #upsertListed(row: ListedEndpoint, now: number): void {
     const { endpointId, incarnation } = row.address;
-    const sighting = this.#leaving.listed({
+    const observation = this.#leaving.listed({
       id: endpointId,
       incarnation,
       state: row.state,
@@ -184,76 +188,76 @@
       entry = this.#factory.createEntry(row.address);
       this.#entries.set(endpointId, entry);
     }
-    if (sighting !== "retired") this.#move(entry, row.address);
-    const isUnheard = entry.report === undefined;
-    if (sighting === "renewed" && isUnheard) this.#renew(entry, now);
-    this.#place(entry);
+    if (observation !== "retired") this.#updateAddress(entry, row.address);
+    const isUnreported = entry.report === undefined;
+    if (observation === "renewed" && isUnreported) this.#resetEntry(entry, now);
+    this.#updatePools(entry);
   }
 
-  #move(entry: EndpointEntry, address: EndpointAddress): void {
+  #updateAddress(entry: EndpointEntry, address: EndpointAddress): void {
     const moved = entry.address.availabilityZone !== address.availabilityZone ||
       entry.address.service !== address.service;
-    if (moved) this.#unplace(entry);
+    if (moved) this.#removeFromPools(entry);
     entry.address = address;
   }
 
-  #forget(entry: EndpointEntry, now: number): void {
+  #removeEntry(entry: EndpointEntry, now: number): void {
     this.#leaving.unlisted(entry.address.endpointId);
-    this.#unplace(entry);
+    this.#removeFromPools(entry);
     entry.load.abandon(now);
     this.#entries.delete(entry.address.endpointId);
   }
 
-  #takeReport(entry: EndpointEntry, arrival: ReportArrival): void {
+  #applyReport(entry: EndpointEntry, arrival: ReportArrival): void {
     const { report, now, relayedMilliseconds = 0 } = arrival;
     entry.report = report;
     entry.concurrency = Math.max(1, report.concurrency);
     const slice = this.#factory.sliceOf(entry.address, entry.concurrency);
     entry.limit.setSlice(slice);
-    entry.load.reported(report, {
+    entry.load.applyReport(report, {
       arrivedAt: now,
       lagMilliseconds: this.#reportLagMilliseconds + relayedMilliseconds,
     });
   }
 
-  #refused(entry: EndpointEntry, at: number): void {
+  #handleRefusal(entry: EndpointEntry, at: number): void {
     this.#leaving.refused(entry.address.endpointId, at);
     entry.health.suspect(at);
-    this.#place(entry);
+    this.#updatePools(entry);
   }
 
-  #recordedLeaving(entry: EndpointEntry): void {
+  #handleLeavingRecord(entry: EndpointEntry): void {
     this.#leaving.recordedLeaving(entry.address.endpointId);
-    this.#place(entry);
+    this.#updatePools(entry);
   }
 
-  #probeAnswered(entry: EndpointEntry, at: number): void {
+  #handleProbeAnswer(entry: EndpointEntry, at: number): void {
     entry.probes.answered(at);
-    this.#detector.probed(entry.health, { answered: true, at });
+    this.#detector.recordProbe(entry.health, { answered: true, at });
   }
 
-  #probesWantedFrom(entry: EndpointEntry): number {
-    if (!entry.leaving) return entry.health.probesWantedFrom;
-    return this.#leaving.isOnlyRefused(entry.address.endpointId)
+  #probesDueFrom(entry: EndpointEntry): number {
+    if (!entry.leaving) return entry.health.probesDueFrom;
+    return this.#leaving.isLeavingByRefusalsOnly(entry.address.endpointId)
       ? Number.NEGATIVE_INFINITY
       : Number.POSITIVE_INFINITY;
   }
 
-  #renew(entry: EndpointEntry, now: number): void {
-    this.#unplace(entry);
+  #resetEntry(entry: EndpointEntry, now: number): void {
+    this.#removeFromPools(entry);
     entry.load.abandon(now);
-    entry.renew(this.#factory.createParts(entry.address, entry.concurrency));
+    entry.reset(this.#factory.createParts(entry.address, entry.concurrency));
     entry.health.startRamp(now);
   }
 
-  #placeById(endpointId: string): void {
+  #updatePoolsById(endpointId: string): void {
     const entry = this.#entries.get(endpointId);
-    if (entry !== undefined) this.#place(entry);
+    if (entry !== undefined) this.#updatePools(entry);
   }
 
-  #place(entry: EndpointEntry): void {
+  #updatePools(entry: EndpointEntry): void {
     entry.leaving = this.#leaving.isLeaving(entry.address.endpointId);
-    const models = modelsServed(entry);
+    const models = listServedModels(entry);
     const service = entry.address.service;
     const keys = models.map((model) => poolKeyOf(service, model));
     const isUnchanged = keys.length === entry.pools.length &&
@@ -263,17 +267,18 @@
     this.#detector.place(entry.health, keys);
   }
 
-  #unplace(entry: EndpointEntry): void {
+  #removeFromPools(entry: EndpointEntry): void {
     this.#pools.remove(entry);
     this.#detector.place(entry.health, []);
   }
 }
 
 /**
- * The models whose calls an endpoint can take, the empty one standing for calls
- * without a model. One that has not reported yet is taken for a plain service.
+ * Lists the models whose calls an endpoint can serve; the empty string stands
+ * for calls without a model. An endpoint that hasn't reported yet is treated as
+ * a plain service.
  */
-function modelsServed(entry: EndpointEntry): readonly string[] {
+function listServedModels(entry: EndpointEntry): readonly string[] {
   if (entry.leaving) return [];
   if (entry.report === undefined) return [""];
   if (entry.report.state !== "ready") return [];
--- a/packages/kelpspar-decisions/src/routing/endpoint_status.ts
+++ b/packages/kelpspar-decisions/src/routing/endpoint_status.ts
@@ -3,27 +3,27 @@
 import type { LeavingSource } from "./leaving_source.ts";
 import type { EndpointAddress, LoadReport } from "kelpspar-shared";
 
-/** One endpoint as this daemon sees it, for operators' listings. */
+/** One endpoint's status at this daemon, for operators' listings. */
 export interface EndpointStatus {
   readonly address: EndpointAddress;
   readonly health: HealthState;
-  /** Why it was ejected; absent when it is not. */
+  /** The reason for its ejection; absent when it isn't ejected. */
   readonly ejectedFor?: string;
-  /** Who marked it as leaving; empty when nobody did. */
+  /** The sources that marked it as leaving; empty when there are none. */
   readonly leavingBy: readonly LeavingSource[];
   /** The last report; absent before the first. */
   readonly report?: LoadReport;
   /** Age of the last report, milliseconds; absent before the first. */
   readonly reportAgeMilliseconds?: number;
-  /** This daemon's own calls in flight. */
+  /** This daemon's calls in flight. */
   readonly inFlight: number;
-  /** Own calls allowed in flight. */
+  /** This daemon's calls allowed in flight. */
   readonly limit: number;
-  /** Calls running and waiting there, as far as is known. */
+  /** Estimate of the calls running and queued at the endpoint. */
   readonly estimatedLoad: number;
 }
 
-/** Writes an entry down for readers. */
+/** Creates the status of an entry. */
 export function statusOf(
   entry: EndpointEntry,
   options: {
--- a/packages/kelpspar-decisions/src/routing/entry_factory.ts
+++ b/packages/kelpspar-decisions/src/routing/entry_factory.ts
@@ -5,11 +5,11 @@
 import { AdaptiveLimit } from "./adaptive_limit.ts";
 import { CallTimeAverage } from "./call_time_average.ts";
 import { EndpointEntry } from "./endpoint_entry.ts";
-import { LoadView } from "./load_view.ts";
+import { LoadEstimator } from "./load_estimator.ts";
 
 const DEFAULT_CONCURRENCY = 8;
 
-/** Builds the registry's entries and what they start anew with. */
+/** Creates the registry's entries and the state of their new generations. */
 export class EntryFactory {
   readonly #options: EndpointRegistryOptions;
   readonly #detector: OutlierDetector;
@@ -29,7 +29,7 @@
 
   createParts(address: EndpointAddress, concurrency: number): EntryParts {
     return {
-      load: new LoadView(this.#callTimeOf(address.service)),
+      load: new LoadEstimator(this.#callTimeOf(address.service)),
       health: this.#detector.createHealth(address.endpointId),
       limit: new AdaptiveLimit({ slice: this.sliceOf(address, concurrency) }),
     };
@@ -41,8 +41,8 @@
   }
 
   #callTimeOf(service: string): CallTimeAverage {
-    const known = this.#callTimes.get(service);
-    if (known !== undefined) return known;
+    const existing = this.#callTimes.get(service);
+    if (existing !== undefined) return existing;
     const callTime = new CallTimeAverage();
     this.#callTimes.set(service, callTime);
     return callTime;
--- a/packages/kelpspar-decisions/src/routing/health_pool.ts
+++ b/packages/kelpspar-decisions/src/routing/health_pool.ts
@@ -1,12 +1,12 @@
 import type { EndpointHealth } from "./endpoint_health.ts";
 
-/** Endpoints that do the same work and are judged against each other. */
+/** Endpoints that serve the same calls and are compared with each other. */
 export class HealthPool {
   readonly key: string;
   readonly members = new Set<EndpointHealth>();
-  /** The median of the members' latencies, milliseconds, when last judged. */
+  /** The median of the members' latencies at the last check, milliseconds. */
   medianMilliseconds: number | undefined;
-  /** True when a latency came in since the pool was last judged. */
+  /** True when a latency was added since the last check. */
   hasNewLatencies = false;
 
   constructor(key: string) {
--- a/packages/kelpspar-decisions/src/routing/latency_baseline.ts
+++ b/packages/kelpspar-decisions/src/routing/latency_baseline.ts
@@ -1,9 +1,9 @@
-const RECENT_WEIGHT = 0.1;
-const FOLLOWS_IN_MILLISECONDS = 30_000;
-const FOLLOWS_QUEUE_IN_MILLISECONDS = 300_000;
-const SAMPLES_TO_TRUST = 10;
+const RECENT_SAMPLE_WEIGHT = 0.1;
+const ADAPT_MILLISECONDS = 30_000;
+const QUEUEING_ADAPT_MILLISECONDS = 300_000;
+const WARM_UP_SAMPLES = 10;
 
-/** A latency and whether calls waited at the endpoint then. */
+/** A latency and whether the endpoint had a queue at that time. */
 export interface BaselineSample {
   /** Monotonic milliseconds. */
   readonly at: number;
@@ -12,10 +12,11 @@
 }
 
 /**
- * An endpoint's latency without a queue. It follows what is measured over half
- * a minute, but upwards over minutes while calls wait there: else it would take
- * the queue, which reports show late, for the endpoint's nature. Never upwards
- * would hold an endpoint that became slower for good.
+ * Estimate of an endpoint's latency without a queue. It adapts to measured
+ * latencies over 30 s, but increases only over 5 minutes while calls are
+ * queued; otherwise queueing delay, which reports show late, would be mistaken
+ * for the endpoint's base latency. It does increase then, because an endpoint
+ * that has become permanently slower would otherwise stay limited.
  */
 export class LatencyBaseline {
   #samples = 0;
@@ -23,9 +24,9 @@
   #baseline = 0;
   #lastAt = 0;
 
-  /** Recent latency over the baseline; 1 before enough samples. */
+  /** Ratio of recent latency to the baseline; 1 during warm-up. */
   get growth(): number {
-    if (this.#samples <= SAMPLES_TO_TRUST) return 1;
+    if (this.#samples <= WARM_UP_SAMPLES) return 1;
     return this.#recent / Math.max(1, this.#baseline);
   }
 
@@ -34,15 +35,15 @@
     const elapsed = this.#samples === 0 ? 0 : Math.max(0, at - this.#lastAt);
     this.#samples++;
     this.#lastAt = at;
-    const isAveraging = !sample.isQueueing || this.#samples <= SAMPLES_TO_TRUST;
+    const isAveraging = !sample.isQueueing || this.#samples <= WARM_UP_SAMPLES;
     const warmUp = isAveraging ? 1 / this.#samples : 0;
-    this.#recent += Math.max(RECENT_WEIGHT, warmUp) *
+    this.#recent += Math.max(RECENT_SAMPLE_WEIGHT, warmUp) *
       (latencyMilliseconds - this.#recent);
-    const followsSlowly = sample.isQueueing && this.#recent > this.#baseline;
-    const followsIn = followsSlowly
-      ? FOLLOWS_QUEUE_IN_MILLISECONDS
-      : FOLLOWS_IN_MILLISECONDS;
-    const weight = Math.min(1, elapsed / followsIn);
+    const adaptsSlowly = sample.isQueueing && this.#recent > this.#baseline;
+    const adaptMilliseconds = adaptsSlowly
+      ? QUEUEING_ADAPT_MILLISECONDS
+      : ADAPT_MILLISECONDS;
+    const weight = Math.min(1, elapsed / adaptMilliseconds);
     this.#baseline += Math.max(weight, warmUp) *
       (this.#recent - this.#baseline);
   }
--- a/packages/kelpspar-decisions/src/routing/leaving_source.ts
+++ b/packages/kelpspar-decisions/src/routing/leaving_source.ts
@@ -1,4 +1,4 @@
-/** Who marked an endpoint or a daemon as leaving. */
+/** The source that marked an endpoint or a daemon as leaving. */
 export type LeavingSource =
   | "vm_list"
   | "drain"
--- a/packages/kelpspar-decisions/src/routing/leaving_tracker.ts
+++ b/packages/kelpspar-decisions/src/routing/leaving_tracker.ts
@@ -1,43 +1,47 @@
-import type { IncarnationSighting } from "./incarnation_history.ts";
+import type { IncarnationObservation } from "./incarnation_history.ts";
 import type { LeavingSource } from "./leaving_source.ts";
 import { IncarnationHistory } from "./incarnation_history.ts";
 
-const DEFAULT_REFUSALS_TO_MARK = 3;
+const DEFAULT_REFUSAL_THRESHOLD = 3;
 const DEFAULT_REFUSAL_WINDOW_MILLISECONDS = 10_000;
-const DEFAULT_UNLISTED_KEPT = 4_096;
+const DEFAULT_MAXIMUM_UNLISTED = 4_096;
 
-const MARKS_OF_VM: readonly LeavingSource[] = ["vm_list", "drain", "refusals"];
-const MARKS_OF_PROCESS: readonly LeavingSource[] = [
+const VM_SCOPED_SOURCES: readonly LeavingSource[] = [
+  "vm_list",
+  "drain",
+  "refusals",
+];
+const PROCESS_SCOPED_SOURCES: readonly LeavingSource[] = [
   "report",
   "record",
   "refusals",
 ];
 
-/** When refusals count as leaving, and what is remembered. */
+/** Refusal threshold and memory bounds. */
 export interface LeavingTrackerOptions {
-  /** Refusals in a row that mark; default 3. */
-  readonly refusalsToMark?: number;
-  /** A refusal is forgotten after this time, milliseconds; default 10,000. */
+  /** Consecutive refusals that mark an id as leaving; default 3. */
+  readonly refusalThreshold?: number;
+  /** Time after which a refusal expires, milliseconds; default 10,000. */
   readonly refusalWindowMilliseconds?: number;
-  /** Ids remembered after the VM list dropped them; default 4,096. */
-  readonly unlistedKept?: number;
+  /** Ids kept after the VM list dropped them; default 4,096. */
+  readonly maximumUnlisted?: number;
 }
 
 /** A row of the VM list. */
-export interface ListedSighting {
+export interface ListedObservation {
   readonly id: string;
   readonly incarnation: string;
   readonly state: "live" | "leaving";
 }
 
-/** What a process says of itself: a load report or a daemon's digest. */
-export interface ReportedSighting {
+/** A process's report about itself: a load report or a daemon's digest. */
+export interface ReportedObservation {
   readonly id: string;
   readonly incarnation: string;
   readonly leaving: boolean;
   /**
-   * True when this daemon fetched it itself, over a new connection; false when
-   * it was relayed, so that it may be older than what is known.
+   * True when this daemon fetched it over a new connection; false when it was
+   * relayed and may be older than the known state.
    */
   readonly direct: boolean;
 }
@@ -51,91 +55,93 @@
 }
 
 /**
- * Who is leaving. A mark is sticky: no source that says "live" takes it away.
- * It ends with the incarnation that its source speaks of. The VM list and
- * operators speak of a VM, so their marks outlast a restart of the process;
- * reports and failure records speak of a process, so their marks outlast a
- * list that shows the next VM before the next process has said anything.
+ * Tracks which endpoints or daemons are leaving. A mark is sticky: a source
+ * that says "live" doesn't clear it. It ends with the incarnation that its
+ * source refers to. The VM list and operators refer to a VM, so their marks
+ * survive a restart of the process; load reports and failure records refer to a
+ * process, so their marks survive a list that shows the next VM before the next
+ * process has reported.
  *
- * Refusals are the one mark that is inferred. A switch that fails for a minute
- * refuses connections to healthy endpoints; a mark for good would lose every
- * one of them until it is replaced. So a direct answer, and nothing relayed,
- * takes back a mark by refusals.
+ * Refusals are the only inferred mark. A switch that fails for a minute refuses
+ * connections to healthy endpoints; a permanent mark would lose all of them
+ * until they are replaced. A direct answer therefore clears a mark by refusals;
+ * a relayed one doesn't.
  *
  * Source: the brief, "What must always hold": an endpoint that is leaving
  * receives no new work after a few seconds.
  */
 export class LeavingTracker {
-  readonly #refusalsToMark: number;
+  readonly #refusalThreshold: number;
   readonly #refusalWindowMilliseconds: number;
-  readonly #unlistedKept: number;
+  readonly #maximumUnlisted: number;
   readonly #states = new Map<string, LeavingState>();
   readonly #unlisted = new Set<string>();
 
   constructor(options: LeavingTrackerOptions = {}) {
-    this.#refusalsToMark = options.refusalsToMark ?? DEFAULT_REFUSALS_TO_MARK;
+    this.#refusalThreshold = options.refusalThreshold ??
+      DEFAULT_REFUSAL_THRESHOLD;
     this.#refusalWindowMilliseconds = options.refusalWindowMilliseconds ??
       DEFAULT_REFUSAL_WINDOW_MILLISECONDS;
-    this.#unlistedKept = options.unlistedKept ?? DEFAULT_UNLISTED_KEPT;
+    this.#maximumUnlisted = options.maximumUnlisted ?? DEFAULT_MAXIMUM_UNLISTED;
   }
 
-  /** Takes in a row of the VM list; a `retired` row changes nothing. */
-  listed(row: ListedSighting): IncarnationSighting {
-    const state = this.#stateOf(row.id);
+  /** Applies a row of the VM list; a `retired` row is ignored. */
+  listed(row: ListedObservation): IncarnationObservation {
+    const state = this.#getOrCreateState(row.id);
     this.#unlisted.delete(row.id);
-    const sighting = seeVm(state, row.incarnation);
-    if (sighting === "retired") return sighting;
+    const observation = observeVm(state, row.incarnation);
+    if (observation === "retired") return observation;
     if (row.state === "leaving") state.marks.add("vm_list");
-    return sighting;
+    return observation;
   }
 
-  /** Notes that the VM list dropped `id`; its marks are kept for a while. */
+  /** Records that the VM list dropped `id`; keeps its marks for a while. */
   unlisted(id: string): void {
     if (!this.#states.has(id)) return;
     this.#unlisted.delete(id);
-    this.#keepUnlisted(id);
+    this.#retainUnlisted(id);
   }
 
-  /** Takes in what a process says; a `retired` one changes nothing. */
-  reported(report: ReportedSighting): IncarnationSighting {
-    const state = this.#stateOf(report.id);
-    const sighting = state.process.see(report.incarnation);
-    if (sighting === "retired") return sighting;
-    if (sighting === "renewed") clearMarks(state, MARKS_OF_PROCESS);
-    if (sighting === "first") clearMarks(state, ["refusals"]);
+  /** Applies a process's report; one of a `retired` process is ignored. */
+  reported(report: ReportedObservation): IncarnationObservation {
+    const state = this.#getOrCreateState(report.id);
+    const observation = state.process.observe(report.incarnation);
+    if (observation === "retired") return observation;
+    if (observation === "renewed") clearMarks(state, PROCESS_SCOPED_SOURCES);
+    if (observation === "first") clearMarks(state, ["refusals"]);
     if (report.leaving) state.marks.add("report");
     else if (report.direct) clearMarks(state, ["refusals"]);
-    return sighting;
+    return observation;
   }
 
-  /** Takes in a failure record `leaving` of a call. */
+  /** Records that a call failed with a `leaving` failure record. */
   recordedLeaving(id: string): void {
-    this.#stateOf(id).marks.add("record");
+    this.#getOrCreateState(id).marks.add("record");
   }
 
-  /** Counts a connection that was refused at `at`, monotonic milliseconds. */
+  /** Counts a connection refused at `at`, monotonic milliseconds. */
   refused(id: string, at: number): void {
-    const state = this.#stateOf(id);
+    const state = this.#getOrCreateState(id);
     const silence = at - state.lastRefusalAt;
     if (silence > this.#refusalWindowMilliseconds) state.refusals = 0;
     state.refusals++;
     state.lastRefusalAt = at;
-    if (state.refusals >= this.#refusalsToMark) state.marks.add("refusals");
+    if (state.refusals >= this.#refusalThreshold) state.marks.add("refusals");
   }
 
   /**
-   * Applies an operator's drain. With `incarnation` it holds for that VM only,
-   * so that reading the same drain again does not drain the VM's successor.
+   * Applies an operator's drain. With `incarnation` it applies to that VM only,
+   * so that reading the same drain again doesn't drain the VM's successor.
    */
   drain(id: string, incarnation?: string): void {
-    const state = this.#stateOf(id);
+    const state = this.#getOrCreateState(id);
     if (incarnation !== undefined) {
-      if (seeVm(state, incarnation) === "retired") return;
+      if (observeVm(state, incarnation) === "retired") return;
     }
     state.marks.add("drain");
   }
 
-  /** Takes an operator's drain back; marks of other sources stay. */
+  /** Cancels an operator's drain; marks of other sources stay. */
   undrain(id: string): void {
     this.#states.get(id)?.marks.delete("drain");
   }
@@ -144,20 +150,20 @@
     return (this.#states.get(id)?.marks.size ?? 0) > 0;
   }
 
-  /** True when refusals are all that speaks against `id`. */
-  isOnlyRefused(id: string): boolean {
+  /** True when refusals are the only mark of `id`. */
+  isLeavingByRefusalsOnly(id: string): boolean {
     const marks = this.#states.get(id)?.marks;
     return marks !== undefined && marks.size === 1 && marks.has("refusals");
   }
 
-  /** Who marked `id`, for operators' listings. */
+  /** The sources that marked `id`, for operators' listings. */
   sourcesOf(id: string): readonly LeavingSource[] {
     return [...this.#states.get(id)?.marks ?? []];
   }
 
-  #stateOf(id: string): LeavingState {
-    const known = this.#states.get(id);
-    if (known !== undefined) return known;
+  #getOrCreateState(id: string): LeavingState {
+    const existing = this.#states.get(id);
+    if (existing !== undefined) return existing;
     const state: LeavingState = {
       vm: new IncarnationHistory(),
       process: new IncarnationHistory(),
@@ -166,13 +172,13 @@
       lastRefusalAt: Number.NEGATIVE_INFINITY,
     };
     this.#states.set(id, state);
-    this.#keepUnlisted(id);
+    this.#retainUnlisted(id);
     return state;
   }
 
-  #keepUnlisted(id: string): void {
+  #retainUnlisted(id: string): void {
     this.#unlisted.add(id);
-    if (this.#unlisted.size <= this.#unlistedKept) return;
+    if (this.#unlisted.size <= this.#maximumUnlisted) return;
     const [oldest] = this.#unlisted;
     if (oldest === undefined) return;
     this.#unlisted.delete(oldest);
@@ -180,12 +186,15 @@
   }
 }
 
-function seeVm(state: LeavingState, incarnation: string): IncarnationSighting {
-  const sighting = state.vm.see(incarnation);
-  if (sighting !== "renewed") return sighting;
-  clearMarks(state, MARKS_OF_VM);
+function observeVm(
+  state: LeavingState,
+  incarnation: string,
+): IncarnationObservation {
+  const observation = state.vm.observe(incarnation);
+  if (observation !== "renewed") return observation;
+  clearMarks(state, VM_SCOPED_SOURCES);
   if (state.process.current === undefined) clearMarks(state, ["record"]);
-  return sighting;
+  return observation;
 }
 
 function clearMarks(
--- a/packages/kelpspar-decisions/src/routing/mod.ts
+++ b/packages/kelpspar-decisions/src/routing/mod.ts
@@ -23,17 +23,21 @@
 export type { EjectionReason, HealthState } from "./endpoint_health.ts";
 export type { EndpointRegistryOptions } from "./endpoint_registry_options.ts";
 export type { EndpointStatus } from "./endpoint_status.ts";
-export type { IncarnationSighting } from "./incarnation_history.ts";
+export type { IncarnationObservation } from "./incarnation_history.ts";
 export type { LeavingSource } from "./leaving_source.ts";
 export type {
   LeavingTrackerOptions,
-  ListedSighting,
-  ReportedSighting,
+  ListedObservation,
+  ReportedObservation,
 } from "./leaving_tracker.ts";
 export type { OutlierSample } from "./outlier_detector.ts";
 export type { OutlierOptions } from "./outlier_options.ts";
 export type { PrefixIndexNeed } from "./prefix_index.ts";
-export type { Placed, Watch, WatchOptions } from "./watch_assignment.ts";
+export type {
+  WatchAssignment,
+  WatchAssignmentOptions,
+  ZonedNode,
+} from "./watch_assignment.ts";
 export { AdaptiveLimit } from "./adaptive_limit.ts";
 export { chooseEndpoint } from "./choose_endpoint.ts";
 export { ConnectionWatch } from "./connection_watch.ts";
@@ -45,5 +49,5 @@
 export { PrefixIndex } from "./prefix_index.ts";
 export { hashText, rendezvousScore } from "./rendezvous_hash.ts";
 export { RendezvousNodes } from "./rendezvous_nodes.ts";
-export { SharedPace } from "./shared_pace.ts";
+export { SharedRateLimiter } from "./shared_pace.ts";
 export { assignWatches } from "./watch_assignment.ts";
--- a/packages/kelpspar-decisions/src/routing/outlier_detector.ts
+++ b/packages/kelpspar-decisions/src/routing/outlier_detector.ts
@@ -18,7 +18,7 @@
   cancelled: "cancelled",
 };
 
-/** A call that ended, as the detector sees it. */
+/** A call that ended, as input of the detector. */
 export interface OutlierSample {
   /** The pool whose members the latency is compared with. */
   readonly poolKey: string;
@@ -29,10 +29,10 @@
 }
 
 /**
- * Ejects endpoints that do worse than their pool: by failures in a row, by the
- * share of failures, and by a median latency far over the pool's. No pool ever
- * loses more than a share of its members, and one that is slow or fails as a
- * whole loses none, since its members are not the cause.
+ * Ejects endpoints that perform worse than their pool: by consecutive failures,
+ * by failure rate, and by a median latency far above the pool's. A pool never
+ * loses more than a limited share of its members, and a pool that is slow or
+ * fails as a whole loses none, because its members aren't the cause.
  */
 export class OutlierDetector {
   #options: OutlierOptions;
@@ -43,17 +43,17 @@
     this.#options = { ...DEFAULT_OUTLIER_OPTIONS, ...options };
   }
 
-  /** Takes options of a newly accepted configuration. */
+  /** Applies the options of a newly accepted configuration. */
   configure(options: Partial<OutlierOptions>): void {
     this.#options = { ...this.#options, ...options };
   }
 
-  /** Health for an endpoint that is in no pool yet. */
+  /** Creates the health of an endpoint that isn't in a pool yet. */
   createHealth(endpointId: string): EndpointHealth {
     return new EndpointHealth(endpointId, this.#options);
   }
 
-  /** Sets the pools an endpoint belongs to; none when it takes no work. */
+  /** Sets the pools of an endpoint; none when it accepts no calls. */
   place(health: EndpointHealth, poolKeys: readonly string[]): void {
     for (const pool of this.#poolsOf.get(health) ?? []) {
       pool.members.delete(health);
@@ -61,62 +61,63 @@
     }
     this.#poolsOf.delete(health);
     if (poolKeys.length === 0) return;
-    const pools = poolKeys.map((key) => this.#poolOf(key));
+    const pools = poolKeys.map((key) => this.#getOrCreatePool(key));
     for (const pool of pools) pool.members.add(health);
     this.#poolsOf.set(health, pools);
   }
 
   callEnded(health: EndpointHealth, sample: OutlierSample): void {
     const kind = OUTCOME_KINDS[sample.outcome];
-    if (kind === "success") this.#succeeded(health, sample);
-    if (kind === "failure") this.#failed(health, sample);
-    if (kind === "cancelled") this.#cancelled(health, sample);
+    if (kind === "success") this.#handleSuccess(health, sample);
+    if (kind === "failure") this.#handleFailure(health, sample);
+    if (kind === "cancelled") this.#handleCancellation(health, sample);
   }
 
-  /** Compares latencies in the pools that have new ones; call it each second. */
-  judgeLatencies(now: number): void {
+  /** Ejects latency outliers in pools with new samples; call it each second. */
+  ejectLatencyOutliers(now: number): void {
     for (const pool of this.#pools.values()) {
       if (!pool.hasNewLatencies) continue;
       pool.hasNewLatencies = false;
-      this.#judgePool(pool, now);
+      this.#ejectSlowMembers(pool, now);
     }
   }
 
-  /** Takes in a probe's result. */
-  probed(
+  /** Records a probe's result. */
+  recordProbe(
     health: EndpointHealth,
     probe: { readonly answered: boolean; readonly at: number },
   ): void {
     if (probe.answered) return health.probeAnswered(probe.at);
-    if (!health.isProbeFailureFinal(probe.at)) return;
+    if (!health.ejectsOnProbeFailure(probe.at)) return;
     if (health.isEjected) health.eject("probe_failed", probe.at);
     else this.#tryEject(health, "probe_failed", probe.at);
   }
 
-  #succeeded(health: EndpointHealth, sample: OutlierSample): void {
-    health.failuresInRow = 0;
+  #handleSuccess(health: EndpointHealth, sample: OutlierSample): void {
+    health.consecutiveFailures = 0;
     health.outcomes.add(false, sample.at);
     health.failing = this.#isFailing(health, sample.at);
     this.#addLatency(health, sample);
   }
 
-  #failed(health: EndpointHealth, sample: OutlierSample): void {
-    health.failuresInRow++;
+  #handleFailure(health: EndpointHealth, sample: OutlierSample): void {
+    health.consecutiveFailures++;
     health.outcomes.add(true, sample.at);
     health.failing = this.#isFailing(health, sample.at);
     if (!health.failing || health.isEjected) return;
-    if (this.#pardonFailingPool(health, sample.at)) return;
+    if (this.#cancelEjectionsInFailingPools(health, sample.at)) return;
     if (!this.#tryEject(health, "failures", sample.at)) {
-      health.failuresInRow = 0;
+      health.consecutiveFailures = 0;
     }
   }
 
   /**
-   * What goes wrong: with hedging the slow endpoint's calls are always the ones
-   * cancelled, so it never shows a latency and keeps its share of the calls. A
-   * cancelled call that already took longer than the median says enough.
+   * With hedging, the calls of a slow endpoint are the ones that get cancelled,
+   * so without this it would never have a latency and would keep its share of
+   * the calls. A cancelled call that has already taken longer than the median
+   * counts as a latency sample.
    */
-  #cancelled(health: EndpointHealth, sample: OutlierSample): void {
+  #handleCancellation(health: EndpointHealth, sample: OutlierSample): void {
     const median = this.#pools.get(sample.poolKey)?.medianMilliseconds;
     if (median === undefined || sample.latencyMilliseconds <= median) return;
     this.#addLatency(health, sample);
@@ -136,30 +137,30 @@
 
   #isFailing(health: EndpointHealth, now: number): boolean {
     const options = this.#options;
-    const inRow = health.stateAt(now) === "ramping"
-      ? options.failuresInRowRamping
-      : options.failuresInRow;
-    if (health.failuresInRow >= inRow) return true;
+    const threshold = health.stateAt(now) === "ramping"
+      ? options.consecutiveFailuresRamping
+      : options.consecutiveFailures;
+    if (health.consecutiveFailures >= threshold) return true;
     return health.outcomes.totalAt(now) >= options.minimumOutcomes &&
       health.outcomes.failureShareAt(now) >= options.failureShare;
   }
 
   /**
-   * What goes wrong: a cause outside fails every member, half of them get
-   * ejected, and when the cause is gone half the capacity still is. So a pool
-   * that fails as a whole gets back whom failures ejected.
+   * An external fault makes every member fail; half of them would be ejected,
+   * and half the capacity would still be missing after the fault. A pool that
+   * fails as a whole therefore readmits the members ejected for failures.
    */
-  #pardonFailingPool(health: EndpointHealth, now: number): boolean {
-    let pardoned = false;
+  #cancelEjectionsInFailingPools(health: EndpointHealth, now: number): boolean {
+    let isPoolFailing = false;
     for (const pool of this.#poolsOf.get(health) ?? []) {
       const limit = pool.members.size * this.#options.wholePoolShare;
       if (pool.countFailing() < limit) continue;
-      pardoned = true;
+      isPoolFailing = true;
       for (const member of pool.members) {
-        if (member.reason === "failures") member.pardon(now);
+        if (member.reason === "failures") member.cancelEjection(now);
       }
     }
-    return pardoned;
+    return isPoolFailing;
   }
 
   #tryEject(
@@ -177,21 +178,23 @@
     return allowed;
   }
 
-  #judgePool(pool: HealthPool, now: number): void {
-    const judged: { health: EndpointHealth; median: number }[] = [];
+  #ejectSlowMembers(pool: HealthPool, now: number): void {
+    const measured: { health: EndpointHealth; median: number }[] = [];
     for (const health of pool.members) {
       const median = health.latencies.get(pool.key)
         ?.medianAt(now, this.#options.minimumLatencies);
-      if (median !== undefined) judged.push({ health, median });
+      if (median !== undefined) measured.push({ health, median });
     }
-    const middle = medianOf(judged.map((one) => one.median));
-    pool.medianMilliseconds = middle;
-    if (middle === undefined || judged.length < this.#options.minimumPeers) {
+    const poolMedian = medianOf(measured.map((member) => member.median));
+    pool.medianMilliseconds = poolMedian;
+    if (
+      poolMedian === undefined || measured.length < this.#options.minimumPeers
+    ) {
       return;
     }
-    judged.sort((left, right) => right.median - left.median);
-    for (const { health, median } of judged) {
-      if (!this.#isFarOver(median, middle)) break;
+    measured.sort((left, right) => right.median - left.median);
+    for (const { health, median } of measured) {
+      if (!this.#isLatencyOutlier(median, poolMedian)) break;
       if (this.#isSlowerThanPeers(health, pool)) {
         this.#tryEject(health, "latency", now);
       }
@@ -199,10 +202,10 @@
   }
 
   /**
-   * What goes wrong: the whole pool gets slower, one member completes its slow
-   * calls first, and beside the others' older latencies it looks like the one
-   * that is slow. So its latest latencies are compared with those that its
-   * peers had in the same time.
+   * When the whole pool becomes slower, the member that completes its slow
+   * calls first would look like the outlier beside the others' older latencies.
+   * Its latest latencies are therefore compared with its peers' latencies of
+   * the same period.
    */
   #isSlowerThanPeers(health: EndpointHealth, pool: HealthPool): boolean {
     const needed = this.#options.minimumLatencies;
@@ -216,18 +219,18 @@
     }
     if (peers.length < needed) return false;
     const ownMedian = medianOf(own.since(since)) ?? 0;
-    return this.#isFarOver(ownMedian, medianOf(peers) ?? ownMedian);
+    return this.#isLatencyOutlier(ownMedian, medianOf(peers) ?? ownMedian);
   }
 
-  #isFarOver(latency: number, median: number): boolean {
+  #isLatencyOutlier(latency: number, median: number): boolean {
     const { latencyFactor, latencyExcessMilliseconds } = this.#options;
     return latency > median * latencyFactor &&
       latency > median + latencyExcessMilliseconds;
   }
 
-  #poolOf(key: string): HealthPool {
-    const known = this.#pools.get(key);
-    if (known !== undefined) return known;
+  #getOrCreatePool(key: string): HealthPool {
+    const existing = this.#pools.get(key);
+    if (existing !== undefined) return existing;
     const pool = new HealthPool(key);
     this.#pools.set(key, pool);
     return pool;
--- a/packages/kelpspar-decisions/src/routing/outlier_options.ts
+++ b/packages/kelpspar-decisions/src/routing/outlier_options.ts
@@ -1,44 +1,44 @@
-/** When an endpoint is ejected, for how long, and how it returns. */
+/** Criteria and durations of ejection and recovery. */
 export interface OutlierOptions {
-  /** Share of a pool that may be ejected at a time. */
+  /** Maximum share of a pool that is ejected at the same time. */
   readonly ejectedShare: number;
-  /** Failures in a row that eject. */
-  readonly failuresInRow: number;
-  /** Failures in a row that eject again during slow start. */
-  readonly failuresInRowRamping: number;
-  /** Share of recent outcomes that failed, which ejects. */
+  /** Consecutive failures that eject an endpoint. */
+  readonly consecutiveFailures: number;
+  /** Consecutive failures that eject an endpoint during slow start. */
+  readonly consecutiveFailuresRamping: number;
+  /** Share of failures among recent outcomes that ejects an endpoint. */
   readonly failureShare: number;
-  /** Outcomes needed before the share is judged. */
+  /** Minimum outcomes for evaluating the share of failures. */
   readonly minimumOutcomes: number;
-  /** Share of failing members from which the pool fails as a whole. */
+  /** Share of failing members from which the whole pool is failing. */
   readonly wholePoolShare: number;
-  /** Median latency over the pool's median that ejects. */
+  /** Ratio of median latency to the pool's median that ejects an endpoint. */
   readonly latencyFactor: number;
-  /** The least excess over the pool's median that ejects, milliseconds. */
+  /** Minimum excess over the pool's median for ejection, milliseconds. */
   readonly latencyExcessMilliseconds: number;
-  /** Latencies needed before an endpoint's median is judged. */
+  /** Minimum latencies for evaluating an endpoint's median. */
   readonly minimumLatencies: number;
-  /** Endpoints with a median that are needed to judge any of them. */
+  /** Minimum endpoints with a median for comparing them. */
   readonly minimumPeers: number;
-  /** The first ejection's time, milliseconds; doubled by each that follows. */
+  /** Duration of the first ejection, milliseconds; doubles each time. */
   readonly ejectionMilliseconds: number;
-  /** The longest ejection, milliseconds. */
+  /** Maximum duration of an ejection, milliseconds. */
   readonly maximumEjectionMilliseconds: number;
-  /** Healthy time after which doubling starts anew, milliseconds. */
-  readonly forgiveMilliseconds: number;
-  /** Probes in a row that must be answered before a return. */
-  readonly probesToReturn: number;
-  /** Length of slow start, milliseconds. */
+  /** Healthy time after which the doubling is reset, milliseconds. */
+  readonly ejectionResetMilliseconds: number;
+  /** Consecutive answered probes that end an ejection. */
+  readonly probesToRecover: number;
+  /** Duration of slow start, milliseconds. */
   readonly rampMilliseconds: number;
-  /** Weight at the beginning of slow start, above 0 to 1. */
+  /** Weight at the start of slow start, above 0 and up to 1. */
   readonly rampStartWeight: number;
 }
 
-/** The defaults of `OutlierOptions`. */
+/** Default `OutlierOptions`. */
 export const DEFAULT_OUTLIER_OPTIONS: OutlierOptions = {
   ejectedShare: 0.5,
-  failuresInRow: 5,
-  failuresInRowRamping: 2,
+  consecutiveFailures: 5,
+  consecutiveFailuresRamping: 2,
   failureShare: 0.5,
   minimumOutcomes: 10,
   wholePoolShare: 0.8,
@@ -48,8 +48,8 @@
   minimumPeers: 3,
   ejectionMilliseconds: 5_000,
   maximumEjectionMilliseconds: 120_000,
-  forgiveMilliseconds: 60_000,
-  probesToReturn: 2,
+  ejectionResetMilliseconds: 60_000,
+  probesToRecover: 2,
   rampMilliseconds: 10_000,
   rampStartWeight: 0.1,
 };
--- a/packages/kelpspar-decisions/src/routing/prefix_index.ts
+++ b/packages/kelpspar-decisions/src/routing/prefix_index.ts
@@ -1,10 +1,10 @@
 import type { PrefixHolders } from "./choose_options.ts";
 import type { CacheEventPage, CacheSnapshot } from "kelpspar-shared";
 
-const DEFAULT_MOST_ENTRIES = 65_536;
-const NOBODY: readonly string[] = [];
+const DEFAULT_MAXIMUM_ENTRIES = 65_536;
+const NO_HOLDERS: readonly string[] = [];
 
-/** What the index asks for after a page of events. */
+/** What the index needs after a page of events. */
 export type PrefixIndexNeed = "nothing" | "snapshot";
 
 interface EndpointPrefixes {
@@ -14,40 +14,40 @@
 }
 
 /**
- * Which engines hold which prompt prefixes, as far as their cache events tell.
- * Events come late and with gaps, so it may be wrong; a wrong guess costs the
- * time of a prefill and nothing else. After a gap it asks for a snapshot, and
- * uses what it has until that comes. Memory is bounded: the prefixes that were
- * stored longest ago are forgotten first.
+ * Index of the prompt prefixes that engines have cached, built from their cache
+ * events. Events arrive late and with gaps, so the index may be wrong; a wrong
+ * entry costs the time of a prefill and nothing else. After a gap the index
+ * requests a snapshot and uses its current entries until the snapshot arrives.
+ * Memory is bounded: the least recently stored prefixes are evicted first.
  */
 export class PrefixIndex implements PrefixHolders {
-  readonly #mostEntries: number;
+  readonly #maximumEntries: number;
   readonly #endpoints = new Map<string, EndpointPrefixes>();
   readonly #holders = new Map<string, string[]>();
   #entries = 0;
 
-  /** `mostEntries`: pairs of prefix and endpoint kept; default 65,536. */
-  constructor(options: { readonly mostEntries?: number } = {}) {
-    this.#mostEntries = options.mostEntries ?? DEFAULT_MOST_ENTRIES;
+  /** `maximumEntries`: maximum pairs of prefix and endpoint; default 65,536. */
+  constructor(options: { readonly maximumEntries?: number } = {}) {
+    this.#maximumEntries = options.maximumEntries ?? DEFAULT_MAXIMUM_ENTRIES;
   }
 
-  /** Pairs of prefix and endpoint kept. */
+  /** Number of pairs of prefix and endpoint. */
   get size(): number {
     return this.#entries;
   }
 
   holders(prefixHash: string): readonly string[] {
-    return this.#holders.get(prefixHash) ?? NOBODY;
+    return this.#holders.get(prefixHash) ?? NO_HOLDERS;
   }
 
-  /** The sequence after which to ask an endpoint for events. */
+  /** The sequence number after which to request an endpoint's events. */
   cursorOf(endpointId: string): number {
     return this.#endpoints.get(endpointId)?.lastSequence ?? 0;
   }
 
-  /** Takes in a page of events; events known already change nothing. */
+  /** Applies a page of events; events already applied are ignored. */
   applyPage(endpointId: string, page: CacheEventPage): PrefixIndexNeed {
-    const endpoint = this.#endpointOf(endpointId, page.incarnation);
+    const endpoint = this.#getOrResetEndpoint(endpointId, page.incarnation);
     let isWhole = true;
     for (const event of page.events) {
       if (event.sequence <= endpoint.lastSequence) continue;
@@ -62,19 +62,19 @@
   }
 
   /**
-   * Puts a snapshot in the place of what was known. One that is older than the
-   * last event sets the cursor back, so that the events since come once more.
+   * Replaces an endpoint's entries by a snapshot. A snapshot older than the
+   * last event moves the cursor back, so that later events are fetched again.
    */
   applySnapshot(endpointId: string, snapshot: CacheSnapshot): void {
     this.remove(endpointId);
-    const endpoint = this.#endpointOf(endpointId, snapshot.incarnation);
+    const endpoint = this.#getOrResetEndpoint(endpointId, snapshot.incarnation);
     endpoint.lastSequence = snapshot.lastSequence;
     for (const prefixHash of snapshot.prefixHashes) {
       this.#store(endpointId, prefixHash);
     }
   }
 
-  /** Forgets an endpoint that is gone. */
+  /** Removes an endpoint. */
   remove(endpointId: string): void {
     const endpoint = this.#endpoints.get(endpointId);
     if (endpoint === undefined) return;
@@ -84,10 +84,13 @@
     this.#endpoints.delete(endpointId);
   }
 
-  /** An endpoint that started anew has an empty cache and counts from 1. */
-  #endpointOf(endpointId: string, incarnation: string): EndpointPrefixes {
-    const known = this.#endpoints.get(endpointId);
-    if (known?.incarnation === incarnation) return known;
+  /** A restarted endpoint has an empty cache and numbers its events from 1. */
+  #getOrResetEndpoint(
+    endpointId: string,
+    incarnation: string,
+  ): EndpointPrefixes {
+    const existing = this.#endpoints.get(endpointId);
+    if (existing?.incarnation === incarnation) return existing;
     this.remove(endpointId);
     const endpoint = {
       incarnation,
@@ -108,7 +111,7 @@
     endpoint.hashes.add(prefixHash);
     holders.push(endpointId);
     this.#entries++;
-    while (this.#entries > this.#mostEntries) this.#forgetOldest();
+    while (this.#entries > this.#maximumEntries) this.#evictOldest();
   }
 
   #evict(endpointId: string, prefixHash: string): void {
@@ -120,7 +123,7 @@
     if (holders.length === 0) this.#holders.delete(prefixHash);
   }
 
-  #forgetOldest(): void {
+  #evictOldest(): void {
     const [oldest] = this.#holders;
     if (oldest === undefined) return;
     const [prefixHash, holders] = oldest;
--- a/packages/kelpspar-decisions/src/routing/probe_schedule.ts
+++ b/packages/kelpspar-decisions/src/routing/probe_schedule.ts
@@ -1,18 +1,19 @@
 const INTERVAL_MILLISECONDS = 500;
-const MOST_DOUBLINGS = 5;
+const MAXIMUM_DOUBLINGS = 5;
 
 /**
- * When to probe one endpoint. The interval doubles from 0.5 s to 16 s while
- * probes go unanswered, since an availability zone that is gone must not cost
- * each daemon hundreds of probes a second.
+ * Schedules the probes of one endpoint with exponential backoff. The interval
+ * doubles from 0.5 s to 16 s while probes go unanswered, because a lost
+ * availability zone would otherwise cost each daemon hundreds of probes per
+ * second.
  */
 export class ProbeSchedule {
   #nextAt = Number.NEGATIVE_INFINITY;
   #unanswered = 0;
 
-  /** True when a probe that is wanted from `wantedFrom` on is due. */
-  isDue(now: number, wantedFrom: number): boolean {
-    return now >= wantedFrom && now >= this.#nextAt;
+  /** True when a probe is due that may be sent from `earliestAt` on. */
+  isDue(now: number, earliestAt: number): boolean {
+    return now >= earliestAt && now >= this.#nextAt;
   }
 
   sent(now: number): void {
@@ -26,6 +27,6 @@
   }
 
   failed(): void {
-    this.#unanswered = Math.min(MOST_DOUBLINGS, this.#unanswered + 1);
+    this.#unanswered = Math.min(MAXIMUM_DOUBLINGS, this.#unanswered + 1);
   }
 }
--- a/packages/kelpspar-decisions/src/routing/rate_window.ts
+++ b/packages/kelpspar-decisions/src/routing/rate_window.ts
@@ -1,16 +1,16 @@
 const DEFAULT_WINDOW_MILLISECONDS = 10_000;
 
 /**
- * Counts successes and failures of the last one to two windows. Two counters
- * that take turns need no list of calls.
+ * Counts successes and failures of the last one to two windows. Rotating two
+ * counters avoids a list of calls.
  */
 export class RateWindow {
   readonly #windowMilliseconds: number;
   #startedAt = Number.NEGATIVE_INFINITY;
   #successes = 0;
   #failures = 0;
-  #earlierSuccesses = 0;
-  #earlierFailures = 0;
+  #previousSuccesses = 0;
+  #previousFailures = 0;
 
   constructor(
     options: { readonly windowMilliseconds?: number } = {},
@@ -19,41 +19,41 @@
       DEFAULT_WINDOW_MILLISECONDS;
   }
 
-  /** Counts an outcome at `at`, monotonic milliseconds. */
+  /** Adds an outcome at `at`, monotonic milliseconds. */
   add(failed: boolean, at: number): void {
-    this.#turn(at);
+    this.#rotate(at);
     if (failed) this.#failures++;
     else this.#successes++;
   }
 
-  /** Outcomes counted up to `at`. */
+  /** Number of outcomes counted at `at`. */
   totalAt(at: number): number {
-    this.#turn(at);
-    return this.#failuresInSight() + this.#successes + this.#earlierSuccesses;
+    this.#rotate(at);
+    return this.#countFailures() + this.#successes + this.#previousSuccesses;
   }
 
-  /** Share of failures up to `at`, 0 to 1; 0 without outcomes. */
+  /** Share of failures at `at`, 0 to 1; 0 without outcomes. */
   failureShareAt(at: number): number {
     const total = this.totalAt(at);
-    return total === 0 ? 0 : this.#failuresInSight() / total;
+    return total === 0 ? 0 : this.#countFailures() / total;
   }
 
   clear(): void {
     this.#startedAt = Number.NEGATIVE_INFINITY;
     this.#successes = this.#failures = 0;
-    this.#earlierSuccesses = this.#earlierFailures = 0;
+    this.#previousSuccesses = this.#previousFailures = 0;
   }
 
-  #failuresInSight(): number {
-    return this.#failures + this.#earlierFailures;
+  #countFailures(): number {
+    return this.#failures + this.#previousFailures;
   }
 
-  #turn(at: number): void {
+  #rotate(at: number): void {
     const age = at - this.#startedAt;
     if (age < this.#windowMilliseconds) return;
-    const follows = age < 2 * this.#windowMilliseconds;
-    this.#earlierSuccesses = follows ? this.#successes : 0;
-    this.#earlierFailures = follows ? this.#failures : 0;
+    const isAdjacent = age < 2 * this.#windowMilliseconds;
+    this.#previousSuccesses = isAdjacent ? this.#successes : 0;
+    this.#previousFailures = isAdjacent ? this.#failures : 0;
     this.#successes = this.#failures = 0;
     this.#startedAt = at;
   }
--- a/packages/kelpspar-decisions/src/routing/rendezvous_hash.ts
+++ b/packages/kelpspar-decisions/src/routing/rendezvous_hash.ts
@@ -1,7 +1,7 @@
 const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
 
-/** A 32-bit hash of `text` that is the same in every process. */
+/** Returns a 32-bit hash of `text`, the same in every process. */
 export function hashText(text: string): number {
   let hash = FNV_OFFSET;
   for (let index = 0; index < text.length; index++) {
@@ -11,9 +11,9 @@
 }
 
 /**
- * How well a node suits a key: the node with the highest score takes the key.
- * Every process that knows the same nodes agrees without talking, and a node
- * that comes or goes moves only its own keys.
+ * Returns the score of a node for a key; the node with the highest score owns
+ * the key. Processes with the same set of nodes agree without coordination, and
+ * adding or removing a node moves only that node's keys.
  *
  * Source: Thaler and Ravishankar, "Using name-based mappings to increase hit
  * rates", 1998 (rendezvous hashing).
--- a/packages/kelpspar-decisions/src/routing/rendezvous_nodes.ts
+++ b/packages/kelpspar-decisions/src/routing/rendezvous_nodes.ts
@@ -1,16 +1,16 @@
 import { hashText, rendezvousScore } from "./rendezvous_hash.ts";
 
-/** Names whose hashes are kept; the same daemons are ranked all the time. */
-const MOST_KEPT_HASHES = 8_192;
+/** Limit of the hash cache; the same daemons are ranked repeatedly. */
+const MAXIMUM_CACHED_HASHES = 8_192;
 
-const keptHashes = new Map<string, number>();
+const cachedHashes = new Map<string, number>();
 
 function hashName(name: string): number {
-  const known = keptHashes.get(name);
-  if (known !== undefined) return known;
-  if (keptHashes.size >= MOST_KEPT_HASHES) keptHashes.clear();
+  const cached = cachedHashes.get(name);
+  if (cached !== undefined) return cached;
+  if (cachedHashes.size >= MAXIMUM_CACHED_HASHES) cachedHashes.clear();
   const hash = hashText(name);
-  keptHashes.set(name, hash);
+  cachedHashes.set(name, hash);
   return hash;
 }
 
@@ -19,7 +19,7 @@
   readonly hash: number;
 }
 
-/** Nodes that share out keys by rendezvous hashing. */
+/** Nodes among which keys are distributed by rendezvous hashing. */
 export class RendezvousNodes {
   readonly #nodes: readonly HashedNode[];
 
@@ -31,7 +31,7 @@
     return this.#nodes.length;
   }
 
-  /** The `count` nodes that suit `key` best, best first. */
+  /** The `count` nodes with the highest scores for `key`, best first. */
   best(key: string, count: number): readonly string[] {
     const keyHash = hashText(key);
     if (count >= this.#nodes.length) return this.#rankAll(keyHash);
--- a/packages/kelpspar-decisions/src/routing/shared_pace.ts
+++ b/packages/kelpspar-decisions/src/routing/shared_pace.ts
@@ -1,115 +1,123 @@
 import type { RandomSource } from "kelpspar-shared";
 
-/** For whom a pace is asked. */
-export interface PaceRequest {
-  /** What all senders together may send the endpoint, requests a second. */
+/** Inputs for pacing one sender's requests to an endpoint. */
+export interface RateLimitRequest {
+  /** Requests per second that all senders together may send to the endpoint. */
   readonly perSecond: number;
-  /** Senders that keep to the same limit together, this one among them. */
-  readonly sharers: number;
+  /** Number of senders that share the limit, including this one. */
+  readonly senders: number;
   /** Monotonic milliseconds. */
   readonly now: number;
 }
 
-interface Pace {
-  /** Where in the first interval this sender's first turn begins, 0 to 1. */
+interface Pacer {
+  /** Offset of this sender's first slot in the first interval, 0 to 1. */
   phase: number;
   startedAt: number;
   interval: number | undefined;
-  lastAt: number | undefined;
-  askedAt: number;
+  lastSentAt: number | undefined;
+  lastUsedAt: number;
 }
 
-/** An endpoint that wasn't asked for so long is paced anew, milliseconds. */
-const FORGOTTEN_AFTER_MILLISECONDS = 10_000;
+/** Time without use after which an endpoint's pacer is reset, milliseconds. */
+const IDLE_EXPIRY_MILLISECONDS = 10_000;
 const MILLISECONDS_PER_SECOND = 1_000;
 /**
- * Of an equal share, the part that is used where there are several senders:
- * each may know of fewer than there are.
+ * Part of the equal share that is used when there are several senders, because
+ * each may know of fewer senders than there are.
  */
-const USED_SHARE = 0.75;
-/** Senders that have their turn at any one moment, on average. */
-const OPEN_SENDERS = 2;
+const SAFETY_FACTOR = 0.75;
+/** Mean number of senders whose slot is open at the same time. */
+const CONCURRENT_SENDERS = 2;
 /**
- * An interval that grew by more than this factor begins anew at a random phase.
- * Senders that sent together at a higher pace would all be due together at the
- * end of the longer interval, and none before.
+ * Growth of the interval above which it restarts at a random phase. Senders
+ * that sent together at a higher rate would otherwise all be due together at
+ * the end of the longer interval, and none before.
  */
-const GROWN_FACTOR = 1.25;
-/** Rounding moves a moment that ends an interval into the one before it. */
-const ROUNDING_SHARE = 1e-9;
+const INTERVAL_RESET_FACTOR = 1.25;
+/** Compensates rounding that moves the end of an interval to the one before. */
+const ROUNDING_TOLERANCE = 1e-9;
 
 /**
- * Paces requests to endpoints that take only so many from all senders. Load: a
- * zone of endpoints comes back cold under full traffic, or one names a limit;
- * it crashes, or breaks its promises, if all senders together exceed that.
+ * Paces requests to endpoints with a rate limit that all senders share: a zone
+ * of endpoints that returns cold under full traffic, or an endpoint that states
+ * a limit. Such an endpoint crashes or misses its guarantees if all senders
+ * together exceed the limit.
  *
- * Each sender has an equal share and needs no word from the others: one request
- * in an interval, and that within its turn, a part of the interval at a random
- * phase. A share that isn't used in its turn is lost. If it could be kept, all
- * senders would have one ready, and would send them in the same moment when the
- * other endpoints fail.
+ * Each sender has an equal share without coordination: one request per
+ * interval, within its slot, a part of the interval at a random phase. A share
+ * that isn't used in its slot is lost. If it could be saved, all senders would
+ * have one available and would send at the same moment when the other endpoints
+ * fail.
  */
-export class SharedPace {
+export class SharedRateLimiter {
   readonly #random: RandomSource;
-  readonly #paces = new Map<string, Pace>();
+  readonly #pacers = new Map<string, Pacer>();
 
   constructor(random: RandomSource) {
     this.#random = random;
   }
 
-  /** Milliseconds until this sender may send one more request; 0 for now. */
-  waitFor(endpointId: string, request: PaceRequest): number {
-    const { now, sharers } = request;
-    const pace = this.#paceOf(endpointId, now);
-    pace.askedAt = now;
-    const interval = intervalOf(request);
-    if (interval > (pace.interval ?? interval) * GROWN_FACTOR) {
-      pace.phase = this.#random.next();
-      pace.startedAt = now;
-      pace.lastAt = undefined;
+  /** Milliseconds until this sender may send another request; 0 if now. */
+  delayFor(endpointId: string, request: RateLimitRequest): number {
+    const { now, senders } = request;
+    const pacer = this.#getOrCreatePacer(endpointId, now);
+    pacer.lastUsedAt = now;
+    const interval = intervalMilliseconds(request);
+    if (interval > (pacer.interval ?? interval) * INTERVAL_RESET_FACTOR) {
+      pacer.phase = this.#random.next();
+      pacer.startedAt = now;
+      pacer.lastSentAt = undefined;
     }
-    pace.interval = interval;
-    const firstAt = pace.startedAt + pace.phase * interval;
-    const dueAt = pace.lastAt === undefined ? firstAt : pace.lastAt + interval;
+    pacer.interval = interval;
+    const firstSlotAt = pacer.startedAt + pacer.phase * interval;
+    const dueAt = pacer.lastSentAt === undefined
+      ? firstSlotAt
+      : pacer.lastSentAt + interval;
     const from = Math.max(now, dueAt);
-    if (sharers <= OPEN_SENDERS) return from - now;
-    const passed = (from - firstAt) / interval + ROUNDING_SHARE;
-    const ofInterval = passed - Math.floor(passed);
-    const isTurn = ofInterval < OPEN_SENDERS / sharers;
-    return from - now + (isTurn ? 0 : (1 - ofInterval) * interval);
+    if (senders <= CONCURRENT_SENDERS) return from - now;
+    const elapsedIntervals = (from - firstSlotAt) / interval +
+      ROUNDING_TOLERANCE;
+    const intervalFraction = elapsedIntervals - Math.floor(elapsedIntervals);
+    const isInSlot = intervalFraction < CONCURRENT_SENDERS / senders;
+    return from - now +
+      (isInSlot ? 0 : (1 - intervalFraction) * interval);
   }
 
-  /** Notes that an endpoint is sent a request. */
-  sent(endpointId: string, now: number): void {
-    this.#paceOf(endpointId, now).lastAt = now;
+  /** Records that a request was sent to an endpoint. */
+  recordSent(endpointId: string, now: number): void {
+    this.#getOrCreatePacer(endpointId, now).lastSentAt = now;
   }
 
-  #paceOf(endpointId: string, now: number): Pace {
-    const known = this.#paces.get(endpointId);
+  #getOrCreatePacer(endpointId: string, now: number): Pacer {
+    const existing = this.#pacers.get(endpointId);
     if (
-      known !== undefined && now - known.askedAt < FORGOTTEN_AFTER_MILLISECONDS
-    ) return known;
-    this.#forgetOld(now);
-    const pace: Pace = {
+      existing !== undefined &&
+      now - existing.lastUsedAt < IDLE_EXPIRY_MILLISECONDS
+    ) return existing;
+    this.#dropExpired(now);
+    const pacer: Pacer = {
       phase: this.#random.next(),
       startedAt: now,
       interval: undefined,
-      lastAt: undefined,
-      askedAt: now,
+      lastSentAt: undefined,
+      lastUsedAt: now,
     };
-    this.#paces.set(endpointId, pace);
-    return pace;
+    this.#pacers.set(endpointId, pacer);
+    return pacer;
   }
 
-  #forgetOld(now: number): void {
-    for (const [id, { askedAt }] of this.#paces) {
-      if (now - askedAt >= FORGOTTEN_AFTER_MILLISECONDS) this.#paces.delete(id);
+  #dropExpired(now: number): void {
+    for (const [id, { lastUsedAt }] of this.#pacers) {
+      if (now - lastUsedAt >= IDLE_EXPIRY_MILLISECONDS) this.#pacers.delete(id);
     }
   }
 }
 
-/** Between two requests of one sender, milliseconds. */
-function intervalOf({ perSecond, sharers }: PaceRequest): number {
-  const used = sharers > 1 ? USED_SHARE : 1;
-  return sharers * MILLISECONDS_PER_SECOND / (perSecond * used);
+/** Interval between two requests of one sender, milliseconds. */
+function intervalMilliseconds(
+  { perSecond, senders }: RateLimitRequest,
+): number {
+  const factor = senders > 1 ? SAFETY_FACTOR : 1;
+  return senders * MILLISECONDS_PER_SECOND / (perSecond * factor);
 }
--- a/packages/kelpspar-decisions/src/routing/watch_assignment.ts
+++ b/packages/kelpspar-decisions/src/routing/watch_assignment.ts
@@ -1,58 +1,60 @@
 import { RendezvousNodes } from "./rendezvous_nodes.ts";
 
-const DEFAULT_EVERYBODY_BELOW = 1_000;
-const WATCHERS = 2;
+const DEFAULT_WATCH_ALL_LIMIT = 1_000;
+const WATCHERS_PER_ENDPOINT = 2;
 
-/** A daemon or an endpoint, and its availability zone. */
-export interface Placed {
+/** A daemon or an endpoint with its availability zone. */
+export interface ZonedNode {
   readonly id: string;
   readonly availabilityZone: string;
 }
 
-/** Who shares out the watching of whom. */
-export interface WatchOptions {
-  readonly self: Placed;
-  /** The other daemons that work. */
-  readonly others: readonly Placed[];
-  readonly endpoints: readonly Placed[];
-  /** Endpoints times daemons up to which everybody watches all; 1,000. */
-  readonly everybodyBelow?: number;
+/** Inputs of `assignWatches`. */
+export interface WatchAssignmentOptions {
+  readonly self: ZonedNode;
+  /** The other serving daemons. */
+  readonly others: readonly ZonedNode[];
+  readonly endpoints: readonly ZonedNode[];
+  /** Endpoints times daemons up to which all watch all; default 1,000. */
+  readonly watchAllLimit?: number;
 }
 
-/** An endpoint whose load reports this daemon fetches. */
-export interface Watch {
+/** An endpoint whose load reports this daemon polls. */
+export interface WatchAssignment {
   readonly endpointId: string;
   /**
-   * True for the first of its watchers, which puts the load into its digests.
-   * The second one keeps its own view fresh and takes over, by the next
-   * assignment, when the first one is gone.
+   * True for the first watcher, which publishes the load in its digests. The
+   * second one keeps its own view fresh and takes over at the next assignment
+   * when the first one is gone.
    */
   readonly publishes: boolean;
 }
 
 /**
- * The endpoints that this daemon watches. While there are few, everybody
- * watches all; beyond that each endpoint has two watchers among the daemons of
- * its zone, and the other daemons learn its load from digests. So what an
- * endpoint is asked does not grow with the fleet.
+ * Assigns the endpoints that this daemon watches. In a small fleet each daemon
+ * watches all endpoints; in a larger one each endpoint has two watchers among
+ * the daemons of its zone, and the other daemons get its load from digests. The
+ * polling load of an endpoint thus doesn't grow with the fleet.
  */
-export function assignWatches(options: WatchOptions): readonly Watch[] {
+export function assignWatches(
+  options: WatchAssignmentOptions,
+): readonly WatchAssignment[] {
   const { self, others, endpoints } = options;
-  const everybodyBelow = options.everybodyBelow ?? DEFAULT_EVERYBODY_BELOW;
-  if (endpoints.length * (others.length + 1) <= everybodyBelow) {
+  const watchAllLimit = options.watchAllLimit ?? DEFAULT_WATCH_ALL_LIMIT;
+  if (endpoints.length * (others.length + 1) <= watchAllLimit) {
     return endpoints.map(({ id }) => ({ endpointId: id, publishes: false }));
   }
   const daemons = [self, ...others];
-  const all = new RendezvousNodes(daemons.map((one) => one.id));
+  const all = new RendezvousNodes(daemons.map((daemon) => daemon.id));
   const byZone = groupByZone(daemons);
-  const watches: Watch[] = [];
+  const watches: WatchAssignment[] = [];
   for (const { id, availabilityZone } of endpoints) {
     const inZone = byZone.get(availabilityZone);
     if (inZone !== undefined && availabilityZone !== self.availabilityZone) {
       continue;
     }
-    // A zone whose daemons are all gone is watched from the others.
-    const watchers = (inZone ?? all).best(id, WATCHERS);
+    // Daemons of other zones watch a zone that has lost all of its daemons.
+    const watchers = (inZone ?? all).best(id, WATCHERS_PER_ENDPOINT);
     const rank = watchers.indexOf(self.id);
     if (rank >= 0) watches.push({ endpointId: id, publishes: rank === 0 });
   }
@@ -60,13 +62,13 @@
 }
 
 function groupByZone(
-  daemons: readonly Placed[],
+  daemons: readonly ZonedNode[],
 ): ReadonlyMap<string, RendezvousNodes> {
   const names = new Map<string, string[]>();
   for (const { id, availabilityZone } of daemons) {
-    const known = names.get(availabilityZone);
-    if (known === undefined) names.set(availabilityZone, [id]);
-    else known.push(id);
+    const existing = names.get(availabilityZone);
+    if (existing === undefined) names.set(availabilityZone, [id]);
+    else existing.push(id);
   }
   return new Map(
     [...names].map(([zone, ids]) => [zone, new RendezvousNodes(ids)]),
--- a/packages/kelpspar-gateway/src/endpoints/endpoint_gate.ts
+++ b/packages/kelpspar-gateway/src/endpoints/endpoint_gate.ts
@@ -3,7 +3,7 @@
 import type { ServiceDefinition } from "../configuration/service_definition.ts";
 import type { EndpointLimits } from "./endpoint_limits.ts";
 import type { EndpointState } from "./endpoint_state.ts";
-import { SharedPace } from "kelpspar-decisions/routing";
+import { SharedRateLimiter } from "kelpspar-decisions/routing";
 
 /**
  * Who chooses endpoints: the coordinator, which does so for all daemons, or
@@ -51,11 +51,11 @@
  */
 export class EndpointGate {
   readonly #options: EndpointGateOptions;
-  readonly #pace: SharedPace;
+  readonly #pace: SharedRateLimiter;
 
   constructor(options: EndpointGateOptions) {
     this.#options = options;
-    this.#pace = new SharedPace(options.random);
+    this.#pace = new SharedRateLimiter(options.random);
   }
 
   /** What all daemons together may send, requests a second, if limited. */
@@ -86,9 +86,9 @@
   waitFor(endpoint: EndpointState, now: number): number {
     const limit = this.limitOf(endpoint, now);
     if (limit === undefined) return 0;
-    return this.#pace.waitFor(endpoint.entry.id, {
+    return this.#pace.delayFor(endpoint.entry.id, {
       perSecond: limit * this.#roleShare(endpoint),
-      sharers: this.#options.sharers(),
+      senders: this.#options.sharers(),
       now,
     });
   }
@@ -96,7 +96,7 @@
   /** Notes that an endpoint was chosen. */
   chosen(endpoint: EndpointState, now: number): void {
     if (this.limitOf(endpoint, now) === undefined) return;
-    this.#pace.sent(endpoint.entry.id, now);
+    this.#pace.recordSent(endpoint.entry.id, now);
   }
 
   #roleShare({ entry }: EndpointState): number {
--- a/packages/kelpspar-scenarios/src/guards/notice_guards.ts
+++ b/packages/kelpspar-scenarios/src/guards/notice_guards.ts
@@ -22,8 +22,8 @@
   {
     name: "a share that isn't used in its turn is lost",
     file: "packages/kelpspar-decisions/src/routing/shared_pace.ts",
-    code: "const isTurn = ofInterval < OPEN_SENDERS / sharers;",
-    without: "const isTurn = ofInterval >= 0;",
+    code: "const isInSlot = intervalFraction < CONCURRENT_SENDERS / senders;",
+    without: "const isInSlot = intervalFraction >= 0;",
     noticedBy: `${TESTS}/limited_load_test.ts`,
   },
   {
--- a/packages/kelpspar-standins/src/capacity/measure_endpoints.ts
+++ b/packages/kelpspar-standins/src/capacity/measure_endpoints.ts
@@ -55,7 +55,7 @@
     subject("runner watcher", "probesDue and judge"),
     () => {
       registry.probesDue(0);
-      registry.judge(0);
+      registry.ejectLatencyOutliers(0);
     },
   );
   yield measureOperation(
