--- a/packages/kelpspar-gateway/src/endpoints/endpoint_rate_limiter.ts
+++ b/packages/kelpspar-gateway/src/endpoints/endpoint_rate_limiter.ts
@@ -3,7 +3,7 @@
 import type { ServiceDefinition } from "../configuration/service_definition.ts";
 import type { EndpointLimits } from "./endpoint_limits.ts";
 import type { EndpointState } from "./endpoint_state.ts";
-import { SharedPace } from "kelpspar-decisions/routing";
+import { SharedRateLimiter } from "kelpspar-decisions/routing";
 
 /**
  * Role in which endpoints are chosen: by the coordinator for all daemons, or by
@@ -52,11 +52,11 @@
  */
 export class EndpointRateLimiter {
   readonly #options: EndpointRateLimiterOptions;
-  readonly #pace: SharedPace;
+  readonly #pace: SharedRateLimiter;
 
   constructor(options: EndpointRateLimiterOptions) {
     this.#options = options;
-    this.#pace = new SharedPace(options.random);
+    this.#pace = new SharedRateLimiter(options.random);
   }
 
   /**
@@ -94,9 +94,9 @@
   waitFor(endpoint: EndpointState, now: number): number {
     const limit = this.limitOf(endpoint, now);
     if (limit === undefined) return 0;
-    return this.#pace.waitFor(endpoint.entry.id, {
+    return this.#pace.delayFor(endpoint.entry.id, {
       perSecond: limit * this.#roleShare(endpoint),
-      sharers: this.#options.sharers(),
+      senders: this.#options.sharers(),
       now,
     });
   }
@@ -104,7 +104,7 @@
   /** Records a request to the endpoint. */
   recordRequest(endpoint: EndpointState, now: number): void {
     if (this.limitOf(endpoint, now) === undefined) return;
-    this.#pace.sent(endpoint.entry.id, now);
+    this.#pace.recordSent(endpoint.entry.id, now);
   }
 
   #roleShare({ entry }: EndpointState): number {
--- a/packages/kelpspar-gateway/src/retries/service_retry_budget.ts
+++ b/packages/kelpspar-gateway/src/retries/service_retry_budget.ts
@@ -1,4 +1,4 @@
-import { SlidingCounter } from "kelpspar-decisions/retries";
+import { SlidingWindowCounter } from "kelpspar-decisions/retries";
 
 /** Limits for the retries of all daemons together. */
 export interface ServiceRetryBudgetOptions {
@@ -17,8 +17,8 @@
 const ALLOCATED_SLACK_SHARE = 0.7;
 
 interface ServiceCounters {
-  readonly requests: SlidingCounter;
-  readonly retries: SlidingCounter;
+  readonly requests: SlidingWindowCounter;
+  readonly retries: SlidingWindowCounter;
 }
 
 /**
@@ -72,8 +72,8 @@
       slices: 11,
     };
     const counters = {
-      requests: new SlidingCounter({ ...counterOptions, windowMilliseconds }),
-      retries: new SlidingCounter(counterOptions),
+      requests: new SlidingWindowCounter({ ...counterOptions, windowMilliseconds }),
+      retries: new SlidingWindowCounter(counterOptions),
     };
     this.#countersByService.set(service, counters);
     return counters;
