--- a/packages/kelpspar-gateway/src/retries/service_retry_budget.ts
+++ b/packages/kelpspar-gateway/src/retries/service_retry_budget.ts
@@ -72,7 +72,10 @@
       slices: 11,
     };
     const counters = {
-      requests: new SlidingWindowCounter({ ...counterOptions, windowMilliseconds }),
+      requests: new SlidingWindowCounter({
+        ...counterOptions,
+        windowMilliseconds,
+      }),
       retries: new SlidingWindowCounter(counterOptions),
     };
     this.#countersByService.set(service, counters);
