--- a/packages/kelpspar-daemon/src/fleet/fleet.ts
+++ b/packages/kelpspar-daemon/src/fleet/fleet.ts
@@ -85,7 +85,7 @@
     );
     if (member?.digest === undefined) return;
     this.#refused.add(member.digest.incarnation);
-    this.#options.parts.fleet.forget(member.digest.incarnation);
+    this.#options.parts.fleet.remove(member.digest.incarnation);
   }
 
   /** Takes in a digest. */
@@ -96,7 +96,7 @@
     this.#refused.delete(digest.member.incarnation);
     if (!this.#membership.heard(digest.member, now)) return;
     if (digest.member.state === "leaving") {
-      parts.fleet.forget(digest.member.incarnation);
+      parts.fleet.remove(digest.member.incarnation);
     } else {
       for (const demand of digest.demands) parts.fleet.accept(demand, now);
     }
--- a/packages/kelpspar-daemon/src/scheduling/service_gate.ts
+++ b/packages/kelpspar-daemon/src/scheduling/service_gate.ts
@@ -1,7 +1,7 @@
 import type { FairQueue } from "kelpspar-decisions/fairness";
 import type { EndpointAddress } from "kelpspar-shared";
 import type { PermitRequest } from "./permit_request.ts";
-import { SlotPace } from "kelpspar-decisions/fairness";
+import { SlotThroughput } from "kelpspar-decisions/fairness";
 import { KelpsparError } from "kelpspar-shared";
 
 /** Calls that left the queue but wait for an endpoint of their model. */
@@ -42,7 +42,7 @@
 export class ServiceGate {
   readonly #options: ServiceGateOptions;
   #parked: WaitingCall[] = [];
-  readonly #pace = new SlotPace();
+  readonly #pace = new SlotThroughput();
   #running = 0;
   #limit = 1;
 
@@ -73,7 +73,7 @@
 
   /** Cost that this daemon's slice works off in a millisecond. */
   get concurrency(): number {
-    return this.#pace.concurrencyOf(this.#limit);
+    return this.#pace.effectiveConcurrency(this.#limit);
   }
 
   /** True when a new call would not start at once. */
@@ -154,7 +154,9 @@
   }
 
   #refuseExpired(): void {
-    for (const { item } of this.#options.queue.expired(this.#options.now())) {
+    for (
+      const { item } of this.#options.queue.takeExpired(this.#options.now())
+    ) {
       item.refuse(this.#lateError(item));
     }
   }
--- a/packages/kelpspar-decisions/src/__tests__/unit/admission_overload_test.ts
+++ b/packages/kelpspar-decisions/src/__tests__/unit/admission_overload_test.ts
@@ -19,10 +19,11 @@
 }
 
 /**
- * Callers that send, wait for the answer, think for a second and send again. A
- * refused one comes back when it was told to, one without an answer sends
- * again at its deadline. Returns the answers in time and the requests sent,
- * each second, over the last 60 of 90 seconds.
+ * Simulates closed-loop callers that send a request, wait for the answer, think
+ * for one second and send again. A refused caller retries after the returned
+ * delay; a caller without an answer sends again at its deadline. Returns the
+ * answers in time and the requests sent, per second, over the last 60 of 90
+ * seconds.
  */
 function run(
   count: number,
@@ -98,7 +99,7 @@
       const ended = running.filter((call) => call.end <= now);
       ended.forEach((call) => running.splice(running.indexOf(call), 1));
       ended.forEach((call) => finish(call, place));
-      queue.expired(now).forEach(({ item }) => settle(item, 100));
+      queue.takeExpired(now).forEach(({ item }) => settle(item, 100));
       while (running.length < slots) {
         const call = queue.dequeue(now)?.item;
         if (call === undefined) return;
@@ -110,14 +111,14 @@
   return { goodput, offered };
 }
 
-test("goodput at four times the load is that at once the load", () => {
-  // Symptom: under overload endpoints are busy and no answer is in time.
-  // Sequence: four times as many callers; queues grow past the deadline.
-  // Cause: calls run though their callers have given up.
+test("goodput at four times the capacity equals that at capacity", () => {
+  // Guards against calls that run although their callers have given up: with
+  // four times as many callers, queues grow past the deadline, the endpoints
+  // are busy and no answer is in time.
   const once = run(31, true);
   const fourTimes = run(210, true);
   const without = run(210, false);
-  // Those refused don't come back faster and faster.
+  // Refused callers don't retry at an increasing rate.
   const load = fourTimes.offered / once.offered;
   expect(load >= 4 && load <= 6).toEqual(true);
   expect(fourTimes.goodput >= 0.9 * once.goodput).toEqual(true);
--- a/packages/kelpspar-decisions/src/__tests__/unit/fairness_cost_test.ts
+++ b/packages/kelpspar-decisions/src/__tests__/unit/fairness_cost_test.ts
@@ -3,7 +3,7 @@
 import fc from "fast-check";
 import { CallCharge, CostEstimator } from "../../fairness/mod.ts";
 
-test("an account is charged what a call cost, as it goes on", () => {
+test("an account is charged the cost of a call while it runs", () => {
   const costs = fc.integer({ min: 1, max: 900 });
   const waits = fc.array(fc.nat({ max: 80 }), { minLength: 1 });
   const claims = fc.integer({ min: -50, max: 5_000 });
@@ -24,7 +24,7 @@
   );
 });
 
-test("a cost is learned by account, else by stage, else by service", () => {
+test("a cost is estimated by account, else by stage, else by service", () => {
   const estimator = new CostEstimator({ defaultCost: 70 });
   const key = { serviceId: "s", pipelineId: "p", stageId: "g", accountId: "a" };
   const observe = (accountId: string, runnerMilliseconds: number): void => {
--- a/packages/kelpspar-decisions/src/__tests__/unit/fairness_fair_queue_test.ts
+++ b/packages/kelpspar-decisions/src/__tests__/unit/fairness_fair_queue_test.ts
@@ -14,7 +14,10 @@
 
 type Entry = QueueRequest<number> & { ticket: number; latest: number };
 
-/** The same rules over plain lists: the smallest virtual time is searched. */
+/**
+ * Reference implementation over plain lists: searches for the smallest virtual
+ * time.
+ */
 class NaiveQueue {
   readonly accounts = new Map<string, { time: number; weight: number }>();
   entries: Entry[] = [];
@@ -116,7 +119,7 @@
   wait: fc.integer({ min: 0, max: 20 }),
 });
 
-test("the queue does what a list searched for the smallest does", () => {
+test("the queue behaves like the reference implementation", () => {
   fc.assert(
     fc.property(fc.array(step, { minLength: 20, maxLength: 150 }), (steps) => {
       const random = new SeededRandom(1);
@@ -158,14 +161,14 @@
         expect(queue.size).toEqual(naive.entries.length);
       }
       naive.expire(now);
-      const expired = queue.expired(now).map((one) => one.ticket);
+      const expired = queue.takeExpired(now).map((one) => one.ticket);
       expect(expired.sort()).toEqual(naive.expired.sort());
     }),
     { numRuns: 400, seed: 1 },
   );
 });
 
-test("the estimated wait is the wait of a fluid", () => {
+test("the estimated wait matches fluid fair queueing", () => {
   const queue = new FairQueue<string>({ random: new SeededRandom(1) });
   queue.setShares(new Map([["a", 3], ["b", 1]]));
   queue.setConcurrency(2);
@@ -173,14 +176,15 @@
   const enqueue = (accountId: string, estimatedCost = 10) =>
     queue.enqueue({ ...rest, accountId, estimatedCost }, 0);
   for (let call = 0; call < 80; call++) enqueue(call % 2 === 0 ? "a" : "b");
-  // 400 runner-milliseconds wait, of which 3 in 4 of 2 a millisecond are done.
+  // 400 runner-milliseconds are queued; a gets 3/4 of the 2 processed per
+  // millisecond.
   expect(queue.estimateWait("a", 5)).toEqual(400 / 1.5);
   expect(queue.estimateWait("a", 4)).toEqual(0);
   expect(queue.estimateWait("b", 9)).toEqual(400 / 0.5);
-  // The first in line waits for a slot: mean cost 1 so far, 2 slots.
+  // The first call waits for a slot: mean cost 1 so far, 2 slots.
   queue.dequeue(0);
   expect(queue.estimateWait("nobody", 5)).toEqual(0.5);
-  // Past the longest wait a call is refused.
+  // A call beyond the maximum wait is refused.
   queue.setConcurrency(0);
   expect(enqueue("b", 10_000).queued).toEqual(true);
   const refused = enqueue("b");
--- a/packages/kelpspar-decisions/src/__tests__/unit/fairness_fleet_shares_test.ts
+++ b/packages/kelpspar-decisions/src/__tests__/unit/fairness_fleet_shares_test.ts
@@ -29,8 +29,8 @@
   return { daemons: 1, services: [service] };
 }
 
-/** What each daemon of a fleet works out of what it hears of the others. */
-function shareOut(
+/** Shares that each daemon of a fleet computes from the others' digests. */
+function computeAllShares(
   fleet: readonly number[][],
   rest: { totalConcurrency: number; liveDaemons: number; floorShare: number },
 ): FleetShares[] {
@@ -47,7 +47,7 @@
   });
 }
 
-/** Max-min shares by bisection: everybody gets up to `level` x weight. */
+/** Max-min shares by bisection: each account gets up to `level` x weight. */
 function fill(
   demands: readonly number[],
   weights: readonly number[],
@@ -74,11 +74,11 @@
   return Math.abs(one - other) < 1e-4;
 }
 
-test("daemons on their own slices and weights share as one queue would", () => {
+test("slices with local weights share the service like one queue", () => {
   fc.assert(
     fc.property(fleets, totals, (fleet, totalConcurrency) => {
       const rest = { liveDaemons: fleet.length, floorShare: 0 };
-      const given = shareOut(fleet, { totalConcurrency, ...rest })
+      const allocated = computeAllShares(fleet, { totalConcurrency, ...rest })
         .map(({ exactConcurrency, weights }, place) => {
           const local = ACCOUNTS.map((id) => weights.get(id) ?? 0);
           return fill(fleet[place] ?? [], local, exactConcurrency);
@@ -88,7 +88,7 @@
       });
       const weights = ACCOUNTS.map((id) => SHARES.get(id) ?? SMALLEST_WEIGHT);
       fill(demands, weights, totalConcurrency).forEach((slots, place) => {
-        const all = sum(given.map((own) => own[place] ?? 0));
+        const all = sum(allocated.map((own) => own[place] ?? 0));
         expect(isNear(slots, all)).toEqual(true);
       });
     }),
@@ -96,16 +96,16 @@
   );
 });
 
-test("slices keep within the total, also while the fleet is split", () => {
-  // Symptom: endpoints get more calls than they can run.
-  // Sequence: a link fails; daemons on each side hear only their own side.
-  // Cause: each side takes the whole concurrency, as if it were alone.
+test("slices stay within the total, also during a network partition", () => {
+  // Guards against overloaded endpoints during a network partition: daemons
+  // receive digests only from their own side, and each side uses the whole
+  // concurrency.
   fc.assert(
     fc.property(fleets, totals, fc.nat({ max: 12 }), (fleet, total, cut) => {
       const liveDaemons = fleet.length;
       const rest = { totalConcurrency: total, liveDaemons, floorShare: 0.1 };
       const sides = [fleet.slice(0, cut), fleet.slice(cut)]
-        .map((side) => shareOut(side, rest));
+        .map((side) => computeAllShares(side, rest));
       const exact = sides.flat().map((one) => one.exactConcurrency);
       const slots = sides.flat().map((one) => one.concurrency);
       const equal = total / liveDaemons;
@@ -134,7 +134,7 @@
   );
 });
 
-test("late, repeated, old and doubled digests are left out", () => {
+test("late, repeated, old and duplicate digests are ignored", () => {
   const own = { incarnation: "own", availabilityZone: "north" };
   const view = new FleetView({ ...own, usesZoneDigests: true });
   const digest = { ...own, scope: "daemon", sequence: 7, daemons: 1 } as const;
@@ -149,6 +149,8 @@
   expect(accept(south, 2_000)).toEqual(false);
   expect(accept({ ...peer, scope: "zone" }, 2_000)).toEqual(false);
   expect(view.zone({ daemons: 1, services: [] }, 2_000).daemons).toEqual(2);
-  const heard = [3_000, 3_001, 5_001].map((now) => view.peers(now).daemons);
-  expect(heard).toEqual([6, 5, 0]);
+  const daemonCounts = [3_000, 3_001, 5_001].map((now) =>
+    view.peers(now).daemons
+  );
+  expect(daemonCounts).toEqual([6, 5, 0]);
 });
--- a/packages/kelpspar-decisions/src/__tests__/unit/fairness_shares_test.ts
+++ b/packages/kelpspar-decisions/src/__tests__/unit/fairness_shares_test.ts
@@ -10,16 +10,17 @@
 interface Setting {
   readonly slots: number;
   readonly seed: number;
-  /** The cost of a call of this account that arrives now, or 0. */
+  /** Costs of the account's calls that arrive now. */
   readonly offer: (id: string, now: number, chance: () => number) => number[];
-  /** True when calls cost their estimate, not up to three times as much. */
+  /** True if calls cost their estimate, otherwise up to three times as much. */
   readonly isExact: boolean;
 }
 
 /**
- * Serves calls for a while. `spread` is by how much the lead of a over c, in
- * service by weight, changed while both waited; `delay` by how much later an
- * account's call started than on as many slots of its own as are its share.
+ * Serves calls for a fixed duration. `spread` is the change of the lead of a
+ * over c, in service by weight, while both waited; `delay` is how much later an
+ * account's call started than it would on dedicated slots of the size of its
+ * share.
  */
 function serve({ slots, seed, offer, isExact }: Setting): {
   readonly served: Record<string, number>;
@@ -39,7 +40,7 @@
   const serveMore = (id: string, cost: number): void => {
     const waiting = queue.backlogs().map(({ accountId }) => accountId);
     const isRace = waiting.includes("a") && waiting.includes("c");
-    // Also the call that empties a queue belongs to the time of waiting.
+    // The call that empties a queue still counts as part of the waiting period.
     if (!isRace && waiting.includes(id)) leads = [];
     served[id] = (served[id] ?? 0) + cost;
     if (leads.length > 0 || isRace) leads.push(perShare("a") - perShare("c"));
@@ -75,14 +76,14 @@
   return { served, delay, spread };
 }
 
-test("accounts that wait are served by weight within the stated bound", () => {
-  const most: Record<string, number> = { a: 60, b: 40, c: 20 };
+test("waiting accounts are served by weight within the stated bound", () => {
+  const maximumCost: Record<string, number> = { a: 60, b: 40, c: 20 };
   for (let seed = 1; seed <= 10; seed++) {
     const slots = 1 + seed % 4;
     const offer: Setting["offer"] = (id, now, chance) => {
       const isOff = id === "c" && now % 900 > 600;
       if (isOff || chance() > 0.02 * slots + 0.02) return [];
-      return [Math.ceil(chance() * (most[id] ?? 0))];
+      return [Math.ceil(chance() * (maximumCost[id] ?? 0))];
     };
     for (const isExact of [true, false]) {
       const { spread } = serve({ slots, seed, offer, isExact });
@@ -93,27 +94,27 @@
   }
 });
 
-test("neither the large account nor the others take the others' share", () => {
-  // Symptom: one account's burst shows in the queue times of the others.
-  // Sequence: one account is alone, then goes on with ten times its share
-  // while the others come and send 0.8 of theirs.
-  // Cause: service in the order of arrival.
+test("no account takes the share of another", () => {
+  // Guards against a burst of one account that raises the queue times of the
+  // others: one account is alone, then continues with ten times its share while
+  // the others arrive and send 0.8 of theirs. Possible cause: service in the
+  // order of arrival.
   const slots = 10;
-  for (const loud of ["a", "b"]) {
+  for (const busyAccount of ["a", "b"]) {
     const offer: Setting["offer"] = (id, now, chance) => {
-      if (now < 500 && id !== loud) return [];
-      const perShare = id === loud ? 10 : 0.8;
+      if (now < 500 && id !== busyAccount) return [];
+      const perShare = id === busyAccount ? 10 : 0.8;
       const rate = slots * (SHARES[id] ?? 0) / 20 * perShare;
       return Array(Math.floor(rate + chance())).fill(20);
     };
     const run = serve({ slots, seed: 7, offer, isExact: true });
-    for (const id of IDS.filter((one) => one !== loud)) {
-      const asked = 0.8 * slots * (SHARES[id] ?? 0) * (DURATION - 500);
-      expect((run.served[id] ?? 0) > 0.9 * asked).toEqual(true);
-      // By the length of two calls at most.
+    for (const id of IDS.filter((one) => one !== busyAccount)) {
+      const requested = 0.8 * slots * (SHARES[id] ?? 0) * (DURATION - 500);
+      expect((run.served[id] ?? 0) > 0.9 * requested).toEqual(true);
+      // Delayed by at most the duration of two calls.
       expect((run.delay[id] ?? 0) <= 2 * 20).toEqual(true);
     }
-    // What the others leave is lent: no slot is ever empty.
+    // Unused share of other accounts is used: no slot is ever idle.
     const all = Object.values(run.served).reduce((sum, one) => sum + one);
     expect(all >= slots * DURATION).toEqual(true);
   }
--- a/packages/kelpspar-decisions/src/fairness/account_queue.ts
+++ b/packages/kelpspar-decisions/src/fairness/account_queue.ts
@@ -1,19 +1,19 @@
 import type { QueueTicket } from "./enqueue_result.ts";
 import { IndexedHeap } from "./indexed_heap.ts";
 
-const NO_PLACE = -1;
-const PRIORITIES = 10;
+const NOT_IN_HEAP = -1;
+const PRIORITY_COUNT = 10;
 
-/** A waiting call, with its places in the heaps that hold it. */
+/** A queued call with its places in the heaps that contain it. */
 export interface QueueEntry<Item> {
   readonly ticket: QueueTicket;
   readonly account: AccountQueue<Item>;
   readonly item: Item;
   readonly priority: number;
   readonly deadlineAt: number;
-  /** After this, waiting on is no use, monotonic milliseconds. */
+  /** Latest useful start time, monotonic milliseconds. */
   readonly latestStartAt: number;
-  readonly waitsTooLong: boolean;
+  readonly isLimitedByMaximumWait: boolean;
   readonly enqueuedAt: number;
   readonly cost: number;
   readonly bytes: number;
@@ -22,19 +22,19 @@
 }
 
 /**
- * The waiting calls of one client account and its virtual time: the service
- * it was given, divided by its weight.
+ * Queued calls of one client account and its virtual time: the service it
+ * received, divided by its weight.
  */
 export class AccountQueue<Item> {
   readonly accountId: string;
-  /** Decides between accounts of one virtual time. */
+  /** Breaks ties between accounts with equal virtual time. */
   readonly order: number;
   weight: number;
   virtualTime: number;
-  /** The account's place in the heap of accounts that wait. */
-  place = NO_PLACE;
+  /** Place of the account in the heap of waiting accounts. */
+  place = NOT_IN_HEAP;
   #bytes = 0;
-  readonly #costByPriority = new Float64Array(PRIORITIES);
+  readonly #costByPriority = new Float64Array(PRIORITY_COUNT);
   readonly #entries = new IndexedHeap<QueueEntry<Item>>({
     before: (first, second) => comesBefore(first, second),
     placeOf: (entry) => entry.accountPlace,
@@ -65,12 +65,12 @@
     return this.#bytes;
   }
 
-  /** The call whose turn comes first inside the account. */
+  /** Next call of the account. */
   first(): QueueEntry<Item> | undefined {
     return this.#entries.peek();
   }
 
-  /** Runner-milliseconds that wait at this priority and above it. */
+  /** Queued runner-milliseconds at this priority or a more urgent one. */
   costAhead(priority: number): number {
     let cost = 0;
     for (let level = 0; level <= priority; level++) {
@@ -98,9 +98,9 @@
   }
 }
 
-/** The priority of a request, as a whole number that the queue knows. */
+/** Clamps the priority of a request to the integers supported by the queue. */
 export function clampPriority(priority: number): number {
-  return Math.min(PRIORITIES - 1, Math.max(0, Math.trunc(priority)));
+  return Math.min(PRIORITY_COUNT - 1, Math.max(0, Math.trunc(priority)));
 }
 
 function comesBefore<Item>(
--- a/packages/kelpspar-decisions/src/fairness/account_schedule.ts
+++ b/packages/kelpspar-decisions/src/fairness/account_schedule.ts
@@ -2,17 +2,17 @@
 import { normalizeWeights, SMALLEST_WEIGHT } from "./account_weights.ts";
 import { IndexedHeap } from "./indexed_heap.ts";
 
-/** Weight of a call in the mean cost of calls. */
+/** Weight of a new call in the mean call cost. */
 const COST_SMOOTHING = 0.1;
 
 /**
- * Whose turn it is: weighted fair queueing by client account. Each account has
- * a virtual time, its charged cost divided by its weight; the waiting account
- * with the smallest goes next.
+ * Weighted fair queueing by client account. Each account has a virtual time:
+ * its charged cost divided by its weight. The waiting account with the smallest
+ * virtual time goes next.
  *
- * Source: start-time fair queueing (Goyal, Vin and Cheng, 1996) and the
- * virtual token counter (Sheng et al., "Fairness in Serving Large Language
- * Models", 2024), which charges what a call really cost.
+ * Source: start-time fair queueing (Goyal, Vin and Cheng, 1996) and the virtual
+ * token counter (Sheng et al., "Fairness in Serving Large Language Models",
+ * 2024), which charges the actual cost of a call.
  */
 export class AccountSchedule<Item> {
   readonly #accounts = new Map<string, AccountQueue<Item>>();
@@ -26,16 +26,16 @@
   #weights = new Map<string, number>();
   #virtualTime = 0;
   #waitingWeight = 0;
-  #lastToEmpty: AccountQueue<Item> | undefined;
+  #lastDeactivated: AccountQueue<Item> | undefined;
   #nextOrder = 0;
   #meanCost = 0;
 
-  /** The accounts that have calls waiting. */
+  /** Accounts with queued calls. */
   waiting(): readonly AccountQueue<Item>[] {
     return this.#waiting.values();
   }
 
-  /** The account whose turn it is. */
+  /** Next account to serve. */
   next(): AccountQueue<Item> | undefined {
     return this.#waiting.peek();
   }
@@ -50,37 +50,38 @@
     const account = new AccountQueue<Item>(accountId, {
       order: this.#nextOrder++,
       weight: this.#weightOf(accountId),
-      virtualTime: this.#level(),
+      virtualTime: this.#baselineVirtualTime(),
     });
     this.#accounts.set(accountId, account);
     return account;
   }
 
   /**
-   * Takes up an account whose first call now waits. Its virtual time is lifted
-   * to the least of those that wait. Without that, an account that was idle
-   * for an hour would hold an hour's credit and shut all others out until it
-   * was spent; one would see their queue times jump when it returns.
+   * Activates an account with its first queued call. Its virtual time is raised
+   * to the minimum of the waiting accounts. Otherwise an account that was idle
+   * for an hour would have an hour of credit and block all others until it was
+   * spent; the symptom is queue times of other accounts that jump when it
+   * returns.
    */
-  start(account: AccountQueue<Item>): void {
+  activate(account: AccountQueue<Item>): void {
     if (this.#waiting.has(account)) return;
-    this.#virtualTime = this.#level();
+    this.#virtualTime = this.#baselineVirtualTime();
     account.virtualTime = Math.max(account.virtualTime, this.#virtualTime);
     this.#waiting.push(account);
     this.#waitingWeight += account.weight;
   }
 
-  /** Ends an account's turns when it has no call waiting any more. */
-  stop(account: AccountQueue<Item>): void {
+  /** Deactivates an account that has no queued calls left. */
+  deactivate(account: AccountQueue<Item>): void {
     if (account.requests > 0 || !this.#waiting.has(account)) return;
     this.#waiting.remove(account);
-    this.#lastToEmpty = account;
+    this.#lastDeactivated = account;
     this.#waitingWeight -= account.weight;
     if (this.#waiting.size === 0) this.#waitingWeight = 0;
   }
 
-  /** Notes that the account whose turn it is was served. */
-  serve(account: AccountQueue<Item>, cost: number): void {
+  /** Records that the next account was served. */
+  recordServed(account: AccountQueue<Item>, cost: number): void {
     this.#virtualTime = Math.max(this.#virtualTime, account.virtualTime);
     this.#meanCost += COST_SMOOTHING * (cost - this.#meanCost);
     this.charge(account, cost);
@@ -92,9 +93,9 @@
   }
 
   /**
-   * How long a new call of this account would wait until its turn,
-   * milliseconds, when `concurrency` calls run at a time and every account
-   * that waits now goes on waiting.
+   * Estimated wait of a new call of this account, milliseconds, if
+   * `concurrency` calls run at a time and every account that waits now keeps
+   * waiting.
    */
   estimateWait(
     accountId: string,
@@ -103,55 +104,58 @@
     if (this.#waiting.size === 0) return 0;
     const account = this.#accounts.get(accountId);
     const weight = account?.weight ?? this.#weightOf(accountId);
-    const level = this.#level();
-    const waits = account !== undefined && this.#waiting.has(account);
-    const start = Math.max(account?.virtualTime ?? level, waits ? 0 : level);
+    const level = this.#baselineVirtualTime();
+    const isWaiting = account !== undefined && this.#waiting.has(account);
+    const start = Math.max(
+      account?.virtualTime ?? level,
+      isWaiting ? 0 : level,
+    );
     const ahead = (account?.costAhead(options.priority) ?? 0) / weight;
-    const contenders = this.#waitingWeight + (waits ? 0 : weight);
-    // The first in line waits too, until a slot is free.
-    const cost = Math.max(0, start + ahead - level) * contenders;
+    const contendingWeight = this.#waitingWeight + (isWaiting ? 0 : weight);
+    // Even the first call in the queue waits for a free slot.
+    const cost = Math.max(0, start + ahead - level) * contendingWeight;
     return (cost + this.#meanCost) / options.concurrency;
   }
 
   /**
-   * Takes new shares. An account's lead over the others is kept in cost: were
-   * it kept in virtual time, an account that was charged at a tiny weight and
-   * then given a large one would wait for ages.
+   * Applies new shares. An account's lead over the others is preserved as cost:
+   * if it were preserved as virtual time, an account that was charged at a tiny
+   * weight and then received a large one would wait far too long.
    */
   setShares(shares: ReadonlyMap<string, number>): void {
     this.#weights = normalizeWeights(shares);
-    this.#virtualTime = this.#level();
+    this.#virtualTime = this.#baselineVirtualTime();
     this.#waitingWeight = 0;
     for (const account of this.#accounts.values()) {
-      this.#reweigh(account);
+      this.#updateWeight(account);
       if (this.#waiting.has(account)) this.#waitingWeight += account.weight;
-      else this.#forgetIfIdle(account);
+      else this.#removeIfIdle(account);
     }
     this.#waiting.rebuild();
   }
 
-  #reweigh(account: AccountQueue<Item>): void {
+  #updateWeight(account: AccountQueue<Item>): void {
     const weight = this.#weightOf(account.accountId);
     const lead = account.virtualTime - this.#virtualTime;
     account.virtualTime = this.#virtualTime + lead * account.weight / weight;
     account.weight = weight;
   }
 
-  /** An idle account without a debt is the same as one never seen. */
-  #forgetIfIdle(account: AccountQueue<Item>): void {
+  /** An idle account without a lead is equivalent to an unknown account. */
+  #removeIfIdle(account: AccountQueue<Item>): void {
     if (account.virtualTime > this.#virtualTime) return;
-    if (account === this.#lastToEmpty) return;
+    if (account === this.#lastDeactivated) return;
     this.#accounts.delete(account.accountId);
   }
 
   /**
-   * The virtual time at which an account starts anew. While no account waits
-   * it is that of the last one that did: what that one ran alone was unused
-   * share lent to it, and is not held against it.
+   * Virtual time at which an account becomes active. While no account waits, it
+   * is that of the last active account: capacity that this account used alone
+   * was unused share of others and is not charged against it later.
    */
-  #level(): number {
-    const least = this.#waiting.peek() ?? this.#lastToEmpty;
-    return Math.max(this.#virtualTime, least?.virtualTime ?? 0);
+  #baselineVirtualTime(): number {
+    const reference = this.#waiting.peek() ?? this.#lastDeactivated;
+    return Math.max(this.#virtualTime, reference?.virtualTime ?? 0);
   }
 
   #weightOf(accountId: string): number {
--- a/packages/kelpspar-decisions/src/fairness/call_charge.ts
+++ b/packages/kelpspar-decisions/src/fairness/call_charge.ts
@@ -1,23 +1,26 @@
 const DEFAULT_STEP_MILLISECONDS = 50;
 
-/** What was charged for a call when it left the queue. */
+/** Options of `CallCharge`. */
 export interface CallChargeOptions {
-  /** `DequeuedItem.chargedCost`, runner-milliseconds. */
+  /**
+   * `DequeuedItem.chargedCost`, the cost charged at dequeue,
+   * runner-milliseconds.
+   */
   readonly chargedCost: number;
   /** When the call was sent, monotonic milliseconds. */
   readonly startedAt: number;
-  /** The least difference worth charging, default 50 runner-milliseconds. */
+  /** Minimum difference to charge; default 50 runner-milliseconds. */
   readonly stepMilliseconds?: number;
 }
 
 /**
- * Follows what one attempt costs, so that its account is charged what it
- * really cost, as its tokens come and not only at its end. An account whose
- * long generations were estimated short would otherwise pass for a small one
- * for as long as they run; one would see the others' queue times grow while
- * its own charged cost stays low.
+ * Tracks the cost of one attempt, so that its account is charged the actual
+ * cost while tokens arrive and not only at the end. Otherwise an account whose
+ * long generations were underestimated would be treated as a light one while
+ * they run; the symptom is rising queue times of other accounts while its own
+ * charged cost stays low.
  *
- * Each attempt (a retry, a hedge, a re-run) has its own.
+ * Each attempt (a retry, a hedge, a re-run) has its own instance.
  *
  * Source: the virtual token counter (Sheng et al., 2024).
  */
@@ -33,7 +36,7 @@
       DEFAULT_STEP_MILLISECONDS;
   }
 
-  /** Call at each chunk; returns the difference for `FairQueue.charge`. */
+  /** Call for each chunk; returns the difference for `FairQueue.charge`. */
   progress(now: number): number {
     const difference = now - this.#startedAt - this.#charged;
     if (difference < this.#stepMilliseconds) return 0;
@@ -41,23 +44,25 @@
     return difference;
   }
 
-  /** Runner-milliseconds charged up to now; the whole cost once finished. */
+  /** Runner-milliseconds charged so far; the total cost once finished. */
   get cost(): number {
     return this.#charged;
   }
 
   /**
-   * Call at the end, also of a cancelled or failed attempt, whose cost is the
-   * time it held its slot. What an endpoint states is taken up to that time.
-   * Returns the last difference to charge.
+   * Call at the end of an attempt, also if it was cancelled or failed; its cost
+   * is then the time it held its slot. The cost reported by an endpoint is
+   * accepted up to that time. Returns the final difference to charge.
    */
   finish(
     now: number,
     options: { readonly runnerMilliseconds?: number } = {},
   ): number {
-    const held = Math.max(0, now - this.#startedAt);
-    const stated = options.runnerMilliseconds ?? held;
-    const cost = stated >= 0 && stated < held ? stated : held;
+    const heldMilliseconds = Math.max(0, now - this.#startedAt);
+    const reported = options.runnerMilliseconds ?? heldMilliseconds;
+    const cost = reported >= 0 && reported < heldMilliseconds
+      ? reported
+      : heldMilliseconds;
     const difference = cost - this.#charged;
     this.#charged = cost;
     return difference;
--- a/packages/kelpspar-decisions/src/fairness/cost_estimator.ts
+++ b/packages/kelpspar-decisions/src/fairness/cost_estimator.ts
@@ -1,8 +1,8 @@
 const DEFAULT_SMOOTHING = 0.1;
-const DEFAULT_COST = 100;
-const SAMPLES_TO_TRUST = 5;
+const DEFAULT_COST_RUNNER_MILLISECONDS = 100;
+const MINIMUM_SAMPLES = 5;
 
-/** Which calls are taken to cost alike. */
+/** Identifies calls that are assumed to have similar costs. */
 export interface CostKey {
   readonly serviceId: string;
   readonly accountId: string;
@@ -10,18 +10,18 @@
   readonly stageId: string;
 }
 
-/** What a call cost, or is expected to cost. */
+/** Actual or estimated cost of a call. */
 export interface CallCost {
   readonly runnerMilliseconds: number;
   readonly tokensIn: number;
   readonly tokensOut: number;
 }
 
-/** How costs are learned. */
+/** Options of `CostEstimator`. */
 export interface CostEstimatorOptions {
-  /** Weight of a new cost in the mean; default 0.1. */
+  /** Weight of a new sample in the mean; default 0.1. */
   readonly smoothing?: number;
-  /** Runner-milliseconds of a call of which nothing is known; default 100. */
+  /** Runner-milliseconds of a call without any samples; default 100. */
   readonly defaultCost?: number;
 }
 
@@ -30,9 +30,9 @@
 }
 
 /**
- * Expected cost of a call, as exponentially weighted means of what such calls
- * did cost: of the account's own calls of the stage once there are five, else
- * of all accounts' calls of the stage, else of the service.
+ * Estimates the cost of a call with exponentially weighted means: of the
+ * account's own calls of the stage once there are five samples, otherwise of
+ * all accounts' calls of the stage, otherwise of the service.
  */
 export class CostEstimator {
   readonly #means = new Map<string, MeanCost>();
@@ -41,32 +41,34 @@
 
   constructor(options: CostEstimatorOptions = {}) {
     this.#smoothing = options.smoothing ?? DEFAULT_SMOOTHING;
-    const runnerMilliseconds = options.defaultCost ?? DEFAULT_COST;
+    const runnerMilliseconds = options.defaultCost ??
+      DEFAULT_COST_RUNNER_MILLISECONDS;
     this.#unknown = { runnerMilliseconds, tokensIn: 0, tokensOut: 0 };
   }
 
   observe(key: CostKey, cost: CallCost): void {
-    // Costs come from endpoints: one that is no number would stay in the mean.
+    // Costs come from endpoints; an invalid number would corrupt the mean
+    // permanently.
     if (!isUsable(cost)) return;
-    for (const name of namesOf(key)) this.#learn(name, cost);
+    for (const name of keysOf(key)) this.#updateMean(name, cost);
   }
 
   estimate(key: CostKey): CallCost {
     let fallback: CallCost = this.#unknown;
-    for (const name of namesOf(key)) {
+    for (const name of keysOf(key)) {
       const mean = this.#means.get(name);
       if (mean === undefined) continue;
-      if (mean.samples >= SAMPLES_TO_TRUST) return mean;
+      if (mean.samples >= MINIMUM_SAMPLES) return mean;
       fallback = mean;
     }
     return fallback;
   }
 
-  #learn(name: string, cost: CallCost): void {
+  #updateMean(name: string, cost: CallCost): void {
     const mean = this.#means.get(name);
     const samples = (mean?.samples ?? 0) + 1;
-    // The first samples count alike: with the smoothing alone the very first
-    // cost would dominate the estimate for the next twenty calls.
+    // The first samples have equal weight: with the smoothing alone, the first
+    // sample would dominate the estimate for the next twenty calls.
     const share = Math.max(this.#smoothing, 1 / samples);
     const blend = (before: number | undefined, after: number): number =>
       (before ?? 0) + share * (after - (before ?? 0));
@@ -84,13 +86,13 @@
 
 function isUsable(cost: CallCost): boolean {
   const { runnerMilliseconds, tokensIn, tokensOut } = cost;
-  const least = Math.min(runnerMilliseconds, tokensIn, tokensOut);
-  return least >= 0 &&
+  const smallest = Math.min(runnerMilliseconds, tokensIn, tokensOut);
+  return smallest >= 0 &&
     Number.isFinite(runnerMilliseconds + tokensIn + tokensOut);
 }
 
-/** From the most particular to the most general. */
-function namesOf(key: CostKey): readonly string[] {
+/** Keys from the most specific to the most general. */
+function keysOf(key: CostKey): readonly string[] {
   const stage = `${key.serviceId}/${key.pipelineId}/${key.stageId}`;
   return [`${stage}/${key.accountId}`, stage, key.serviceId];
 }
--- a/packages/kelpspar-decisions/src/fairness/demand_digest.ts
+++ b/packages/kelpspar-decisions/src/fairness/demand_digest.ts
@@ -1,46 +1,49 @@
-/** What one client account asks of one service. */
+/** Demand of one client account for one service. */
 export interface AccountDemand {
   readonly accountId: string;
   /**
-   * Slots the account could fill now: its calls that wait or run. Calls are
-   * counted here, not their cost, since a call fills one slot however long it
-   * takes, and the cost of a slot is the time it is held.
+   * Slots the account could fill now: its queued and running calls. This counts
+   * calls and not their cost, because a call fills one slot regardless of its
+   * duration, and the cost of a slot is the time it is held.
    */
   readonly demand: number;
-  /** What its calls cost lately, runner-milliseconds a second. */
+  /** Recent cost of its calls, runner-milliseconds per second. */
   readonly usageRate: number;
 }
 
-/** What is asked of one service. */
+/** Demand for one service. */
 export interface ServiceDemand {
   readonly serviceId: string;
-  /** Calls the service runs at a time, as the sender sees its endpoints. */
+  /**
+   * Concurrent calls of the service, according to the sender's view of its
+   * endpoints.
+   */
   readonly capacitySeen: number;
-  /** Accounts that ask for something, in the order of their ids. */
+  /** Accounts with demand, sorted by id. */
   readonly accounts: readonly AccountDemand[];
 }
 
-/** What one or several daemons ask of the services they share. */
+/** Demand of one or more daemons for the shared services. */
 export interface DemandSummary {
-  /** Daemons whose demand this is. */
+  /** Number of daemons included. */
   readonly daemons: number;
-  /** In the order of their ids. */
+  /** Sorted by id. */
   readonly services: readonly ServiceDemand[];
 }
 
 /**
- * What a daemon tells the others of its demand, or (`scope: "zone"`) what one
- * daemon merged of its availability zone and tells the other zones.
+ * Demand that a daemon publishes to the others, or (`scope: "zone"`) the merged
+ * demand of an availability zone that one daemon publishes to other zones.
  *
- * Bytes as JSON, measured: 1,810 for 5 accounts at each of 5 services; 1,084
- * for the 12 rows of a daemon with 12 calls; 20,095 for the 355 rows of 34
- * such daemons merged. A row (an account at a service) takes about 56.
+ * Size as JSON, bytes: 1,810 for 5 accounts at each of 5 services; 1,084 for
+ * the 12 rows of a daemon with 12 calls; 20,095 for the 355 rows of 34 such
+ * daemons merged. A row (an account at a service) takes about 56.
  */
 export interface DemandDigest extends DemandSummary {
   readonly scope: "daemon" | "zone";
-  /** The sender's incarnation. */
+  /** Incarnation of the sender. */
   readonly incarnation: string;
-  /** Grows with each digest of an incarnation and scope. */
+  /** Increases with each digest of an incarnation and scope. */
   readonly sequence: number;
   readonly availabilityZone: string;
 }
--- a/packages/kelpspar-decisions/src/fairness/enqueue_result.ts
+++ b/packages/kelpspar-decisions/src/fairness/enqueue_result.ts
@@ -1,12 +1,12 @@
-/** Names a waiting call for `FairQueue.remove`. */
+/** Identifies a queued call for `FairQueue.remove`. */
 export type QueueTicket = number;
 
-/** Whether a call waits now, or was refused at once. */
+/** Whether a call was queued or refused immediately. */
 export type EnqueueResult =
   | { readonly queued: true; readonly ticket: QueueTicket }
   | {
     readonly queued: false;
     readonly reason: "queue_full";
-    /** When to come back, jittered, milliseconds. */
+    /** Jittered delay before the caller should retry, milliseconds. */
     readonly retryAfterMilliseconds: number;
   };
--- a/packages/kelpspar-decisions/src/fairness/fair_queue.ts
+++ b/packages/kelpspar-decisions/src/fairness/fair_queue.ts
@@ -11,25 +11,25 @@
 import { DEFAULT_QUEUE_BOUNDS } from "./queue_bounds.ts";
 
 /**
- * A call costs at least this, runner-milliseconds: calls that cost nothing
- * would never move their account's virtual time, and so shut out the others.
+ * Minimum cost of a call, runner-milliseconds. Calls without cost would never
+ * advance their account's virtual time and would block the other accounts.
  */
 const SMALLEST_COST = 1;
 const DEFAULT_TOTAL_BYTES = 32 * 1024 * 1024;
-/** Memory a waiting call holds beside its input, bytes. */
+/** Memory that a queued call uses in addition to its input, bytes. */
 const BYTES_PER_ENTRY = 1_024;
 
-/** How a queue is bounded. */
+/** Options and limits of a queue. */
 export interface FairQueueOptions {
-  /** Jitters the waits that refused callers are told. */
+  /** Jitters the retry delay returned to refused callers. */
   readonly random: RandomSource;
-  /** The bounds of an account; default `DEFAULT_QUEUE_BOUNDS`. */
+  /** Limits of an account; default `DEFAULT_QUEUE_BOUNDS`. */
   readonly boundsOf?: (accountId: string) => QueueBounds;
-  /** Bytes that all accounts together may keep waiting; default 32 MiB. */
+  /** Maximum queued bytes of all accounts together; default 32 MiB. */
   readonly maximumTotalBytes?: number;
 }
 
-/** What waits for one client account. */
+/** Queued calls of one client account. */
 export interface AccountBacklog {
   readonly accountId: string;
   readonly requests: number;
@@ -37,12 +37,12 @@
 }
 
 /**
- * The queue in front of one service's concurrency. It shares the service
- * among client accounts by weight; inside an account the most urgent priority
- * goes first, then the earliest deadline. Over any time in which two accounts
- * wait throughout, what they were charged, each divided by its weight, differs
- * by at most the sum, over the two, of (largest estimate + 2 x calls running x
- * largest correction) / weight.
+ * Queue in front of one service's slots. It shares the service among client
+ * accounts by weight; within an account, the most urgent priority goes first,
+ * then the earliest deadline. Over any period in which two accounts wait
+ * throughout, the difference of their charged costs, each divided by its
+ * weight, is at most the sum, over the two, of (largest estimate + 2 x calls
+ * running x largest correction) / weight.
  *
  * Source: the brief, "The product": the largest customer's traffic must never
  * starve the rest or be starved by them.
@@ -71,12 +71,12 @@
     this.#maximumTotalBytes = options.maximumTotalBytes ?? DEFAULT_TOTAL_BYTES;
   }
 
-  /** Calls that wait. */
+  /** Number of queued calls. */
   get size(): number {
     return this.#entries.size;
   }
 
-  /** What waits, for each account that has calls waiting. */
+  /** Backlog of each account with queued calls. */
   backlogs(): AccountBacklog[] {
     return this.#schedule.waiting().map((account) => ({
       accountId: account.accountId,
@@ -86,22 +86,22 @@
   }
 
   /**
-   * Says how much cost is worked off in a millisecond: the calls that run at a
-   * time, by `SlotPace`. Only estimates of waits use it.
+   * Sets the cost processed per millisecond: the effective number of concurrent
+   * calls according to `SlotThroughput`. Used only for wait estimates.
    */
   setConcurrency(concurrency: number): void {
     this.#concurrency = concurrency > 0 ? concurrency : 1;
   }
 
   /**
-   * Sets the weight of each account, relative to the others. An account that
-   * is missing or has none gets `SMALLEST_WEIGHT` of the whole.
+   * Sets the relative weight of each account. An account that is missing or has
+   * no share gets `SMALLEST_WEIGHT` of the total.
    */
   setShares(shares: ReadonlyMap<string, number>): void {
     this.#schedule.setShares(shares);
   }
 
-  /** How long a new call would wait for its turn, milliseconds. */
+  /** Estimated wait of a new call, milliseconds. */
   estimateWait(accountId: string, priority: number): number {
     return this.#schedule.estimateWait(accountId, {
       priority: clampPriority(priority),
@@ -109,7 +109,7 @@
     });
   }
 
-  /** Lets a call wait, or refuses it when a bound is reached. */
+  /** Queues a call, or refuses it if a limit is reached. */
   enqueue(request: QueueRequest<Item>, now: number): EnqueueResult {
     const bounds = this.#boundsOf(request.accountId);
     const wait = this.estimateWait(request.accountId, request.priority);
@@ -123,17 +123,17 @@
     this.#totalBytes += entry.bytes + BYTES_PER_ENTRY;
     this.#expiry.push(entry);
     entry.account.add(entry);
-    this.#schedule.start(entry.account);
+    this.#schedule.activate(entry.account);
     return { queued: true, ticket: entry.ticket };
   }
 
-  /** Takes out the call whose turn it is and charges its account. */
+  /** Removes the next call and charges its account. */
   dequeue(now: number): DequeuedItem<Item> | undefined {
     this.#collectExpired(now);
     const entry = this.#schedule.next()?.first();
     if (entry === undefined) return undefined;
-    this.#schedule.serve(entry.account, entry.cost);
-    this.#takeOut(entry);
+    this.#schedule.recordServed(entry.account, entry.cost);
+    this.#removeEntry(entry);
     return {
       ticket: entry.ticket,
       accountId: entry.account.accountId,
@@ -144,28 +144,28 @@
   }
 
   /**
-   * Takes out the calls that can't finish in time any more or have waited too
-   * long, those that `dequeue` passed over included, so that their callers
-   * are told at once.
+   * Removes and returns the calls that can no longer finish in time or have
+   * waited too long, including those skipped by `dequeue`, so that their
+   * callers are answered immediately.
    */
-  expired(now: number): readonly ExpiredItem<Item>[] {
+  takeExpired(now: number): readonly ExpiredItem<Item>[] {
     this.#collectExpired(now);
     const expired = this.#expired;
     if (expired.length > 0) this.#expired = [];
     return expired;
   }
 
-  /** Takes out a call that was cancelled; false when it waits no more. */
+  /** Removes a cancelled call; returns false if it is no longer queued. */
   remove(ticket: QueueTicket): boolean {
     const entry = this.#entries.get(ticket);
     if (entry === undefined) return false;
-    this.#takeOut(entry);
+    this.#removeEntry(entry);
     return true;
   }
 
   /**
-   * Corrects what an account was charged, in runner-milliseconds: more as a
-   * call turns out to cost more, less (negative) when it cost less.
+   * Corrects the charge of an account, in runner-milliseconds: positive if a
+   * call costs more than charged, negative if it cost less.
    */
   charge(accountId: string, costDifference: number): void {
     if (costDifference === 0 || !Number.isFinite(costDifference)) return;
@@ -173,9 +173,9 @@
   }
 
   /**
-   * True when a bound of the account or of the queue is reached. One account
-   * may hold no more than what is free in the whole queue: however much the
-   * large ones send, room is left for one that has nothing waiting.
+   * True if a limit of the account or of the queue is reached. One account may
+   * hold no more than the free space of the whole queue: regardless of the load
+   * from large accounts, space remains for an account without queued calls.
    */
   #isFull(request: QueueRequest<Item>): boolean {
     const bounds = this.#boundsOf(request.accountId);
@@ -190,16 +190,18 @@
 
   #createEntry(request: QueueRequest<Item>, now: number): QueueEntry<Item> {
     const { accountId, deadlineAt, estimatedCost } = request;
-    const latest = deadlineAt - (request.minimumRemainingMilliseconds ?? 0);
-    const longest = now + this.#boundsOf(accountId).maximumWaitMilliseconds;
+    const latestUsefulStartAt = deadlineAt -
+      (request.minimumRemainingMilliseconds ?? 0);
+    const maximumWaitUntil = now +
+      this.#boundsOf(accountId).maximumWaitMilliseconds;
     return {
       ticket: this.#nextTicket++,
       account: this.#schedule.open(accountId),
       item: request.item,
       priority: clampPriority(request.priority),
       deadlineAt,
-      latestStartAt: Math.min(latest, longest),
-      waitsTooLong: longest < latest,
+      latestStartAt: Math.min(latestUsefulStartAt, maximumWaitUntil),
+      isLimitedByMaximumWait: maximumWaitUntil < latestUsefulStartAt,
       enqueuedAt: now,
       cost: Number.isFinite(estimatedCost)
         ? Math.max(SMALLEST_COST, estimatedCost)
@@ -214,24 +216,24 @@
     for (;;) {
       const entry = this.#expiry.peek();
       if (entry === undefined || entry.latestStartAt > now) return;
-      this.#takeOut(entry);
+      this.#removeEntry(entry);
       this.#expired.push({
         ticket: entry.ticket,
         accountId: entry.account.accountId,
         item: entry.item,
-        reason: entry.waitsTooLong
+        reason: entry.isLimitedByMaximumWait
           ? "waited_too_long"
           : "cannot_finish_in_time",
       });
     }
   }
 
-  #takeOut(entry: QueueEntry<Item>): void {
+  #removeEntry(entry: QueueEntry<Item>): void {
     this.#entries.delete(entry.ticket);
     this.#totalBytes -= entry.bytes + BYTES_PER_ENTRY;
     this.#expiry.remove(entry);
     entry.account.remove(entry);
-    this.#schedule.stop(entry.account);
+    this.#schedule.deactivate(entry.account);
   }
 }
 
--- a/packages/kelpspar-decisions/src/fairness/fleet_shares.ts
+++ b/packages/kelpspar-decisions/src/fairness/fleet_shares.ts
@@ -3,58 +3,58 @@
 import { fillByWeight } from "./water_filling.ts";
 
 const DEFAULT_FLOOR_SHARE = 0.1;
-/** Keeps rounding errors from costing a whole slot. */
-const ROUNDING = 1e-9;
+/** Prevents rounding errors from adding a whole slot. */
+const ROUNDING_TOLERANCE = 1e-9;
 
-/** What a daemon knows of one service's use by the fleet. */
+/** A daemon's view of one service's use by the fleet. */
 export interface FleetSharesInput {
-  /** Calls that the service runs at a time, for all daemons together. */
+  /** Concurrent calls of the service across all daemons. */
   readonly totalConcurrency: number;
-  /** Daemons known to live, this one included, silent ones too. */
+  /** Number of live daemons, including this one and silent ones. */
   readonly liveDaemons: number;
-  /** What this daemon's accounts ask of the service. */
+  /** Demand of this daemon's accounts for the service. */
   readonly own: readonly AccountDemand[];
-  /** What the peers heard lately ask of it, merged, and how many they are. */
+  /** Merged demand and number of the peers with recent digests. */
   readonly peers: {
     readonly daemons: number;
     readonly accounts: readonly AccountDemand[];
   };
-  /** The share of each account in the fleet. */
+  /** Share of each account in the fleet. */
   readonly shares: ReadonlyMap<string, number>;
   /**
-   * Part of the concurrency that is divided equally, so that a daemon has
-   * room for a first call before the others hear of it; default 0.1.
+   * Part of the concurrency that is divided equally, so that a daemon can run a
+   * first call before the others receive its demand; default 0.1.
    */
   readonly floorShare?: number;
 }
 
-/** One daemon's part of one service. */
+/** One daemon's slice of one service. */
 export interface FleetShares {
-  /** Calls this daemon may run at a time; `exactConcurrency` rounded up. */
+  /** Concurrent calls allowed at this daemon; `exactConcurrency` rounded up. */
   readonly concurrency: number;
-  /** Adds up to `totalConcurrency` over daemons that see the same. */
+  /** Sums to `totalConcurrency` over daemons with the same view. */
   readonly exactConcurrency: number;
-  /** The weight of each account in this daemon's queue. */
+  /** Weight of each account in this daemon's queue. */
   readonly weights: ReadonlyMap<string, number>;
 }
 
 /**
- * Works out one daemon's slice of a service and its local weights, so that
- * shares hold for the fleet and not for each daemon: the fleet's concurrency
- * is shared among accounts by weight and demand, and each account's part among
- * daemons by where its calls are.
+ * Computes one daemon's slice of a service and its local weights, so that
+ * shares hold for the fleet and not for each daemon: the fleet's concurrency is
+ * shared among accounts by weight and demand, and each account's part among
+ * daemons according to where its calls are.
  *
- * Daemons with the same view take together at most `totalConcurrency` and,
- * by the rounding up, less than one slot more for each daemon. A live daemon
- * that is silent is left an equal slice, which is also what it takes when it
- * hears nobody, so that the sum holds too while the fleet is split in two.
- * While one side hears the other and is not heard, the sum can exceed the
- * total by the equal slices of the side that hears nothing.
+ * Daemons with the same view use at most `totalConcurrency` in total, plus less
+ * than one slot per daemon due to rounding up. A live daemon that is silent is
+ * allotted an equal slice, which is also the slice it takes when it receives no
+ * digests, so that the total also holds during a network partition. If one side
+ * receives the other's digests but not vice versa, the sum can exceed the total
+ * by the equal slices of the side that receives nothing.
  */
 export function computeFleetShares(input: FleetSharesInput): FleetShares {
-  const heard = 1 + input.peers.daemons;
-  const live = Math.max(input.liveDaemons, heard);
-  const pool = input.totalConcurrency * heard / live;
+  const reportingDaemons = 1 + input.peers.daemons;
+  const live = Math.max(input.liveDaemons, reportingDaemons);
+  const pool = input.totalConcurrency * reportingDaemons / live;
   const weights = normalizeWeights(input.shares);
   const fleet = addDemands(input.own, input.peers.accounts);
   const slots = fillByWeight([...fleet.values()], {
@@ -62,16 +62,17 @@
     weightOf: (accountId) => weights.get(accountId) ?? SMALLEST_WEIGHT,
   });
   let unused = pool;
-  for (const given of slots.values()) unused -= given;
-  let byDemand = unused / heard;
+  for (const allocated of slots.values()) unused -= allocated;
+  let byDemand = unused / reportingDaemons;
   for (const { accountId, demand } of input.own) {
-    const asked = fleet.get(accountId)?.demand ?? 0;
-    if (asked > 0) byDemand += (slots.get(accountId) ?? 0) * demand / asked;
+    const total = fleet.get(accountId)?.demand ?? 0;
+    if (total > 0) byDemand += (slots.get(accountId) ?? 0) * demand / total;
   }
   const floorShare = input.floorShare ?? DEFAULT_FLOOR_SHARE;
-  const exact = floorShare * pool / heard + (1 - floorShare) * byDemand;
+  const exact = floorShare * pool / reportingDaemons +
+    (1 - floorShare) * byDemand;
   return {
-    concurrency: Math.max(0, Math.ceil(exact - ROUNDING)),
+    concurrency: Math.max(0, Math.ceil(exact - ROUNDING_TOLERANCE)),
     exactConcurrency: exact,
     weights: localWeights(input.own, { weights, fleet, live }),
   };
@@ -90,8 +91,8 @@
 }
 
 /**
- * Share x (demand here / demand in the fleet). An account without calls here
- * gets an equal part, for the calls it may send before the next digest.
+ * Share x (local demand / fleet demand). An account without local calls gets an
+ * equal part, for calls it may send before the next digest.
  */
 function localWeights(
   own: readonly AccountDemand[],
@@ -106,9 +107,9 @@
     local.set(accountId, weight / options.live);
   }
   for (const { accountId, demand } of own) {
-    const asked = options.fleet.get(accountId)?.demand ?? 0;
+    const total = options.fleet.get(accountId)?.demand ?? 0;
     const weight = options.weights.get(accountId) ?? SMALLEST_WEIGHT;
-    if (demand > 0) local.set(accountId, weight * demand / asked);
+    if (demand > 0) local.set(accountId, weight * demand / total);
   }
   return local;
 }
--- a/packages/kelpspar-decisions/src/fairness/fleet_view.ts
+++ b/packages/kelpspar-decisions/src/fairness/fleet_view.ts
@@ -3,16 +3,16 @@
 
 const DEFAULT_SILENT_AFTER_MILLISECONDS = 3_000;
 
-/** Whose digests a view keeps, and for how long. */
+/** Options of `FleetView`. */
 export interface FleetViewOptions {
   readonly incarnation: string;
   readonly availabilityZone: string;
   /**
-   * True when zones tell each other merged digests. Digests of single daemons
-   * of other zones are then left out, and counted nowhere twice.
+   * True if zones exchange merged digests. Digests of single daemons in other
+   * zones are then ignored, so that no demand is counted twice.
    */
   readonly usesZoneDigests?: boolean;
-  /** A digest older than this is left out; default 3,000 milliseconds. */
+  /** Maximum age of a digest; default 3,000 milliseconds. */
   readonly silentAfterMilliseconds?: number;
 }
 
@@ -21,7 +21,7 @@
   readonly receivedAt: number;
 }
 
-/** The last digest of each peer, as one daemon received them. */
+/** Last digest that one daemon received from each peer. */
 export class FleetView {
   readonly #incarnation: string;
   readonly #availabilityZone: string;
@@ -37,9 +37,9 @@
       DEFAULT_SILENT_AFTER_MILLISECONDS;
   }
 
-  /** Takes a digest; false when it is late, repeated or not for this view. */
+  /** Applies a digest; returns false if it is late, repeated or irrelevant. */
   accept(digest: DemandDigest, now: number): boolean {
-    if (!this.#concerns(digest)) return false;
+    if (!this.#isRelevant(digest)) return false;
     const key = digest.scope === "zone"
       ? `zone/${digest.availabilityZone}`
       : `daemon/${digest.incarnation}`;
@@ -52,12 +52,12 @@
     return true;
   }
 
-  /** Forgets a daemon that left the fleet. */
-  forget(incarnation: string): void {
+  /** Removes a daemon that left the fleet. */
+  remove(incarnation: string): void {
     this.#received.delete(`daemon/${incarnation}`);
   }
 
-  /** The demand of the peers that were heard lately, merged. */
+  /** Merged demand of the peers with recent digests. */
   peers(now: number): DemandSummary {
     let summary = EMPTY_DEMAND;
     for (const [key, { digest, receivedAt }] of this.#received) {
@@ -68,7 +68,7 @@
     return summary;
   }
 
-  /** The demand of this daemon's zone, itself included, to tell the others. */
+  /** Merged demand of this daemon's zone including itself, for other zones. */
   zone(own: DemandSummary, now: number): DemandSummary {
     let summary = own;
     for (const { digest, receivedAt } of this.#received.values()) {
@@ -80,7 +80,7 @@
     return summary;
   }
 
-  #concerns(digest: DemandDigest): boolean {
+  #isRelevant(digest: DemandDigest): boolean {
     if (digest.incarnation === this.#incarnation) return false;
     const isOwnZone = digest.availabilityZone === this.#availabilityZone;
     if (!this.#usesZoneDigests) return digest.scope === "daemon";
--- a/packages/kelpspar-decisions/src/fairness/indexed_heap.ts
+++ b/packages/kelpspar-decisions/src/fairness/indexed_heap.ts
@@ -1,18 +1,18 @@
-/** How a heap orders its items and where it keeps their places. */
+/** How a heap orders its items and stores their places (array indexes). */
 export interface IndexedHeapOptions<Item> {
-  /** True when `first` comes out before `second`. */
+  /** True if `first` is removed before `second`. */
   readonly before: (first: Item, second: Item) => boolean;
-  /** Reads the place that `setPlace` stored. */
+  /** Reads the place stored by `setPlace`. */
   readonly placeOf: (item: Item) => number;
   /** Stores an item's place, or -1 when it leaves the heap. */
   readonly setPlace: (item: Item, place: number) => void;
 }
 
-const NO_PLACE = -1;
+const NOT_IN_HEAP = -1;
 
 /**
- * A binary heap whose items know their place, so that any of them can be
- * removed or moved in O(log n) without a search and without an allocation.
+ * Binary heap whose items store their place, so that any item can be removed or
+ * moved in O(log n) without a search or an allocation.
  */
 export class IndexedHeap<Item> {
   readonly #items: Item[] = [];
@@ -26,16 +26,16 @@
     return this.#items.length;
   }
 
-  /** The item that comes out first. */
+  /** First item. */
   peek(): Item | undefined {
     return this.#items[0];
   }
 
   has(item: Item): boolean {
-    return this.#options.placeOf(item) !== NO_PLACE;
+    return this.#options.placeOf(item) !== NOT_IN_HEAP;
   }
 
-  /** The items in no particular order. */
+  /** Items in no particular order. */
   values(): readonly Item[] {
     return this.#items;
   }
@@ -44,20 +44,20 @@
     this.#siftUp(item, this.#items.length);
   }
 
-  /** Takes an item out, wherever it stands. */
+  /** Removes an item at any position. */
   remove(item: Item): void {
     const place = this.#options.placeOf(item);
-    if (place === NO_PLACE) return;
+    if (place === NOT_IN_HEAP) return;
     const last = this.#items.pop();
-    this.#options.setPlace(item, NO_PLACE);
+    this.#options.setPlace(item, NOT_IN_HEAP);
     if (last === undefined || last === item) return;
-    this.#settle(last, place);
+    this.#restoreOrder(last, place);
   }
 
-  /** Moves an item whose order changed to its new place. */
+  /** Moves an item whose order changed to its new position. */
   update(item: Item): void {
     const place = this.#options.placeOf(item);
-    if (place !== NO_PLACE) this.#settle(item, place);
+    if (place !== NOT_IN_HEAP) this.#restoreOrder(item, place);
   }
 
   /** Restores the order after many items changed, in O(n). */
@@ -68,22 +68,22 @@
     }
   }
 
-  #settle(item: Item, place: number): void {
+  #restoreOrder(item: Item, place: number): void {
     const parent = this.#items[(place - 1) >> 1];
-    const rises = place > 0 && parent !== undefined &&
+    const movesUp = place > 0 && parent !== undefined &&
       this.#options.before(item, parent);
-    if (rises) this.#siftUp(item, place);
+    if (movesUp) this.#siftUp(item, place);
     else this.#siftDown(item, place);
   }
 
   #siftUp(item: Item, from: number): void {
     let place = from;
     while (place > 0) {
-      const above = (place - 1) >> 1;
-      const parent = this.#items[above];
+      const parentIndex = (place - 1) >> 1;
+      const parent = this.#items[parentIndex];
       if (parent === undefined || !this.#options.before(item, parent)) break;
       this.#put(parent, place);
-      place = above;
+      place = parentIndex;
     }
     this.#put(item, place);
   }
@@ -91,11 +91,11 @@
   #siftDown(item: Item, from: number): void {
     let place = from;
     for (;;) {
-      const below = this.#firstChild(place);
-      const child = this.#items[below];
+      const childIndex = this.#firstChild(place);
+      const child = this.#items[childIndex];
       if (child === undefined || !this.#options.before(child, item)) break;
       this.#put(child, place);
-      place = below;
+      place = childIndex;
     }
     this.#put(item, place);
   }
--- a/packages/kelpspar-decisions/src/fairness/merge_demand.ts
+++ b/packages/kelpspar-decisions/src/fairness/merge_demand.ts
@@ -4,13 +4,14 @@
   ServiceDemand,
 } from "./demand_digest.ts";
 
-/** The summary of no daemon. */
+/** Empty summary. */
 export const EMPTY_DEMAND: DemandSummary = { daemons: 0, services: [] };
 
 /**
- * Merges the demand of two disjoint groups of daemons. Associative and
- * commutative, so that digests may be merged by zone and in any order: demands
- * add up, and of two views of a service's capacity the larger stands.
+ * Merges the demand of two disjoint groups of daemons. The operation is
+ * associative and commutative, so that digests may be merged by zone and in any
+ * order. Demands are added; of two views of a service's capacity, the larger
+ * one is kept.
  */
 export function mergeDemand(
   first: DemandSummary,
@@ -25,7 +26,7 @@
   };
 }
 
-/** What a summary says of one service. */
+/** Demand for one service in a summary. */
 export function findServiceDemand(
   summary: DemandSummary,
   serviceId: string,
@@ -75,6 +76,8 @@
     const known = rows.get(id);
     rows.set(id, known === undefined ? row : options.combine(known, row));
   }
-  return [...rows.entries()].sort(([one], [other]) => one < other ? -1 : 1)
+  return [...rows.entries()].sort(([firstId], [secondId]) =>
+    firstId < secondId ? -1 : 1
+  )
     .map(([, row]) => row);
 }
--- a/packages/kelpspar-decisions/src/fairness/mod.ts
+++ b/packages/kelpspar-decisions/src/fairness/mod.ts
@@ -28,5 +28,5 @@
   findServiceDemand,
   mergeDemand,
 } from "./merge_demand.ts";
-export { SlotPace } from "./slot_pace.ts";
+export { SlotThroughput } from "./slot_throughput.ts";
 export { DEFAULT_QUEUE_BOUNDS } from "./queue_bounds.ts";
--- a/packages/kelpspar-decisions/src/fairness/queue_bounds.ts
+++ b/packages/kelpspar-decisions/src/fairness/queue_bounds.ts
@@ -1,12 +1,12 @@
-/** What one client account may keep waiting in one queue. */
+/** Limits of one client account in one queue. */
 export interface QueueBounds {
   readonly maximumRequests: number;
   readonly maximumBytes: number;
-  /** The longest a call may wait, milliseconds. */
+  /** Maximum wait of a call, milliseconds. */
   readonly maximumWaitMilliseconds: number;
 }
 
-/** The bounds of an account that states none. */
+/** Default limits of an account. */
 export const DEFAULT_QUEUE_BOUNDS: QueueBounds = {
   maximumRequests: 256,
   maximumBytes: 16 * 1024 * 1024,
--- a/packages/kelpspar-decisions/src/fairness/queue_request.ts
+++ b/packages/kelpspar-decisions/src/fairness/queue_request.ts
@@ -1,18 +1,19 @@
-/** A call of a stage that asks for a slot of a service. */
+/** A stage call that requests a slot of a service. */
 export interface QueueRequest<Item> {
   readonly accountId: string;
-  /** 0 is the most urgent, 9 the least. */
+  /** From 0, the most urgent, to 9. */
   readonly priority: number;
-  /** When the caller's deadline passes, monotonic milliseconds. */
+  /** Deadline of the caller, monotonic milliseconds. */
   readonly deadlineAt: number;
   /**
-   * The least time from the start of this call to the end of the request,
-   * milliseconds; default 0. Past `deadlineAt` less this, starting is no use.
+   * Minimum time from the start of this call to the end of the request,
+   * milliseconds; default 0. Starting later than `deadlineAt` minus this time
+   * is useless.
    */
   readonly minimumRemainingMilliseconds?: number;
-  /** What the call is expected to cost, runner-milliseconds. */
+  /** Estimated cost of the call, runner-milliseconds. */
   readonly estimatedCost: number;
-  /** What the call holds in memory while it waits. */
+  /** Memory used by the call while it is queued, bytes. */
   readonly bytes: number;
   readonly item: Item;
 }
--- a/packages/kelpspar-decisions/src/fairness/queued_item.ts
+++ b/packages/kelpspar-decisions/src/fairness/queued_item.ts
@@ -1,16 +1,16 @@
 import type { QueueTicket } from "./enqueue_result.ts";
 
-/** A call that left the queue because its turn came. */
+/** A call that was dequeued to run. */
 export interface DequeuedItem<Item> {
   readonly ticket: QueueTicket;
   readonly accountId: string;
   readonly item: Item;
-  /** What the account was charged, runner-milliseconds: see `CallCharge`. */
+  /** Cost charged to the account, runner-milliseconds; see `CallCharge`. */
   readonly chargedCost: number;
   readonly waitedMilliseconds: number;
 }
 
-/** A call that left the queue because waiting on is no use. */
+/** A call that was removed because further waiting is useless. */
 export interface ExpiredItem<Item> {
   readonly ticket: QueueTicket;
   readonly accountId: string;
--- a/packages/kelpspar-decisions/src/fairness/water_filling.ts
+++ b/packages/kelpspar-decisions/src/fairness/water_filling.ts
@@ -1,8 +1,8 @@
 import type { AccountDemand } from "./demand_digest.ts";
 
 /**
- * Shares `total` slots among accounts by weight, none getting more than it
- * asks for (weighted max-min fairness): what an account leaves unused goes to
+ * Shares `total` slots among accounts by weight, giving none more than its
+ * demand (weighted max-min fairness): slots that an account leaves unused go to
  * the others by their weights. Returns the slots of each account.
  */
 export function fillByWeight(
@@ -16,14 +16,14 @@
     const weight = options.weightOf(accountId);
     return { accountId, demand, weight, level: demand / weight };
   }).sort((first, second) => first.level - second.level);
-  let left = options.total;
+  let remaining = options.total;
   let weights = rows.reduce((sum, row) => sum + row.weight, 0);
   const slots = new Map<string, number>();
   for (const row of rows) {
-    const fair = left * row.weight / weights;
-    const given = Math.max(0, Math.min(row.demand, fair));
-    slots.set(row.accountId, given);
-    left -= given;
+    const fairSlots = remaining * row.weight / weights;
+    const allocated = Math.max(0, Math.min(row.demand, fairSlots));
+    slots.set(row.accountId, allocated);
+    remaining -= allocated;
     weights -= row.weight;
   }
   return slots;
