--- a/packages/kelpspar-daemon/src/scheduling/fair_scheduler.ts
+++ b/packages/kelpspar-daemon/src/scheduling/fair_scheduler.ts
@@ -158,7 +158,7 @@
       // With others waiting, a slot that is given to a call which will most
       // likely be late is denied to one that would be in time.
       minimumRemainingMilliseconds: gate.isContended
-        ? times.likely
+        ? times.estimatedP95
         : times.minimum,
       estimatedCost: this.#waits.costOf(request),
       bytes: request.bytes,
--- a/packages/kelpspar-daemon/src/scheduling/wait_estimator.ts
+++ b/packages/kelpspar-daemon/src/scheduling/wait_estimator.ts
@@ -58,8 +58,8 @@
     call: { readonly service: string; readonly accountId: string },
   ): number {
     const { expected } = this.#options;
-    if (expected.callsOf(call.service) === 0) return 0;
-    return expected.waitOf({
+    if (expected.countCalls(call.service) === 0) return 0;
+    return expected.estimateWait({
       serviceId: call.service,
       accountId: call.accountId,
       concurrency: gate.concurrency,
@@ -77,7 +77,7 @@
     const { expected, configuration } = this.#options;
     const accounts = configuration.accounts();
     const shareOf = (id: string): number => accounts.get(id)?.share ?? 0;
-    const contenders = new Set(expected.accountsOf(call.service));
+    const contenders = new Set(expected.listAccounts(call.service));
     for (const { accountId } of gate.queue.backlogs()) {
       contenders.add(accountId);
     }
--- a/packages/kelpspar-decisions/src/__tests__/unit/admission_decisions_test.ts
+++ b/packages/kelpspar-decisions/src/__tests__/unit/admission_decisions_test.ts
@@ -72,7 +72,7 @@
 const UNEVEN = [...Array.from({ length: 90 }, () => 100), 400, 400, 400]
   .concat(Array.from({ length: 10 }, () => 800));
 
-test("with no wait the hopeless are refused, with a wait the unlikely", () => {
+test("without a wait only hopeless requests are refused, with a wait unlikely ones too", () => {
   const { decide } = setUp(UNEVEN);
   const waiting = [{ stageId: "s", waitMilliseconds: 100 }];
   expect(decide({ remainingMilliseconds: 100 }).run).toEqual(true);
@@ -100,10 +100,10 @@
   );
 });
 
-test("an estimate that one slow minute made wrong heals", () => {
-  // Symptom: a pipeline refuses everything while its endpoints are idle.
-  // Sequence: its stage hangs for a while, then is fast again.
-  // Cause: what is refused is not observed, so the estimate stays.
+test("an estimate distorted by a slow minute recovers", () => {
+  // Guards against a pipeline that refuses everything while its endpoints are
+  // idle: its stage hangs for a while and is fast again, but refused requests
+  // are not observed, so the estimate never changes.
   const { decide, estimator } = setUp([5_000, 5_000, 5_000]);
   let firstRun: number | undefined;
   for (let now = 0; now < 61_000; now += 500) {
@@ -114,11 +114,11 @@
     firstRun ??= now;
     estimator.observe("p", "s", { milliseconds: 100, now });
   }
-  // By a probe, before the slow minute is forgotten.
+  // A probe corrects it before the slow samples leave the window.
   expect(firstRun).toEqual(30_000);
 });
 
-test("a stage leaves the later ones the time they are likely to need", () => {
+test("a stage budget reserves the likely time of later stages", () => {
   const stage = (p50: number, p95: number): StageTimes => {
     return { samples: 9, minimum: p50, p50, p95, p99: p95 };
   };
--- a/packages/kelpspar-decisions/src/__tests__/unit/admission_expected_test.ts
+++ b/packages/kelpspar-decisions/src/__tests__/unit/admission_expected_test.ts
@@ -12,38 +12,38 @@
 };
 
 function expectMany(calls: ExpectedCalls, accountId: string): () => void {
-  const takeBacks = Array.from(
+  const removals = Array.from(
     { length: 10 },
     () => calls.add({ serviceId: "engine", accountId, cost: 100 }),
   );
-  return () => takeBacks.forEach((takeBack) => takeBack());
+  return () => removals.forEach((remove) => remove());
 }
 
-test("expected calls of an account add a wait at its own part", () => {
+test("expected calls of an account add a wait at its own share", () => {
   const calls = new ExpectedCalls();
   expectMany(calls, "small");
-  expect(calls.waitOf(OPTIONS)).toEqual(1_000);
-  expect(calls.waitOf({ ...OPTIONS, accountId: "other" })).toEqual(0);
+  expect(calls.estimateWait(OPTIONS)).toEqual(1_000);
+  expect(calls.estimateWait({ ...OPTIONS, accountId: "other" })).toEqual(0);
 });
 
-test("while nothing waits, all expected calls together bound the wait", () => {
-  // Symptom: calls of small accounts are refused at four fifths of capacity.
-  // Sequence: ten calls of a small account are under way, none waits.
-  // Cause: their wait was worked out at the small share alone.
+test("with empty queues, all expected calls together limit the wait", () => {
+  // Guards against refusing calls of small accounts at 80% of capacity: ten
+  // calls of a small account are expected, none is queued, and their wait was
+  // estimated at the small share alone.
   const calls = new ExpectedCalls();
   expectMany(calls, "small");
   expectMany(calls, "large");
   const idle = { ...OPTIONS, isContended: false };
-  expect(calls.waitOf(idle)).toEqual(200);
+  expect(calls.estimateWait(idle)).toEqual(200);
 });
 
-test("a call counts until it is taken back, once, and free slots take some", () => {
+test("a call counts until its removal, which is idempotent, and free slots absorb calls", () => {
   const calls = new ExpectedCalls();
-  const takeBack = expectMany(calls, "small");
-  expect(calls.waitOf({ ...OPTIONS, freeSlots: 5 })).toEqual(500);
-  expect(calls.waitOf({ ...OPTIONS, freeSlots: 10 })).toEqual(0);
-  takeBack();
-  takeBack();
-  expect(calls.callsOf("engine")).toEqual(0);
-  expect([...calls.accountsOf("engine")]).toEqual([]);
+  const remove = expectMany(calls, "small");
+  expect(calls.estimateWait({ ...OPTIONS, freeSlots: 5 })).toEqual(500);
+  expect(calls.estimateWait({ ...OPTIONS, freeSlots: 10 })).toEqual(0);
+  remove();
+  remove();
+  expect(calls.countCalls("engine")).toEqual(0);
+  expect([...calls.listAccounts("engine")]).toEqual([]);
 });
--- a/packages/kelpspar-decisions/src/admission/admission.ts
+++ b/packages/kelpspar-decisions/src/admission/admission.ts
@@ -7,34 +7,36 @@
 import { ProbeGate } from "./probe_gate.ts";
 
 /**
- * Waits are estimated from mean costs, and long ones are off by some
- * hundredths; without a margin one answer in ten is then a little late.
+ * Safety factor on estimated waits. They are derived from mean costs, and long
+ * waits are off by a few percent; without a margin one answer in ten is
+ * slightly late.
  */
 const WAIT_MARGIN = 1.1;
 
-/** What admission decides by. */
+/** Options of `Admission`. */
 export interface AdmissionOptions {
   readonly estimator: StageTimeEstimator;
-  /** Jitters the waits that refused callers are told. */
+  /** Jitters the retry delay returned to refused callers. */
   readonly random: RandomSource;
   readonly probes?: ProbeGateOptions;
 }
 
 /**
- * Refuses early what would miss its deadline, so that under overload the
- * endpoints work on answers that arrive in time.
+ * Admission control: refuses requests early that would miss their deadline, so
+ * that under overload endpoints work only on answers that arrive in time.
  *
- * With no wait ahead only a request that is past hope is refused, since
- * running it takes nothing from others. With a wait ahead, a slot given to one
- * request is denied to another: then it must be likely to finish in time, also
- * when stages of it have run. With an even chance taken as enough there, the
- * queue stays filled with requests of which half come too late.
+ * With no wait ahead, a request is refused only if even the fastest recent run
+ * would be too slow, because running it takes no slot from other requests. With
+ * a wait ahead, each slot given to one request is denied to another, so a
+ * request must be likely to finish in time, even if some of its stages have
+ * already run. Accepting an even chance there would keep the queue filled with
+ * requests half of which finish too late.
  */
 export class Admission {
   readonly #estimator: StageTimeEstimator;
   readonly #random: RandomSource;
   readonly #probeOptions: ProbeGateOptions;
-  readonly #gates = new Map<string, ProbeGate>();
+  readonly #probeGates = new Map<string, ProbeGate>();
 
   constructor(options: AdmissionOptions) {
     this.#estimator = options.estimator;
@@ -53,10 +55,10 @@
       (sum, stage) => sum + stage.waitMilliseconds,
       0,
     );
-    const work = wait > 0 ? times.likely : times.minimum;
+    const work = wait > 0 ? times.estimatedP95 : times.minimum;
     const isProbe = request.isProbe ?? false;
     if (remaining > 0 && remaining >= wait + work) {
-      if (request.point === "arrival") this.#gate(request).recordRun();
+      if (request.point === "arrival") this.#probeGateOf(request).recordRun();
       return { run: true, isProbe };
     }
     const startsInTime = remaining > wait;
@@ -68,7 +70,8 @@
       reason: remaining > 0 && remaining >= work
         ? "overloaded"
         : "cannot_finish_in_time",
-      // Not before what waits now is done, or those refused come back at once.
+      // A shorter delay would bring refused callers back before the current
+      // queue has drained.
       retryAfterMilliseconds: comebackMilliseconds(
         Math.max(wait, wait + work - remaining),
         { random: this.#random },
@@ -77,19 +80,19 @@
   }
 
   /**
-   * Only a repeatable request is a probe, and only at its arrival: what may
-   * run just once must not be spent on trying out an estimate.
+   * Only a repeatable request can be a probe, and only on arrival: a request
+   * that may run only once must not be spent on testing an estimate.
    */
   #mayProbe(request: AdmissionRequest, now: number): boolean {
     if (!request.repeatable || request.point !== "arrival") return false;
-    return this.#gate(request).tryPass(now);
+    return this.#probeGateOf(request).tryProbe(now);
   }
 
-  #gate(request: AdmissionRequest): ProbeGate {
-    const known = this.#gates.get(request.pipelineId);
+  #probeGateOf(request: AdmissionRequest): ProbeGate {
+    const known = this.#probeGates.get(request.pipelineId);
     if (known !== undefined) return known;
     const gate = new ProbeGate(this.#probeOptions);
-    this.#gates.set(request.pipelineId, gate);
+    this.#probeGates.set(request.pipelineId, gate);
     return gate;
   }
 }
--- a/packages/kelpspar-decisions/src/admission/admission_decision.ts
+++ b/packages/kelpspar-decisions/src/admission/admission_decision.ts
@@ -1,16 +1,21 @@
 /** Why a request is refused. */
 export type RefusalReason = "cannot_finish_in_time" | "overloaded";
 
-/** Whether a request goes on now, or is refused at once; never held back. */
+/**
+ * Whether a request proceeds now or is refused immediately; admission never
+ * delays a request.
+ */
 export type AdmissionDecision =
   | {
     readonly run: true;
-    /** True for one let through against the estimate, to check it. */
+    /**
+     * True for a request admitted against the estimate in order to verify it.
+     */
     readonly isProbe: boolean;
   }
   | {
     readonly run: false;
     readonly reason: RefusalReason;
-    /** When to come back, jittered, milliseconds. */
+    /** Jittered delay before the caller should retry, milliseconds. */
     readonly retryAfterMilliseconds: number;
   };
--- a/packages/kelpspar-decisions/src/admission/deadline_budget.ts
+++ b/packages/kelpspar-decisions/src/admission/deadline_budget.ts
@@ -1,30 +1,31 @@
 import type { StageTimes } from "./stage_times.ts";
 import { addStageTimes } from "./stage_times.ts";
 
-/** What a stage's budget is worked out from. */
+/** Inputs of `stageBudget`. */
 export interface DeadlineBudgetOptions {
-  /** The stage's own times; undefined when it did not run lately. */
+  /** Observed times of the stage itself; undefined without recent runs. */
   readonly own: StageTimes | undefined;
-  /** Those of the stages after it. */
+  /** Observed times of the stages after it. */
   readonly later: readonly (StageTimes | undefined)[];
 }
 
 /**
- * How long one stage may take, all its attempts together, milliseconds: what
- * remains less the time that the stages after it are likely to need. When too
- * little remains for that, each stage gets its part of it. Without a budget, a
- * stage that hangs spends the whole deadline, and the request fails although
- * another endpoint would have answered; one sees it as deadlines that pass in
- * an early stage.
+ * Time budget of one stage across all its attempts, milliseconds: the remaining
+ * time minus the time that later stages are likely to need. If the remaining
+ * time is too short for that, it is divided in proportion.
+ *
+ * Without a budget, a stage that hangs would spend the whole deadline, and the
+ * request would fail although another endpoint could have answered. The symptom
+ * is deadlines that expire in an early stage.
  */
 export function stageBudget(
   remainingMilliseconds: number,
   options: DeadlineBudgetOptions,
 ): number {
   const remaining = Math.max(0, remainingMilliseconds);
-  const reserved = addStageTimes(options.later).likely;
+  const reserved = addStageTimes(options.later).estimatedP95;
   const own = options.own?.p95 ?? reserved;
-  const all = own + reserved;
-  const part = all > 0 ? remaining * own / all : remaining;
+  const total = own + reserved;
+  const part = total > 0 ? remaining * own / total : remaining;
   return Math.max(part, remaining - reserved);
 }
--- a/packages/kelpspar-decisions/src/admission/expected_calls.ts
+++ b/packages/kelpspar-decisions/src/admission/expected_calls.ts
@@ -1,22 +1,22 @@
-/** A call of an admitted request that has not come to its queue yet. */
+/** A future call of an admitted request that is not in a queue yet. */
 export interface ExpectedCall {
   readonly serviceId: string;
   readonly accountId: string;
-  /** What it is expected to cost, runner-milliseconds. */
+  /** Estimated cost, runner-milliseconds. */
   readonly cost: number;
 }
 
-/** The service whose expected calls are weighed. */
+/** Inputs of `ExpectedCalls.estimateWait`. */
 export interface ExpectedWaitOptions {
   readonly serviceId: string;
   readonly accountId: string;
-  /** Cost that the service works off in a millisecond. */
+  /** Cost that the service processes per millisecond. */
   readonly concurrency: number;
-  /** Slots that are free now. */
+  /** Currently free slots. */
   readonly freeSlots: number;
-  /** The account's part of the accounts that contend, above 0 to 1. */
+  /** Share of the account among the contending accounts, in (0, 1]. */
   readonly part: number;
-  /** True when calls wait before the service already. */
+  /** True if calls are already queued for the service. */
   readonly isContended: boolean;
 }
 
@@ -26,69 +26,81 @@
 }
 
 /**
- * Work that admitted requests will bring to later stages. What goes wrong
- * without it: requests in their first stages are in no later queue yet, so an
- * arriving one is told that the last stage is free while a second's worth of
- * work is on its way there; one sees requests that are given up for their
- * deadline after all but the last stage was run for them.
+ * Tracks the work that admitted requests will bring to later stages.
+ *
+ * Requests in their first stages are not in a later queue yet. Without this
+ * tracking, a new request would see the last stage as free while a second of
+ * work is on its way there. The symptom is requests that are abandoned at their
+ * deadline after all but the last stage has run.
  */
 export class ExpectedCalls {
   readonly #services = new Map<string, ServiceTally>();
 
-  /** Adds a call; returns what takes it back, once it queues or never will. */
+  /**
+   * Adds a call. Returns a function that removes it once it is queued or will
+   * never be queued.
+   */
   add(call: ExpectedCall): () => void {
-    const service = this.#open(call.serviceId);
+    const service = this.#getOrCreateTally(call.serviceId);
     service.calls++;
-    this.#change(service, call, call.cost);
-    let isTakenBack = false;
+    this.#adjustCost(service, call, call.cost);
+    let isRemoved = false;
     return () => {
-      if (isTakenBack) return;
-      isTakenBack = true;
+      if (isRemoved) return;
+      isRemoved = true;
       service.calls--;
-      this.#change(service, call, -call.cost);
+      this.#adjustCost(service, call, -call.cost);
     };
   }
 
-  /** Calls expected at a service. */
-  callsOf(serviceId: string): number {
+  /** Number of calls expected at a service. */
+  countCalls(serviceId: string): number {
     return this.#services.get(serviceId)?.calls ?? 0;
   }
 
-  /** Accounts of which calls are expected at a service. */
-  accountsOf(serviceId: string): Iterable<string> {
+  /** Accounts with calls expected at a service. */
+  listAccounts(serviceId: string): Iterable<string> {
     return this.#services.get(serviceId)?.costs.keys() ?? [];
   }
 
   /**
-   * How long the calls expected of an account add to the wait of a new one of
-   * the same account, milliseconds. Those that find a free slot add nothing.
+   * Wait that the expected calls of an account add to a new call of the same
+   * account, milliseconds. Calls that will find a free slot add nothing.
    *
-   * While nothing waits, no account holds the others back: the wait is at most
-   * that for all expected calls together. What goes wrong without that bound:
-   * a small account's few calls are worked out at its share alone, and refused
-   * before a service that could take them all.
+   * While no call is queued, no account delays another, so the wait is limited
+   * to the time that all expected calls together need. Without that limit, the
+   * few calls of a small account would be estimated at its share alone and
+   * refused although the service could run them all.
    */
-  waitOf(options: ExpectedWaitOptions): number {
+  estimateWait(options: ExpectedWaitOptions): number {
     const service = this.#services.get(options.serviceId);
     if (service === undefined || service.calls === 0) return 0;
     const own = service.costs.get(options.accountId) ?? 0;
-    const beyond = Math.max(0, service.calls - options.freeSlots);
-    const share = beyond / service.calls;
-    const atOwnPart = own * share / (options.concurrency * options.part);
-    if (options.isContended) return atOwnPart;
-    let all = 0;
-    for (const cost of service.costs.values()) all += cost;
-    return Math.min(atOwnPart, all * share / options.concurrency);
+    const excessCalls = Math.max(0, service.calls - options.freeSlots);
+    const share = excessCalls / service.calls;
+    const waitAtAccountShare = own * share /
+      (options.concurrency * options.part);
+    if (options.isContended) return waitAtAccountShare;
+    let totalCost = 0;
+    for (const cost of service.costs.values()) totalCost += cost;
+    return Math.min(
+      waitAtAccountShare,
+      totalCost * share / options.concurrency,
+    );
   }
 
-  #change(service: ServiceTally, call: ExpectedCall, by: number): void {
-    const cost = (service.costs.get(call.accountId) ?? 0) + by;
-    // A remainder of rounding would keep an account for ever.
+  #adjustCost(
+    service: ServiceTally,
+    call: ExpectedCall,
+    costDifference: number,
+  ): void {
+    const cost = (service.costs.get(call.accountId) ?? 0) + costDifference;
+    // A rounding residue would keep the account in the map forever.
     if (cost > 1e-6) service.costs.set(call.accountId, cost);
     else service.costs.delete(call.accountId);
   }
 
-  #open(serviceId: string): ServiceTally {
+  #getOrCreateTally(serviceId: string): ServiceTally {
     const known = this.#services.get(serviceId);
     if (known !== undefined) return known;
     const service: ServiceTally = { calls: 0, costs: new Map() };
--- a/packages/kelpspar-decisions/src/admission/mod.ts
+++ b/packages/kelpspar-decisions/src/admission/mod.ts
@@ -1,6 +1,6 @@
 export type { AdmissionDecision, RefusalReason } from "./admission_decision.ts";
 export type { AdmissionOptions } from "./admission.ts";
-export type { AdmissionRequest, StageAhead } from "./admission_request.ts";
+export type { AdmissionRequest, RemainingStage } from "./admission_request.ts";
 export type { DeadlineBudgetOptions } from "./deadline_budget.ts";
 export type { ExpectedCall, ExpectedWaitOptions } from "./expected_calls.ts";
 export type { ProbeGateOptions } from "./probe_gate.ts";
--- a/packages/kelpspar-decisions/src/admission/probe_gate.ts
+++ b/packages/kelpspar-decisions/src/admission/probe_gate.ts
@@ -1,51 +1,58 @@
-const DEFAULT_RUNS = 100;
-const DEFAULT_SHORTEST_MILLISECONDS = 1_000;
-const DEFAULT_LONGEST_MILLISECONDS = 30_000;
+const DEFAULT_RUNS_PER_PROBE = 100;
+const DEFAULT_MINIMUM_INTERVAL_MILLISECONDS = 1_000;
+const DEFAULT_MAXIMUM_INTERVAL_MILLISECONDS = 30_000;
 
-/** How often a request is let through against the estimate. */
+/** How often a request is admitted against the estimate. */
 export interface ProbeGateOptions {
-  /** Requests that run for each probe; default 100. */
+  /** Admitted requests per probe; default 100. */
   readonly runs?: number;
-  /** The least time between two probes; default 1,000 milliseconds. */
-  readonly shortestMilliseconds?: number;
-  /** A probe goes after this time if few run; default 30,000 milliseconds. */
-  readonly longestMilliseconds?: number;
+  /** Minimum interval between two probes; default 1,000 milliseconds. */
+  readonly minimumIntervalMilliseconds?: number;
+  /**
+   * A probe is allowed after this interval even if few requests run; default
+   * 30,000 milliseconds.
+   */
+  readonly maximumIntervalMilliseconds?: number;
 }
 
 /**
- * Lets a refused request through now and then. Were all refused, nothing would
- * run, nothing new would be observed, and an estimate that one slow minute
- * made wrong would go on refusing; one would see a pipeline that answers
- * nothing while its endpoints are idle. Most probes fail when the estimate is
- * right, so they are one in a hundred of what runs.
+ * Admits an occasional refused request as a probe.
+ *
+ * If every request were refused, none would run, no new times would be
+ * observed, and an estimate distorted by one slow minute would keep refusing.
+ * The symptom is a pipeline that answers nothing while its endpoints are idle.
+ * Most probes fail if the estimate is right, so they are limited to one per
+ * hundred admitted requests.
  */
 export class ProbeGate {
-  readonly #runs: number;
-  readonly #shortest: number;
-  readonly #longest: number;
-  #ran = 0;
-  #lastAt: number | undefined;
+  readonly #runsPerProbe: number;
+  readonly #minimumIntervalMilliseconds: number;
+  readonly #maximumIntervalMilliseconds: number;
+  #runsSinceProbe = 0;
+  #lastProbeAt: number | undefined;
 
   constructor(options: ProbeGateOptions = {}) {
-    this.#runs = options.runs ?? DEFAULT_RUNS;
-    this.#shortest = options.shortestMilliseconds ??
-      DEFAULT_SHORTEST_MILLISECONDS;
-    this.#longest = options.longestMilliseconds ?? DEFAULT_LONGEST_MILLISECONDS;
+    this.#runsPerProbe = options.runs ?? DEFAULT_RUNS_PER_PROBE;
+    this.#minimumIntervalMilliseconds = options.minimumIntervalMilliseconds ??
+      DEFAULT_MINIMUM_INTERVAL_MILLISECONDS;
+    this.#maximumIntervalMilliseconds = options.maximumIntervalMilliseconds ??
+      DEFAULT_MAXIMUM_INTERVAL_MILLISECONDS;
   }
 
-  /** Counts a request that is run by the estimate. */
+  /** Counts a request that the estimate admitted. */
   recordRun(): void {
-    this.#ran++;
+    this.#runsSinceProbe++;
   }
 
-  /** Called for a refusal; true when it is to be let through as a probe. */
-  tryPass(now: number): boolean {
-    this.#lastAt ??= now;
-    const waited = now - this.#lastAt;
-    const isDue = this.#ran >= this.#runs && waited >= this.#shortest;
-    if (!isDue && waited < this.#longest) return false;
-    this.#ran = 0;
-    this.#lastAt = now;
+  /** Call for a refused request; returns true if it is admitted as a probe. */
+  tryProbe(now: number): boolean {
+    this.#lastProbeAt ??= now;
+    const waited = now - this.#lastProbeAt;
+    const isDue = this.#runsSinceProbe >= this.#runsPerProbe &&
+      waited >= this.#minimumIntervalMilliseconds;
+    if (!isDue && waited < this.#maximumIntervalMilliseconds) return false;
+    this.#runsSinceProbe = 0;
+    this.#lastProbeAt = now;
     return true;
   }
 }
--- a/packages/kelpspar-decisions/src/admission/stage_time_estimator.ts
+++ b/packages/kelpspar-decisions/src/admission/stage_time_estimator.ts
@@ -2,7 +2,7 @@
 import { addStageTimes } from "./stage_times.ts";
 import { TimeHistogram } from "./time_histogram.ts";
 
-/** How long a stage of a pipeline takes, from what was observed lately. */
+/** Estimates stage durations per pipeline from recent observations. */
 export class StageTimeEstimator {
   readonly #histograms = new Map<string, TimeHistogram>();
   readonly #windowMilliseconds: number | undefined;
@@ -12,17 +12,17 @@
   }
 
   /**
-   * Takes the time from a call's dispatch to its end, all its attempts
-   * together. Also call it for a stage that was given up for taking too long,
-   * with the time it had taken by then: were only the successes counted, a
-   * stage that hangs would look fast. Calls that failed early are not counted.
+   * Records the time from a call's dispatch to its end across all attempts.
+   * Also call it for a stage that was aborted for taking too long, with the
+   * time elapsed until then: if only successes were counted, a stage that hangs
+   * would look fast. Calls that failed early are not recorded.
    */
   observe(
     pipelineId: string,
     stageId: string,
     options: { readonly milliseconds: number; readonly now: number },
   ): void {
-    const key = keyOf(pipelineId, stageId);
+    const key = stageKey(pipelineId, stageId);
     let histogram = this.#histograms.get(key);
     if (histogram === undefined) {
       histogram = new TimeHistogram(
@@ -35,16 +35,16 @@
     histogram.observe(options.milliseconds, options.now);
   }
 
-  /** Undefined when the stage did not run lately. */
+  /** Recent times of a stage; undefined if it did not run recently. */
   times(
     pipelineId: string,
     stageId: string,
     now: number,
   ): StageTimes | undefined {
-    return this.#histograms.get(keyOf(pipelineId, stageId))?.times(now);
+    return this.#histograms.get(stageKey(pipelineId, stageId))?.times(now);
   }
 
-  /** The time of several stages; those of which nothing is known count 0. */
+  /** Total time of several stages; stages without observations count as 0. */
   remainingTimes(
     pipelineId: string,
     stageIds: readonly string[],
@@ -55,7 +55,7 @@
     );
   }
 
-  /** Forgets stages that the configuration has no more. */
+  /** Removes stages that are no longer configured. */
   retain(isConfigured: (pipelineId: string, stageId: string) => boolean): void {
     for (const key of this.#histograms.keys()) {
       const [pipelineId = "", stageId = ""] = key.split("/");
@@ -64,7 +64,7 @@
   }
 }
 
-/** Ids of the configuration hold no slash. */
-function keyOf(pipelineId: string, stageId: string): string {
+/** Configuration ids contain no slash. */
+function stageKey(pipelineId: string, stageId: string): string {
   return `${pipelineId}/${stageId}`;
 }
--- a/packages/kelpspar-decisions/src/admission/stage_times.ts
+++ b/packages/kelpspar-decisions/src/admission/stage_times.ts
@@ -1,4 +1,4 @@
-/** Observed times of one stage, milliseconds, without waits in our queues. */
+/** Observed times of one stage, milliseconds, excluding local queue waits. */
 export interface StageTimes {
   readonly samples: number;
   readonly minimum: number;
@@ -7,32 +7,32 @@
   readonly p99: number;
 }
 
-/** Time that several stages take one after another, milliseconds. */
+/** Total time of consecutive stages, milliseconds. */
 export interface RemainingTimes {
-  /** No request was faster lately. */
+  /** Lower bound: no recent request was faster. */
   readonly minimum: number;
-  /** About half the requests are faster. */
+  /** About 50% of requests are faster. */
   readonly median: number;
-  /** About nineteen requests in twenty are faster. */
-  readonly likely: number;
+  /** About 95% of requests are faster. */
+  readonly estimatedP95: number;
 }
 
 /**
- * Adds up stages. A sum of p95 would overstate the p95 of the sum, since
- * stages are seldom slow all at once: the excesses over the medians are added
- * as independent ones, by their squares.
+ * Adds up stage times. A plain sum of p95 values would overstate the p95 of the
+ * total, because stages are rarely slow at the same time. The excesses over the
+ * medians are treated as independent and added in quadrature.
  */
 export function addStageTimes(
   stages: readonly (StageTimes | undefined)[],
 ): RemainingTimes {
   let minimum = 0;
   let median = 0;
-  let squares = 0;
+  let squaredExcess = 0;
   for (const times of stages) {
     if (times === undefined) continue;
     minimum += times.minimum;
     median += times.p50;
-    squares += (times.p95 - times.p50) ** 2;
+    squaredExcess += (times.p95 - times.p50) ** 2;
   }
-  return { minimum, median, likely: median + Math.sqrt(squares) };
+  return { minimum, median, estimatedP95: median + Math.sqrt(squaredExcess) };
 }
--- a/packages/kelpspar-decisions/src/admission/time_histogram.ts
+++ b/packages/kelpspar-decisions/src/admission/time_histogram.ts
@@ -1,10 +1,10 @@
 import type { StageTimes } from "./stage_times.ts";
 
 const DEFAULT_WINDOW_MILLISECONDS = 30_000;
-const LEAST_MILLISECONDS = 0.1;
-const GROWTH = 1.08;
-const BUCKETS = 230;
-const LOG_GROWTH = Math.log(GROWTH);
+const SMALLEST_BUCKET_MILLISECONDS = 0.1;
+const BUCKET_GROWTH_FACTOR = 1.08;
+const BUCKET_COUNT = 230;
+const LOG_BUCKET_GROWTH_FACTOR = Math.log(BUCKET_GROWTH_FACTOR);
 const REFRESH_MILLISECONDS = 100;
 
 interface Window {
@@ -14,17 +14,18 @@
 }
 
 /**
- * Times of the last one to two windows, in buckets that grow by 8%, so that a
- * quantile is wrong by at most 4%. After two windows without a new time
- * nothing is known any more: a bad minute does not stay for ever.
+ * Histogram of the durations observed in the last one to two windows. Buckets
+ * grow by 8%, so quantiles are accurate within 4%. Without a new observation
+ * for two windows the histogram is empty, so that a slow period does not
+ * distort estimates forever.
  */
 export class TimeHistogram {
   readonly #windowMilliseconds: number;
   #current = createWindow();
   #previous = createWindow();
   #startedAt = 0;
-  #times: StageTimes | undefined;
-  #timesAt = Number.NEGATIVE_INFINITY;
+  #cachedTimes: StageTimes | undefined;
+  #cachedAt = Number.NEGATIVE_INFINITY;
 
   constructor(options: { readonly windowMilliseconds?: number } = {}) {
     this.#windowMilliseconds = options.windowMilliseconds ??
@@ -33,20 +34,20 @@
 
   observe(milliseconds: number, now: number): void {
     if (!(milliseconds >= 0)) return;
-    this.#moveTo(now);
+    this.#rotateWindows(now);
     const bucket = bucketOf(milliseconds);
     this.#current.counts[bucket] = (this.#current.counts[bucket] ?? 0) + 1;
     this.#current.count++;
     this.#current.minimum = Math.min(this.#current.minimum, milliseconds);
   }
 
-  /** What is known, at most 100 ms old; undefined when nothing is. */
+  /** Summary, cached for at most 100 ms; undefined without observations. */
   times(now: number): StageTimes | undefined {
-    if (now - this.#timesAt < REFRESH_MILLISECONDS) return this.#times;
-    this.#moveTo(now);
-    this.#timesAt = now;
-    this.#times = this.#summarize();
-    return this.#times;
+    if (now - this.#cachedAt < REFRESH_MILLISECONDS) return this.#cachedTimes;
+    this.#rotateWindows(now);
+    this.#cachedAt = now;
+    this.#cachedTimes = this.#summarize();
+    return this.#cachedTimes;
   }
 
   #summarize(): StageTimes | undefined {
@@ -63,15 +64,15 @@
 
   #quantile(rank: number): number {
     let below = 0;
-    for (let bucket = 0; bucket < BUCKETS; bucket++) {
+    for (let bucket = 0; bucket < BUCKET_COUNT; bucket++) {
       below += this.#current.counts[bucket] ?? 0;
       below += this.#previous.counts[bucket] ?? 0;
-      if (below >= rank) return middleOf(bucket);
+      if (below >= rank) return bucketMidpoint(bucket);
     }
-    return middleOf(BUCKETS - 1);
+    return bucketMidpoint(BUCKET_COUNT - 1);
   }
 
-  #moveTo(now: number): void {
+  #rotateWindows(now: number): void {
     const elapsed = now - this.#startedAt;
     if (elapsed < this.#windowMilliseconds) return;
     const isRecent = elapsed < 2 * this.#windowMilliseconds;
@@ -83,18 +84,19 @@
 
 function createWindow(): Window {
   return {
-    counts: new Uint32Array(BUCKETS),
+    counts: new Uint32Array(BUCKET_COUNT),
     count: 0,
     minimum: Number.POSITIVE_INFINITY,
   };
 }
 
 function bucketOf(milliseconds: number): number {
-  if (milliseconds <= LEAST_MILLISECONDS) return 0;
-  const bucket = Math.log(milliseconds / LEAST_MILLISECONDS) / LOG_GROWTH;
-  return Math.min(BUCKETS - 1, Math.floor(bucket));
+  if (milliseconds <= SMALLEST_BUCKET_MILLISECONDS) return 0;
+  const bucket = Math.log(milliseconds / SMALLEST_BUCKET_MILLISECONDS) /
+    LOG_BUCKET_GROWTH_FACTOR;
+  return Math.min(BUCKET_COUNT - 1, Math.floor(bucket));
 }
 
-function middleOf(bucket: number): number {
-  return LEAST_MILLISECONDS * GROWTH ** (bucket + 0.5);
+function bucketMidpoint(bucket: number): number {
+  return SMALLEST_BUCKET_MILLISECONDS * BUCKET_GROWTH_FACTOR ** (bucket + 0.5);
 }
