--- a/packages/kelpspar-daemon/src/fleet/fleet.ts
+++ b/packages/kelpspar-daemon/src/fleet/fleet.ts
@@ -94,7 +94,7 @@
     const now = timer.now();
     takeDrains(this.#options.state, digest);
     this.#refused.delete(digest.member.incarnation);
-    if (!this.#membership.heard(digest.member, now)) return;
+    if (!this.#membership.receiveDigest(digest.member, now)) return;
     if (digest.member.state === "leaving") {
       parts.fleet.remove(digest.member.incarnation);
     } else {
--- a/packages/kelpspar-decisions/src/__tests__/unit/membership_daemon_test.ts
+++ b/packages/kelpspar-decisions/src/__tests__/unit/membership_daemon_test.ts
@@ -4,11 +4,11 @@
 import * as fc from "fast-check";
 import {
   chooseZoneAggregates,
+  collectNewest,
   DaemonMembership,
   digestInterval,
   estimateDigestBytes,
   mergeNewest,
-  newestOf,
   NO_ENDPOINT_LOADS,
   sumModelLoads,
 } from "../../membership/mod.ts";
@@ -63,50 +63,51 @@
   for (let now = from; now <= to; now += 500) membership.sweep(now);
 }
 
-test("silence makes a daemon suspect, then gone; a word brings it back", () => {
+test("silence makes a daemon suspect, then gone; a digest makes it live again", () => {
   const membership = createMembership();
   membership.replaceList([rowOf("b"), rowOf("c")], 0);
-  membership.heard(digestOf("b"), 0);
+  membership.receiveDigest(digestOf("b"), 0);
   sweepUntil(membership, 0, 4_000);
   expect(states(membership)).toEqual({ b: "live", c: "live" });
-  membership.heard(digestOf("c"), 4_000);
+  membership.receiveDigest(digestOf("c"), 4_000);
   sweepUntil(membership, 4_500, 8_000);
   expect(states(membership)).toEqual({ b: "suspect", c: "live" });
   sweepUntil(membership, 8_500, 60_500);
   expect(states(membership)).toEqual({ b: "gone", c: "suspect" });
-  expect(membership.heard(digestOf("b", { sequence: 1 }), 60_500)).toEqual(
-    false,
-  );
-  membership.heard(digestOf("b", { sequence: 2 }), 60_500);
+  expect(membership.receiveDigest(digestOf("b", { sequence: 1 }), 60_500))
+    .toEqual(
+      false,
+    );
+  membership.receiveDigest(digestOf("b", { sequence: 2 }), 60_500);
   membership.replaceList([rowOf("b")], 60_600);
   expect(states(membership)).toEqual({ b: "live", c: "gone" });
 });
 
-// Symptom: a daemon that leaves is still given to callers. Sequence: it says
-// that it leaves; its older digests and the lagging list arrive after that.
-test("leaving shows at once and sticks to the incarnation", () => {
+// Guards against routing callers to a leaving daemon: it announces that it is
+// leaving, and its older digests and the lagging list arrive afterwards.
+test("leaving takes effect immediately and is permanent for the incarnation", () => {
   const membership = createMembership();
   membership.replaceList([rowOf("b")], 0);
-  membership.heard(digestOf("b", { sequence: 5 }), 1);
-  membership.heard(digestOf("b", { sequence: 7, state: "leaving" }), 2);
+  membership.receiveDigest(digestOf("b", { sequence: 5 }), 1);
+  membership.receiveDigest(digestOf("b", { sequence: 7, state: "leaving" }), 2);
   expect(states(membership)).toEqual({ b: "leaving" });
-  membership.heard(digestOf("b", { sequence: 6 }), 3);
-  membership.heard(digestOf("b", { sequence: 8 }), 4);
+  membership.receiveDigest(digestOf("b", { sequence: 6 }), 3);
+  membership.receiveDigest(digestOf("b", { sequence: 8 }), 4);
   membership.replaceList([rowOf("b")], 5);
   expect(states(membership)).toEqual({ b: "leaving" });
   membership.replaceList([rowOf("b", { incarnation: "v2" })], 6);
-  membership.heard(digestOf("b", { incarnation: "p2" }), 7);
+  membership.receiveDigest(digestOf("b", { incarnation: "p2" }), 7);
   expect(states(membership)).toEqual({ b: "live" });
-  membership.heard(digestOf("b", { sequence: 9, state: "leaving" }), 8);
+  membership.receiveDigest(digestOf("b", { sequence: 9, state: "leaving" }), 8);
   expect(states(membership)).toEqual({ b: "live" });
 });
 
-// Symptom: every caller is sent to one daemon. Sequence: its VM is paused for
-// ten seconds; when it wakes, nobody has spoken for that long.
-test("a daemon that was paused suspects nobody for its own silence", () => {
+// Guards against sending every caller to one daemon: its VM is paused for ten
+// seconds, and on resume all other daemons look silent.
+test("a daemon that was paused doesn't suspect the others", () => {
   const membership = createMembership();
   membership.replaceList([rowOf("b")], 0);
-  membership.heard(digestOf("b"), 0);
+  membership.receiveDigest(digestOf("b"), 0);
   membership.sweep(500);
   membership.sweep(10_500);
   expect(states(membership)).toEqual({ b: "live" });
@@ -114,14 +115,14 @@
   expect(states(membership)).toEqual({ b: "suspect" });
 });
 
-// Symptom: a new or mislisted daemon gets no digests. Cause: the list lags.
-test("who speaks is there, whether or not the list shows it", () => {
+// Guards against sending no digests to a daemon that the lagging list misses.
+test("a daemon that sends digests is live, whether or not it is listed", () => {
   const membership = createMembership();
-  membership.heard(digestOf("new"), 0);
+  membership.receiveDigest(digestOf("new"), 0);
   membership.replaceList([rowOf("b")], 100);
   membership.replaceList([], 200);
   expect(states(membership)).toEqual({ b: "gone", new: "live" });
-  membership.heard(digestOf("b"), 300);
+  membership.receiveDigest(digestOf("b"), 300);
   expect(states(membership)).toEqual({ b: "live", new: "live" });
 });
 
@@ -135,15 +136,16 @@
   return membership;
 }
 
-// Symptom: whole zones look dead. Cause: their daemons do not send here.
-test("silence counts only where digests are due", () => {
+// Guards against treating remote zones as failed although their daemons don't
+// send digests to this one.
+test("silence counts only where digests are expected", () => {
   const membership = membershipOf(339);
   sweepUntil(membership, 0, 10_000);
   const { d0, d1 } = states(membership);
   expect([d0, d1]).toEqual(["suspect", "live"]);
 });
 
-test("digests go to the own zone and two daemons of each other one", (t) => {
+test("digests go to the own zone and two daemons of each other zone", (t) => {
   expect(membershipOf(10).digestTargets().length).toEqual(10);
   const targets = membershipOf(339).digestTargets();
   const own = targets.filter((one) => one.availabilityZone === "a");
@@ -191,8 +193,8 @@
     incarnation: fc.constantFrom("1", "2"),
     sequence: fc.nat(4),
   });
-  const collection = fc.array(statement, { maxLength: 8 }).map(newestOf);
-  const sorted = (merged: ReturnType<typeof newestOf>): string[] =>
+  const collection = fc.array(statement, { maxLength: 8 }).map(collectNewest);
+  const sorted = (merged: ReturnType<typeof collectNewest>): string[] =>
     [...merged.values()].map((one) => JSON.stringify(one)).sort();
   fc.assert(
     fc.property(collection, collection, collection, (a, b, c) => {
@@ -205,7 +207,7 @@
   );
 });
 
-test("a zone's loads are summed once, and alternatives not added up", () => {
+test("a zone's loads are summed once, and alternatives are not added", () => {
   const registry = new EndpointRegistry();
   const place = { address: "10.0.0.1", port: 1, checksFencing: false };
   const rows = ["a", "a", "a", "b"].map((availabilityZone, index) => ({
@@ -231,7 +233,7 @@
   const sums = { running: 6, waiting: 2, concurrency: 16 };
   expect(loads).toEqual([{ ...one, model: "", ...sums }, { ...one, ...sums }]);
   const stated = { incarnation: "p", sequence: 1, availabilityZone: "a" };
-  const aggregates = newestOf([
+  const aggregates = collectNewest([
     { daemonId: "d1", ...stated, loads: loads.slice(1) },
     { daemonId: "d2", ...stated, loads },
   ]);
--- a/packages/kelpspar-decisions/src/membership/daemon_digest.ts
+++ b/packages/kelpspar-decisions/src/membership/daemon_digest.ts
@@ -1,48 +1,56 @@
 import type { EndpointLoads } from "./endpoint_loads.ts";
 import type { LoadReport } from "kelpspar-shared";
 
-/** A load report that travels whole, since more than its counts changed. */
+/**
+ * A load report that is sent in full, because more than its counters changed.
+ */
 export interface RelayedReport {
   readonly endpointId: string;
   readonly report: LoadReport;
-  /** Its age when the digest was sent, milliseconds. */
+  /** Age when the digest was sent, milliseconds. */
   readonly ageMilliseconds: number;
 }
 
-/** What client accounts used at one daemon, column by column. */
+/** Usage of client accounts at one daemon, in columns. */
 export interface AccountUsage {
   readonly accountIds: readonly string[];
-  /** Costs since the incarnation began, as charged by the scheduler. */
+  /**
+   * Cumulative costs since the incarnation started, as charged by the
+   * scheduler.
+   */
   readonly costs: readonly number[];
 }
 
 /**
- * What a daemon tells its peers of itself, at intervals, and at once when it
- * begins to leave or suspects an endpoint.
+ * State that a daemon sends to its peers periodically, and immediately when it
+ * starts leaving or suspects an endpoint.
  */
 export interface DaemonDigest {
   readonly daemonId: string;
-  /** Changes when the daemon's process starts anew. */
+  /** Changes when the daemon process restarts. */
   readonly incarnation: string;
-  /** Grows with each digest of an incarnation. */
+  /** Increases with each digest of an incarnation. */
   readonly sequence: number;
   readonly address: string;
-  /** Where callers connect. */
+  /** Port for callers. */
   readonly port: number;
-  /** Where daemons connect. */
+  /** Port for other daemons. */
   readonly peerPort: number;
   readonly availabilityZone: string;
   readonly state: "serving" | "leaving";
-  /** The epoch to put into keys bound to this daemon. */
+  /** Epoch for new keys bound to this daemon. */
   readonly keyEpoch: number;
-  /** The configuration revision in force here. */
+  /** Configuration revision in force at this daemon. */
   readonly revision: number;
-  /** Share of its capacity that is free, 0 to 1. */
+  /** Free share of the daemon's capacity, 0 to 1. */
   readonly spareShare: number;
-  /** Loads of the endpoints that it watches and publishes. */
+  /** Loads of the endpoints that the daemon monitors and publishes. */
   readonly loads: EndpointLoads;
   readonly changedReports: readonly RelayedReport[];
-  /** Endpoints that it ejected or suspects; receivers probe for themselves. */
+  /**
+   * Endpoints that the daemon ejected or suspects; receivers probe them on
+   * their own.
+   */
   readonly suspectEndpoints: readonly string[];
   readonly usage: AccountUsage;
 }
--- a/packages/kelpspar-decisions/src/membership/daemon_membership.ts
+++ b/packages/kelpspar-decisions/src/membership/daemon_membership.ts
@@ -11,35 +11,45 @@
 const DEFAULT_SUSPECT_AFTER_MILLISECONDS = 4_000;
 const DEFAULT_GONE_AFTER_MILLISECONDS = 60_000;
 const DEFAULT_PAUSE_MILLISECONDS = 2_000;
-const DEFAULT_FEW_DAEMONS = 16;
-const DEFAULT_TARGETS_PER_FAR_ZONE = 2;
-const FORGET_AFTER_MILLISECONDS = 600_000;
+const DEFAULT_FULL_MESH_MAXIMUM_DAEMONS = 16;
+const DEFAULT_TARGETS_PER_REMOTE_ZONE = 2;
+const REMOVE_AFTER_MILLISECONDS = 600_000;
 
-/** Who this daemon is and what it makes of silence. */
+/** Identity of this daemon and its failure detection limits. */
 export interface DaemonMembershipOptions extends Partial<SilenceLimits> {
   readonly daemonId: string;
   readonly availabilityZone: string;
-  /** Time between sweeps that shows that this daemon was paused; 2,000 ms. */
+  /**
+   * A longer gap between sweeps means that this process was paused; default
+   * 2,000 milliseconds.
+   */
   readonly pauseMilliseconds?: number;
-  /** Up to so many daemons everybody sends to everybody; default 16. */
-  readonly fewDaemons?: number;
-  /** Daemons of each other zone that get digests beyond that; default 2. */
-  readonly targetsPerFarZone?: number;
+  /**
+   * Up to this many daemons, each daemon sends digests to all others; default
+   * 16.
+   */
+  readonly fullMeshMaximumDaemons?: number;
+  /**
+   * Above that, the number of daemons per remote zone that receive digests;
+   * default 2.
+   */
+  readonly targetsPerRemoteZone?: number;
 }
 
 /**
- * Which other daemons there are. The VM list names them, late; digests over the
- * peer port show which of them work. Times are monotonic milliseconds.
+ * Membership view of the other daemons. The VM list provides the members with a
+ * lag; digests over the peer port show which of them work. Times are monotonic
+ * milliseconds.
  *
- * What goes wrong: a daemon that was paused finds everybody silent when it
- * wakes, suspects the whole fleet and sends every caller to itself. A gap
- * between sweeps shows the pause, and silence counts anew from there.
+ * A daemon that was paused would find all others silent on resume, suspect the
+ * whole fleet and send every caller to itself. A gap between sweeps reveals the
+ * pause, and silence is then measured from that point.
  */
 export class DaemonMembership {
   readonly #options: Required<DaemonMembershipOptions>;
   readonly #leaving = new LeavingTracker();
   readonly #records = new Map<string, MemberRecord>();
-  #silenceCountsFrom = Number.NEGATIVE_INFINITY;
+  #silenceMeasuredFrom = Number.NEGATIVE_INFINITY;
   #rebuiltAt: number | undefined;
   #members: readonly Member[] = [];
 
@@ -48,24 +58,24 @@
       suspectAfterMilliseconds: DEFAULT_SUSPECT_AFTER_MILLISECONDS,
       goneAfterMilliseconds: DEFAULT_GONE_AFTER_MILLISECONDS,
       pauseMilliseconds: DEFAULT_PAUSE_MILLISECONDS,
-      fewDaemons: DEFAULT_FEW_DAEMONS,
-      targetsPerFarZone: DEFAULT_TARGETS_PER_FAR_ZONE,
+      fullMeshMaximumDaemons: DEFAULT_FULL_MESH_MAXIMUM_DAEMONS,
+      targetsPerRemoteZone: DEFAULT_TARGETS_PER_REMOTE_ZONE,
       ...options,
     };
   }
 
-  /** The other daemons as of the last event, sorted by id. */
+  /** Other daemons as of the last event, sorted by id. */
   get members(): readonly Member[] {
     return this.#members;
   }
 
-  /** Takes in a whole VM list. */
+  /** Applies a complete VM list. */
   replaceList(rows: readonly ListedDaemon[], now: number): void {
     const listed = new Set<string>();
     for (const row of rows) {
       if (row.daemonId === this.#options.daemonId) continue;
       listed.add(row.daemonId);
-      this.#list(row, now);
+      this.#recordListing(row, now);
     }
     for (const record of this.#records.values()) {
       if (!record.isListed || listed.has(record.daemonId)) continue;
@@ -75,44 +85,44 @@
     this.#rebuild(now);
   }
 
-  /** Takes in a digest; false when it is older than what is known. */
-  heard(digest: DaemonDigest, now: number): boolean {
+  /** Applies a digest; returns false if it is older than the current one. */
+  receiveDigest(digest: DaemonDigest, now: number): boolean {
     const { daemonId, incarnation } = digest;
     if (daemonId === this.#options.daemonId) return false;
-    const sighting = this.#leaving.reported({
+    const outcome = this.#leaving.reported({
       id: daemonId,
       incarnation,
       leaving: digest.state === "leaving",
       direct: true,
     });
-    if (sighting === "retired") return false;
-    const record = this.#recordOf(daemonId, now);
+    if (outcome === "retired") return false;
+    const record = this.#getOrCreateRecord(daemonId, now);
     const isRepeated = record.digest?.incarnation === incarnation &&
       record.digest.sequence >= digest.sequence;
     if (isRepeated) return false;
-    const isNews = record.digest?.incarnation !== incarnation ||
+    const hasChanged = record.digest?.incarnation !== incarnation ||
       record.digest.state !== digest.state;
     record.digest = digest;
-    record.heardAt = now;
-    if (isNews) this.#rebuild(now);
+    record.digestReceivedAt = now;
+    if (hasChanged) this.#rebuild(now);
     return true;
   }
 
-  /** Judges silence; call it a few times a second. */
+  /** Reevaluates silent daemons; call it a few times per second. */
   sweep(now: number): void {
     this.#rebuild(now);
   }
 
   /**
-   * Who gets this daemon's digests: everybody while there are few; beyond that
-   * the own zone and a few of each other one, so that traffic grows with a zone
-   * and not with the fleet.
+   * Recipients of this daemon's digests: all daemons in a small fleet,
+   * otherwise the own zone and a few daemons of each other zone, so that
+   * traffic grows with the zone and not with the fleet.
    */
   digestTargets(): readonly Member[] {
-    const present = this.#members.filter((one) => one.state !== "gone");
-    if (this.#areFew()) return present;
+    const remaining = this.#members.filter((member) => member.state !== "gone");
+    if (this.#isFullMesh()) return remaining;
     const byZone = new Map<string, Member[]>();
-    for (const member of present) {
+    for (const member of remaining) {
       const zone = byZone.get(member.availabilityZone);
       if (zone === undefined) byZone.set(member.availabilityZone, [member]);
       else zone.push(member);
@@ -120,29 +130,29 @@
     return [...byZone].flatMap(([zone, members]) =>
       zone === this.#options.availabilityZone
         ? members
-        : this.#targetsAmong(members)
+        : this.#selectTargets(members)
     );
   }
 
-  #targetsAmong(members: readonly Member[]): readonly Member[] {
-    const { daemonId, targetsPerFarZone } = this.#options;
-    const nodes = new RendezvousNodes(members.map((one) => one.daemonId));
-    const best = nodes.best(daemonId, targetsPerFarZone);
-    return members.filter((one) => best.includes(one.daemonId));
+  #selectTargets(members: readonly Member[]): readonly Member[] {
+    const { daemonId, targetsPerRemoteZone } = this.#options;
+    const nodes = new RendezvousNodes(members.map((member) => member.daemonId));
+    const best = nodes.best(daemonId, targetsPerRemoteZone);
+    return members.filter((member) => best.includes(member.daemonId));
   }
 
-  #list(row: ListedDaemon, now: number): void {
+  #recordListing(row: ListedDaemon, now: number): void {
     const { daemonId, incarnation, state } = row;
-    const sighting = this.#leaving.listed({ id: daemonId, incarnation, state });
-    const record = this.#recordOf(daemonId, now);
-    if (sighting === "retired") return;
-    if (sighting === "renewed") record.renew(now);
+    const outcome = this.#leaving.listed({ id: daemonId, incarnation, state });
+    const record = this.#getOrCreateRecord(daemonId, now);
+    if (outcome === "retired") return;
+    if (outcome === "renewed") record.resetIncarnation(now);
     if (!record.isListed) record.listChangedAt = now;
     record.isListed = true;
     record.row = row;
   }
 
-  #recordOf(daemonId: string, now: number): MemberRecord {
+  #getOrCreateRecord(daemonId: string, now: number): MemberRecord {
     const known = this.#records.get(daemonId);
     if (known !== undefined) return known;
     const record = new MemberRecord(daemonId, now);
@@ -150,18 +160,18 @@
     return record;
   }
 
-  #areFew(): boolean {
-    return this.#records.size < this.#options.fewDaemons;
+  #isFullMesh(): boolean {
+    return this.#records.size < this.#options.fullMeshMaximumDaemons;
   }
 
   #rebuild(now: number): void {
     const gap = now - (this.#rebuiltAt ?? now);
-    if (gap > this.#options.pauseMilliseconds) this.#silenceCountsFrom = now;
+    if (gap > this.#options.pauseMilliseconds) this.#silenceMeasuredFrom = now;
     this.#rebuiltAt = now;
     const members: Member[] = [];
     for (const record of this.#records.values()) {
       const state = record.stateAt(this.#contextOf(record, now));
-      if (this.#isForgotten(record, { isGone: state === "gone", now })) {
+      if (this.#isRemovable(record, { isGone: state === "gone", now })) {
         this.#leaving.unlisted(record.daemonId);
         this.#records.delete(record.daemonId);
         continue;
@@ -181,13 +191,13 @@
       suspectAfterMilliseconds: this.#options.suspectAfterMilliseconds,
       goneAfterMilliseconds: this.#options.goneAfterMilliseconds,
       isLeaving: this.#leaving.isLeaving(record.daemonId),
-      isHeardRegularly: this.#areFew() ||
+      isDigestExpected: this.#isFullMesh() ||
         zone === this.#options.availabilityZone,
-      silenceCountsFrom: this.#silenceCountsFrom,
+      silenceMeasuredFrom: this.#silenceMeasuredFrom,
     };
   }
 
-  #isForgotten(
+  #isRemovable(
     record: MemberRecord,
     options: { readonly isGone: boolean; readonly now: number },
   ): boolean {
@@ -197,6 +207,6 @@
     }
     record.goneSince ??= options.now;
     return !record.isListed &&
-      options.now - record.goneSince > FORGET_AFTER_MILLISECONDS;
+      options.now - record.goneSince > REMOVE_AFTER_MILLISECONDS;
   }
 }
--- a/packages/kelpspar-decisions/src/membership/endpoint_loads.ts
+++ b/packages/kelpspar-decisions/src/membership/endpoint_loads.ts
@@ -1,20 +1,20 @@
 /**
- * Loads of several endpoints, column by column: the n-th entries belong to one
- * endpoint. As JSON this takes a third of what a list of objects takes, and at
- * the target size these are most of a digest.
+ * Loads of several endpoints in columns: the n-th entries belong to the same
+ * endpoint. As JSON this takes a third of the size of a list of objects; at the
+ * target fleet size loads are most of a digest.
  */
 export interface EndpointLoads {
   readonly endpointIds: readonly string[];
-  /** The reports' sequences, whose incarnations travelled earlier. */
+  /** Sequence numbers of the reports; their incarnations were sent earlier. */
   readonly sequences: readonly number[];
   readonly running: readonly number[];
   readonly waiting: readonly number[];
   readonly accepted: readonly number[];
-  /** The reports' ages when the digest was sent, milliseconds. */
+  /** Ages of the reports when the digest was sent, milliseconds. */
   readonly agesMilliseconds: readonly number[];
 }
 
-/** The loads of a daemon that publishes none. */
+/** Loads of a daemon that publishes none. */
 export const NO_ENDPOINT_LOADS: EndpointLoads = {
   endpointIds: [],
   sequences: [],
--- a/packages/kelpspar-decisions/src/membership/member.ts
+++ b/packages/kelpspar-decisions/src/membership/member.ts
@@ -1,21 +1,23 @@
 import type { DaemonDigest } from "./daemon_digest.ts";
 
 /**
- * `live`: works as far as is known. `suspect`: silent for longer than its
- * digests may be apart. `leaving`: takes no new requests. `gone`: not there.
+ * - `live`: no sign of failure.
+ * - `suspect`: silent for longer than the digest interval allows.
+ * - `leaving`: accepts no new requests.
+ * - `gone`: considered failed or removed.
  */
 export type MemberState = "live" | "suspect" | "leaving" | "gone";
 
-/** Another daemon, as this one knows it. */
+/** Another daemon in this daemon's membership view. */
 export interface Member {
   readonly daemonId: string;
   readonly address: string;
-  /** Where callers connect. */
+  /** Port for callers. */
   readonly port: number;
   readonly availabilityZone: string;
   readonly state: MemberState;
-  /** Its last digest; absent before one came. */
+  /** Last digest; absent before the first. */
   readonly digest?: DaemonDigest;
-  /** Time since its last digest, milliseconds; absent before one came. */
+  /** Time since the last digest, milliseconds; absent before the first. */
   readonly silenceMilliseconds?: number;
 }
--- a/packages/kelpspar-decisions/src/membership/member_record.ts
+++ b/packages/kelpspar-decisions/src/membership/member_record.ts
@@ -1,7 +1,7 @@
 import type { DaemonDigest } from "./daemon_digest.ts";
 import type { Member, MemberState } from "./member.ts";
 
-/** A row of the VM list that is a daemon. */
+/** A daemon's row in the VM list. */
 export interface ListedDaemon {
   readonly daemonId: string;
   readonly incarnation: string;
@@ -11,30 +11,30 @@
   readonly state: "live" | "leaving";
 }
 
-/** After which silence a daemon is suspect, and after which it is gone. */
+/** Silence after which a daemon is suspect, and after which it is gone. */
 export interface SilenceLimits {
   readonly suspectAfterMilliseconds: number;
   readonly goneAfterMilliseconds: number;
 }
 
-/** What a state is derived from beside the record itself. */
+/** Inputs for deriving a member state, in addition to the record. */
 export interface StateContext extends SilenceLimits {
   readonly now: number;
   readonly isLeaving: boolean;
-  /** True when the daemon's digests are sent to this one. */
-  readonly isHeardRegularly: boolean;
-  /** Silence before this time is this daemon's own fault. */
-  readonly silenceCountsFrom: number;
+  /** True if the daemon sends its digests to this one. */
+  readonly isDigestExpected: boolean;
+  /** Silence before this time was caused by a pause of this daemon. */
+  readonly silenceMeasuredFrom: number;
 }
 
-/** What the VM list and the daemon's own digests said of it. */
+/** State of a daemon according to the VM list and its own digests. */
 export class MemberRecord {
   readonly daemonId: string;
   row: ListedDaemon | undefined;
   digest: DaemonDigest | undefined;
-  heardAt: number | undefined;
+  digestReceivedAt: number | undefined;
   isListed = false;
-  /** When the list began, or ceased, to show this incarnation. */
+  /** When the list started or stopped showing this incarnation. */
   listChangedAt: number;
   goneSince: number | undefined;
 
@@ -43,29 +43,29 @@
     this.listChangedAt = now;
   }
 
-  /** Forgets an earlier incarnation of the VM. */
-  renew(now: number): void {
+  /** Resets the state of an earlier incarnation of the VM. */
+  resetIncarnation(now: number): void {
     this.digest = undefined;
-    this.heardAt = undefined;
+    this.digestReceivedAt = undefined;
     this.listChangedAt = now;
   }
 
   stateAt(context: StateContext): MemberState {
-    const { now, silenceCountsFrom } = context;
-    const spokeAt = this.heardAt ?? this.listChangedAt;
-    const silence = now - Math.max(spokeAt, silenceCountsFrom);
+    const { now, silenceMeasuredFrom } = context;
+    const lastSeenAt = this.digestReceivedAt ?? this.listChangedAt;
+    const silence = now - Math.max(lastSeenAt, silenceMeasuredFrom);
     const isSilent = silence > context.suspectAfterMilliseconds;
-    if (!this.isListed && (isSilent || !this.#spokeSinceListChange())) {
+    if (!this.isListed && (isSilent || !this.#sentDigestSinceListChange())) {
       return "gone";
     }
-    const canBeJudged = context.isHeardRegularly || !this.isListed;
+    const canBeJudged = context.isDigestExpected || !this.isListed;
     if (canBeJudged && silence > context.goneAfterMilliseconds) return "gone";
     if (context.isLeaving) return "leaving";
     return canBeJudged && isSilent ? "suspect" : "live";
   }
 
   toMember(state: MemberState, now: number): Member | undefined {
-    const { digest, heardAt } = this;
+    const { digest, digestReceivedAt } = this;
     const place = digest ?? this.row;
     if (place === undefined) return undefined;
     const { address, port, availabilityZone } = place;
@@ -76,12 +76,18 @@
       availabilityZone,
       state,
       ...(digest === undefined ? {} : { digest }),
-      ...(heardAt === undefined ? {} : { silenceMilliseconds: now - heardAt }),
+      ...(digestReceivedAt === undefined
+        ? {}
+        : { silenceMilliseconds: now - digestReceivedAt }),
     };
   }
 
-  /** A list lags: who still speaks after it was dropped is there. */
-  #spokeSinceListChange(): boolean {
-    return this.heardAt !== undefined && this.heardAt >= this.listChangedAt;
+  /**
+   * The list lags: a daemon that still sends digests after its removal from the
+   * list is running.
+   */
+  #sentDigestSinceListChange(): boolean {
+    return this.digestReceivedAt !== undefined &&
+      this.digestReceivedAt >= this.listChangedAt;
   }
 }
--- a/packages/kelpspar-decisions/src/membership/mod.ts
+++ b/packages/kelpspar-decisions/src/membership/mod.ts
@@ -13,5 +13,5 @@
 export { DaemonMembership } from "./daemon_membership.ts";
 export { digestInterval, estimateDigestBytes } from "./digest_budget.ts";
 export { NO_ENDPOINT_LOADS } from "./endpoint_loads.ts";
-export { mergeNewest, newestOf } from "./newest_merge.ts";
+export { collectNewest, mergeNewest } from "./newest_merge.ts";
 export { chooseZoneAggregates, sumModelLoads } from "./zone_aggregate.ts";
--- a/packages/kelpspar-decisions/src/membership/newest_merge.ts
+++ b/packages/kelpspar-decisions/src/membership/newest_merge.ts
@@ -1,8 +1,8 @@
-/** A statement of a daemon that its later ones replace. */
+/** A statement of a daemon that is superseded by its later statements. */
 export interface Sequenced {
   readonly daemonId: string;
   readonly incarnation: string;
-  /** Grows with each statement of an incarnation. */
+  /** Increases with each statement of an incarnation. */
   readonly sequence: number;
 }
 
@@ -10,7 +10,7 @@
 export type NewestStatements<T extends Sequenced> = ReadonlyMap<string, T>;
 
 /** Collects statements, keeping the newest of each daemon's incarnation. */
-export function newestOf<T extends Sequenced>(
+export function collectNewest<T extends Sequenced>(
   statements: Iterable<T>,
 ): NewestStatements<T> {
   const newest = new Map<string, T>();
@@ -19,9 +19,9 @@
 }
 
 /**
- * Merges two collections: in any order, grouping and number of times it comes
- * to the same. Incarnations have no order of their own, so each has its own
- * place; readers drop those that are not a member's present one.
+ * Merges two collections. The operation is associative, commutative and
+ * idempotent. Incarnations have no order among themselves, so each has its own
+ * entry; readers ignore entries that are not a member's current incarnation.
  */
 export function mergeNewest<T extends Sequenced>(
   left: NewestStatements<T>,
--- a/packages/kelpspar-decisions/src/membership/zone_aggregate.ts
+++ b/packages/kelpspar-decisions/src/membership/zone_aggregate.ts
@@ -1,7 +1,7 @@
 import type { EndpointStatus } from "../routing/mod.ts";
 import type { NewestStatements, Sequenced } from "./newest_merge.ts";
 
-/** The load of one model (empty for plain services) in one zone. */
+/** Load of one model (empty for plain services) in one zone. */
 export interface ModelLoad {
   readonly service: string;
   readonly model: string;
@@ -11,13 +11,15 @@
   readonly concurrency: number;
 }
 
-/** What a daemon tells other zones of its own. */
+/** Summary of a daemon's zone that is sent to other zones. */
 export interface ZoneAggregate extends Sequenced {
   readonly availabilityZone: string;
   readonly loads: readonly ModelLoad[];
 }
 
-/** Sums the endpoints of a zone that take calls, by service and model. */
+/**
+ * Sums the loads of a zone's endpoints that accept calls, by service and model.
+ */
 export function sumModelLoads(
   endpoints: readonly EndpointStatus[],
   availabilityZone: string,
@@ -43,9 +45,9 @@
 }
 
 /**
- * One aggregate for each zone. All daemons of a zone sum the same endpoints, so
- * their aggregates are alternatives and are never added up; the one that saw
- * most endpoints is taken.
+ * Chooses one aggregate per zone. All daemons of a zone sum the same endpoints,
+ * so their aggregates are alternatives and are never added up; the aggregate
+ * that covers the most endpoints is chosen.
  */
 export function chooseZoneAggregates(
   aggregates: NewestStatements<ZoneAggregate>,
@@ -54,7 +56,7 @@
   for (const aggregate of aggregates.values()) {
     const known = chosen.get(aggregate.availabilityZone);
     if (
-      known !== undefined && endpointsSeen(known) >= endpointsSeen(aggregate)
+      known !== undefined && countEndpoints(known) >= countEndpoints(aggregate)
     ) {
       continue;
     }
@@ -63,6 +65,6 @@
   return chosen;
 }
 
-function endpointsSeen(aggregate: ZoneAggregate): number {
+function countEndpoints(aggregate: ZoneAggregate): number {
   return aggregate.loads.reduce((sum, load) => sum + load.endpoints, 0);
 }
--- a/packages/kelpspar-standins/src/capacity/measure_membership.ts
+++ b/packages/kelpspar-standins/src/capacity/measure_membership.ts
@@ -38,7 +38,7 @@
     const daemon = 1 + index % (size - 1);
     const digest = digests[daemon];
     if (digest !== undefined) {
-      membership.heard({ ...digest, sequence: index + 2 }, 0);
+      membership.receiveDigest({ ...digest, sequence: index + 2 }, 0);
     }
   });
   yield measureOperation(
@@ -108,7 +108,7 @@
   });
   membership.replaceList(sampleDaemons(size), 0);
   for (let daemon = 1; daemon < size; daemon++) {
-    membership.heard(memberOf(daemon, 1), 0);
+    membership.receiveDigest(memberOf(daemon, 1), 0);
   }
   return membership;
 }
