--- a/packages/kelpspar-daemon/src/orders/engine_group.ts
+++ b/packages/kelpspar-daemon/src/orders/engine_group.ts
@@ -12,7 +12,7 @@
 import { errorDetails } from "../log/daemon_log.ts";
 import { GroupLease } from "./group_lease.ts";
 
-type OrderedEngine = NonNullable<PlannedEngine["ordered"]>;
+type OrderedEngine = NonNullable<PlannedEngine["lastOrder"]>;
 
 /**
  * Brings the engines of one group to the state that the configuration wants,
@@ -113,8 +113,8 @@
         ? {}
         : { report: known.report, reportAt: known.at }),
       inFlight: parts.registry.entryOf(vm.id)?.load.inFlight ?? 0,
-      ...(takenOutAt === undefined ? {} : { takenOutAt }),
-      ...(ordered === undefined ? {} : { ordered }),
+      ...(takenOutAt === undefined ? {} : { removedFromRoutingAt: takenOutAt }),
+      ...(ordered === undefined ? {} : { lastOrder: ordered }),
     };
   }
 
--- a/packages/kelpspar-decisions/src/__tests__/unit/leases_model.ts
+++ b/packages/kelpspar-decisions/src/__tests__/unit/leases_model.ts
@@ -18,7 +18,7 @@
   readonly row: LeaseRow;
   readonly expectedVersion: number;
   readonly isAwaited: boolean;
-  /** The answer that is on its way back, once the write arrived. */
+  /** Answer in transit, once the write arrived. */
   readonly answer?: LeaseAnswer;
 }
 
@@ -32,13 +32,13 @@
   readonly time: number;
 }
 
-/** One group's lease and two daemons that want it. */
+/** State of one group's lease and two competing daemons. */
 export interface Model {
   readonly time: number;
   readonly found: FoundLease | null;
   readonly network: readonly Sent[];
   readonly holders: readonly Holder[];
-  /** When each fencing number was last allowed to be sent, while it matters. */
+  /** When each fencing number could last be sent, while it is relevant. */
   readonly allowed: readonly Allowed[];
   readonly fault: string;
   readonly lose: number;
@@ -46,12 +46,12 @@
   readonly stop: number;
 }
 
-/** Each holder has its own monotonic clock; the second one is slow. */
+/** Monotonic clock of each holder; the second one is slow. */
 export function clockOf(at: number, time: number): number {
   return at === 0 ? 500 + time : Math.floor(time * 3 / 4);
 }
 
-function put<T>(list: readonly T[], index: number, item: T): T[] {
+function replaceAt<T>(list: readonly T[], index: number, item: T): T[] {
   return list.map((old, at) => at === index ? item : old);
 }
 
@@ -69,7 +69,7 @@
       next = { ...next, network: [...next.network, sent] };
     }
   }
-  const holders = put(next.holders, at, { ...holder, state });
+  const holders = replaceAt(next.holders, at, { ...holder, state });
   next = { ...next, holders };
   if (!wantsRow) return next;
   return advance(next, at, { ...event, type: "seen", found: model.found });
@@ -83,7 +83,9 @@
   }, { ...model, time });
 }
 
-/** Two holders must never have the same fencing number, nor one go back. */
+/**
+ * Two holders must never share a fencing number, and it must never decrease.
+ */
 function isShared(old: LeaseRow | undefined, next: LeaseRow): boolean {
   if (old === undefined || next.holder === "") return false;
   return next.holder === old.holder
@@ -107,13 +109,13 @@
   for (const [index, sent] of model.network.entries()) {
     const { from, answer } = sent;
     const others = model.network.filter((_, at) => at !== index);
-    const gone = { ...model, network: others };
+    const withoutWrite = { ...model, network: others };
     const now = clockOf(from, model.time);
     const isReachable = model.holders[from]?.isPaused === false;
     if (answer !== undefined) {
-      if (isReachable) yield advance(gone, from, { ...answer, now });
+      if (isReachable) yield advance(withoutWrite, from, { ...answer, now });
     } else {
-      const [arrived, next] = deliver(gone, sent);
+      const [arrived, next] = deliver(withoutWrite, sent);
       const network = sent.isAwaited
         ? [...others, { ...sent, answer: next }]
         : others;
@@ -132,7 +134,7 @@
   if (holder === undefined) return;
   const change = (changed: Partial<Holder>): Model => ({
     ...model,
-    holders: put(model.holders, at, { ...holder, ...changed }),
+    holders: replaceAt(model.holders, at, { ...holder, ...changed }),
   });
   if (holder.isPaused) {
     yield change({ isPaused: false });
@@ -149,8 +151,8 @@
 }
 
 /**
- * Lets every holder that may send an order send one. An earlier holder's order
- * that is still on its way then may arrive after the later holder's.
+ * Sends an order from every holder that may send one. An earlier holder's order
+ * that is still in transit may then arrive after the later holder's.
  */
 export function sendOrders(model: Model, longestOrder: number): Model {
   let { allowed, fault } = model;
@@ -169,15 +171,18 @@
   return { ...model, allowed: onTheWay, fault };
 }
 
-/** Every state that one step leads to. */
+/** All states reachable in one step. */
 export function* moves(model: Model): Generator<Model> {
   yield* networkMoves(model);
   for (const at of model.holders.keys()) yield* holderMoves(model, at);
   if (model.time < LAST_TIME) yield passTime(model);
 }
 
-/** Drops late writes that can never take effect, since versions only grow. */
-export function tidy(model: Model): Model {
+/**
+ * Removes late writes that can never take effect, because versions only
+ * increase.
+ */
+export function pruneLateWrites(model: Model): Model {
   const version = model.found?.version ?? 0;
   const network = model.network.filter((sent) =>
     sent.isAwaited || sent.expectedVersion >= version
@@ -185,7 +190,7 @@
   return { ...model, network };
 }
 
-/** The same text for the same state. */
+/** Returns the same text for equal states. */
 export function describe(model: Model): string {
   const { time, found, network, holders, allowed, lose, pause, stop } = model;
   const rows = network.map(({ from, row, expectedVersion, ...one }) => {
@@ -195,12 +200,21 @@
   });
   rows.push(JSON.stringify(found));
   const states = holders.map(({ state, isPaused }) => {
-    const { seen, writing, tried, held, lastTickAt, isStopping } = state;
-    const parts = [seen?.firstSeenAt, seen?.found?.version, isPaused];
-    const sent = [writing?.kind, writing?.sentAt, writing?.isVoid];
-    const lease = [held?.version, held?.fencingNumber, held?.heldUntil];
+    const { observed, pendingWrite, tried, held, lastTickAt, isStopping } =
+      state;
+    const parts = [
+      observed?.unchangedSince,
+      observed?.found?.version,
+      isPaused,
+    ];
+    const sent = [
+      pendingWrite?.kind,
+      pendingWrite?.sentAt,
+      pendingWrite?.isObsolete,
+    ];
+    const lease = [held?.version, held?.fencingNumber, held?.expiresAt];
     const rest = [tried?.fencingNumber, tried?.sentAt, lastTickAt, isStopping];
-    return `${parts}|${sent}|${lease}|${held?.renewAt}|${rest}|${state.askedAt}`;
+    return `${parts}|${sent}|${lease}|${held?.renewAt}|${rest}|${state.readRequestedAt}`;
   });
   const orders = allowed.map((one) => `${one.fencingNumber}@${one.time}`);
   return `${time}|${rows}|${states}|${orders}|${lose}${pause}${stop}`;
--- a/packages/kelpspar-decisions/src/__tests__/unit/leases_model_test.ts
+++ b/packages/kelpspar-decisions/src/__tests__/unit/leases_model_test.ts
@@ -7,15 +7,23 @@
   fencingNumberForOrder,
   watchLease,
 } from "../../leases/mod.ts";
-import { clockOf, describe, moves, sendOrders, tidy } from "./leases_model.ts";
+import {
+  clockOf,
+  describe,
+  moves,
+  pruneLateWrites,
+  sendOrders,
+} from "./leases_model.ts";
 
-// Symptom: an engine takes an order of an earlier holder after one of a later
-//   holder, and goes back to an old model.
-// Sequence: every one that the budgets allow, up to a time: two holders, one
-//   of whose clocks is slow by a quarter, pauses, writes whose answer is lost
-//   and that arrive late, orders that are on their way for a while.
-// Cause looked for: a lease counted from the answer, a taker that does not
-//   wait out the order and the drift, a fencing number that is used twice.
+// Model check: guards against an engine that receives an order of an earlier
+// holder after one of a later holder and returns to an old model.
+//
+// Explores every sequence within the budgets, up to a time: two holders, one
+// with a clock that is 25% slow; pauses; writes whose answer is lost and that
+// arrive late; orders that spend time in transit.
+//
+// Possible causes: a lease counted from the answer, an acquisition that doesn't
+// wait for the order time and the drift, a fencing number that is used twice.
 
 const TERMS: Partial<LeaseTerms> = {
   leaseMilliseconds: 3,
@@ -25,7 +33,7 @@
   pauseMilliseconds: 1,
 };
 const LONGEST_ORDER = 1;
-/** How often each thing may happen. */
+/** Maximum number of each event. */
 const BUDGETS = [
   { lose: 2, pause: 0, stop: 0 },
   { lose: 0, pause: 1, stop: 0 },
@@ -34,7 +42,7 @@
 
 interface Search {
   readonly states: number;
-  /** The shortest way to a fault, if there is one. */
+  /** Shortest path to a fault, if any. */
   readonly path: readonly Model[];
   readonly fault: string;
   readonly highest: number;
@@ -65,7 +73,7 @@
     const next: Model[] = [];
     for (const model of frontier) {
       for (const moved of moves(model)) {
-        const reached = sendOrders(tidy(moved), longestOrder);
+        const reached = sendOrders(pruneLateWrites(moved), longestOrder);
         const key = describe(reached);
         if (seen.has(key)) continue;
         seen.add(key);
@@ -88,7 +96,7 @@
   return { states: seen.size, path: [], fault: "", highest };
 }
 
-function tell(path: readonly Model[]): readonly string[] {
+function describePath(path: readonly Model[]): readonly string[] {
   const lines = path.map(({ time, found, holders }) => {
     const row = found === null
       ? "no row"
@@ -103,7 +111,7 @@
   return lines.filter((line, index) => line !== lines[index - 1]);
 }
 
-test("orders that keep to their time never arrive stale", (t) => {
+test("orders within their maximum transit time never arrive stale", (t) => {
   for (const budget of BUDGETS) {
     const { states, fault, highest } = search(budget);
     const faults = JSON.stringify(budget);
@@ -113,14 +121,14 @@
   }
 });
 
-test("only an order that travels too long arrives stale", (t) => {
+test("only an order that exceeds its transit time arrives stale", (t) => {
   const longestOrder = LONGEST_ORDER + 1;
   const { fault, path } = search(BUDGETS[0], { longestOrder });
   expect(fault).toEqual(`stale after ${longestOrder}`);
-  for (const line of tell(path)) t.diagnostic(line);
+  for (const line of describePath(path)) t.diagnostic(line);
 });
 
-test("a taker that waits for less lets a stale order in", () => {
+test("an acquisition after a shorter wait admits a stale order", () => {
   const shorter: Partial<LeaseTerms>[] = [
     { driftMilliseconds: 0 },
     { hasUncheckedEndpoints: false },
@@ -131,15 +139,14 @@
   }
 });
 
-// Symptom: orders of a holder whose lease lapsed long ago.
-// Sequence: a VM is suspended, and its monotonic clock with it, or a process
-//   wakes and sends before its first tick.
-// Cause: the monotonic clock alone says that no time has passed.
-test("a pause drops the lease, also one that only the wall clock shows", () => {
+// Guards against orders of a holder whose lease expired long ago: a VM is
+// suspended together with its monotonic clock, or a process resumes and sends
+// before its first tick. The monotonic clock alone shows no elapsed time.
+test("a pause drops the lease, also if only the wall clock shows it", () => {
   const held = {
     fencingNumber: 1,
     version: 1,
-    heldUntil: 9_000,
+    expiresAt: 9_000,
     renewAt: 8_000,
   };
   const watched = watchLease("a", { now: 0 });
@@ -170,12 +177,12 @@
   expect(actions).toEqual([{ type: "lost" }]);
 });
 
-test("an own renewal whose answer was lost keeps the lease", () => {
-  const held = { fencingNumber: 1, version: 1, heldUntil: 9_000, renewAt: 0 };
+test("a renewal whose answer was lost keeps the lease", () => {
+  const held = { fencingNumber: 1, version: 1, expiresAt: 9_000, renewAt: 0 };
   const watched = watchLease("a", { now: 0 });
   const renewing = advanceLease({ ...watched, held }, { type: "tick", now: 1 });
-  const row = renewing.state.writing?.row;
-  if (row === undefined) throw new Error("Nothing was written");
+  const row = renewing.state.pendingWrite?.row;
+  if (row === undefined) throw new Error("No write is pending");
   const found = { row, version: 2 };
   const kept = advanceLease(renewing.state, {
     type: "conflict",
@@ -192,8 +199,8 @@
   expect(lost.actions).toEqual([{ type: "lost" }]);
 });
 
-test("a lease that was given back is not held", () => {
-  const held = { fencingNumber: 1, version: 1, heldUntil: 9_000, renewAt: 8e3 };
+test("a released lease is not held", () => {
+  const held = { fencingNumber: 1, version: 1, expiresAt: 9_000, renewAt: 8e3 };
   const watched = watchLease("a", { now: 0 });
   const stopping = advanceLease({ ...watched, held }, { type: "stop", now: 1 });
   const released = advanceLease(stopping.state, { type: "tick", now: 2 });
--- a/packages/kelpspar-decisions/src/__tests__/unit/leases_planner_test.ts
+++ b/packages/kelpspar-decisions/src/__tests__/unit/leases_planner_test.ts
@@ -6,22 +6,22 @@
 import { SeededRandom } from "kelpspar-shared";
 import {
   grantKey,
-  listMissingLoads,
+  listMissingWeights,
   planEngineTargets,
   planOrders,
 } from "../../leases/mod.ts";
 
-// Symptom: a change of models cuts requests off, leaves a model without ready
-//   engines, overruns the weight store or never ends.
-// Sequence: random fleets, lagging reports, other daemons that go on sending
-//   for a while, a new holder without memory, orders of a stale holder at
-//   engines that do not check fencing numbers.
-// Cause looked for: an order before the drain, a floor or zone not counted.
+// Guards against a model change that cuts off requests, leaves a model without
+// ready engines, exceeds the grants of the weight store or never ends. Random
+// fleets, lagging reports, other daemons that keep sending for a while, a new
+// holder without state, and orders of a stale holder at engines that don't
+// check fencing numbers. Possible causes: an order before the drain, a minimum
+// or zone not counted.
 
 const TIMES = {
-  routingMilliseconds: 2,
-  reportMilliseconds: 3,
-  loadMilliseconds: 50,
+  routingSettleMilliseconds: 2,
+  reportTimeoutMilliseconds: 3,
+  loadTimeoutMilliseconds: 50,
 };
 const FLOOR = 1;
 const CALM_STEPS = 400;
@@ -32,8 +32,8 @@
   real: LoadReport;
   loadedAt: number;
   next: DesiredEngineState;
-  takenOutAt: number | undefined;
-  ordered: PlannedEngine["ordered"];
+  removedFromRoutingAt: number | undefined;
+  lastOrder: PlannedEngine["lastOrder"];
   report: LoadReport;
   reportAt: number;
 }
@@ -71,8 +71,8 @@
         real: report,
         loadedAt: 0,
         next: state,
-        takenOutAt: undefined,
-        ordered: undefined,
+        removedFromRoutingAt: undefined,
+        lastOrder: undefined,
         report,
         reportAt: 0,
       });
@@ -86,7 +86,7 @@
   }
 
   order(engine: Engine, desired: DesiredEngineState): void {
-    const loads = listMissingLoads(engine.real, desired).length;
+    const loads = listMissingWeights(engine.real, desired).length;
     const { real } = engine;
     engine.next = desired;
     engine.loadedAt = this.now + loads * (1 + this.random.nextInteger(4));
@@ -94,16 +94,16 @@
     engine.real = { ...real, models, state: "loading" };
   }
 
-  /** Engines work, load and report; callers come. */
+  /** Simulates calls, loads and reports of the engines. */
   live(): void {
     this.now += 1;
     for (const engine of this.engines) {
-      const { takenOutAt, loadedAt, next } = engine;
+      const { removedFromRoutingAt, loadedAt, next } = engine;
       if (engine.real.state === "loading" && this.now >= loadedAt) {
         engine.real = { ...engine.real, ...next, state: "ready" };
       }
-      const isUsed = takenOutAt === undefined ||
-        this.now < takenOutAt + TIMES.routingMilliseconds;
+      const isUsed = removedFromRoutingAt === undefined ||
+        this.now < removedFromRoutingAt + TIMES.routingSettleMilliseconds;
       const hasModel = engine.real.models["m"] !== undefined;
       const arrives = isUsed && hasModel && this.random.nextInteger(2) === 0;
       const leaves = this.random.nextInteger(2);
@@ -122,7 +122,7 @@
 
   plan(): void {
     const planned = this.engines.map((engine): PlannedEngine => {
-      const { endpointId, takenOutAt, ordered } = engine;
+      const { endpointId, removedFromRoutingAt, lastOrder } = engine;
       const desired = this.targets.get(endpointId) ?? OLD;
       return {
         endpointId,
@@ -131,8 +131,8 @@
         report: engine.report,
         reportAt: engine.reportAt,
         inFlight: 0,
-        ...(takenOutAt === undefined ? {} : { takenOutAt }),
-        ...(ordered === undefined ? {} : { ordered }),
+        ...(removedFromRoutingAt === undefined ? {} : { removedFromRoutingAt }),
+        ...(lastOrder === undefined ? {} : { lastOrder }),
       };
     });
     const minimumReady = new Map([["m", FLOOR]]);
@@ -151,22 +151,25 @@
     const engine = this.engines.find((one) =>
       one.endpointId === step.endpointId
     );
-    if (engine === undefined) throw new Error("no such engine");
-    if (step.type === "put_back") engine.takenOutAt = undefined;
+    if (engine === undefined) throw new Error("No engine has this endpoint id");
+    if (step.type === "put_back") engine.removedFromRoutingAt = undefined;
     if (step.type === "take_out") {
       this.#checkZone(engine);
-      engine.takenOutAt = this.now;
+      engine.removedFromRoutingAt = this.now;
       const left = this.engines.filter((one) =>
-        one.takenOutAt === undefined && one.report.state === "ready" &&
+        one.removedFromRoutingAt === undefined &&
+        one.report.state === "ready" &&
         one.report.models["m"] !== undefined
       );
       const wasServing = engine.report.models["m"] !== undefined;
       expect(left.length >= FLOOR || !wasServing).toEqual(true);
     }
     if (step.type !== "order") return;
-    expect(engine.takenOutAt === undefined).toEqual(false);
-    const orderedAt = engine.ordered?.at ?? -Infinity;
-    expect(this.now - orderedAt >= TIMES.reportMilliseconds).toEqual(true);
+    expect(engine.removedFromRoutingAt === undefined).toEqual(false);
+    const orderedAt = engine.lastOrder?.at ?? -Infinity;
+    expect(this.now - orderedAt >= TIMES.reportTimeoutMilliseconds).toEqual(
+      true,
+    );
     expect(engine.real.running).toEqual(0);
     for (const key of step.grants) {
       const left = (this.grants.get(key) ?? 0) - 1;
@@ -174,9 +177,9 @@
       this.grants.set(key, left);
     }
     expect(step.grants.length).toEqual(
-      listMissingLoads(engine.report, step.desired).length,
+      listMissingWeights(engine.report, step.desired).length,
     );
-    engine.ordered = { desired: step.desired, at: this.now };
+    engine.lastOrder = { desired: step.desired, at: this.now };
     this.order(engine, step.desired);
   }
 
@@ -185,11 +188,11 @@
       one !== engine && one.availabilityZone === engine.availabilityZone
     );
     for (const other of others) {
-      expect(other.takenOutAt).toEqual(undefined);
+      expect(other.removedFromRoutingAt).toEqual(undefined);
     }
   }
 
-  /** A stale holder's order, or a new holder that remembers nothing. */
+  /** Simulates a stale holder's order, or a new holder without state. */
   disturb(): void {
     const index = this.random.nextInteger(this.engines.length * 6);
     const engine = this.engines[index];
@@ -201,22 +204,23 @@
       this.order(engine, { models, adapters, role });
     } else if (index % 23 === 0) {
       for (const one of this.engines) {
-        one.takenOutAt = undefined;
-        one.ordered = undefined;
+        one.removedFromRoutingAt = undefined;
+        one.lastOrder = undefined;
       }
     }
   }
 
   isSettled(): boolean {
-    return this.engines.every(({ endpointId, takenOutAt, real }) => {
+    return this.engines.every(({ endpointId, removedFromRoutingAt, real }) => {
       const isRight = real.models["m"] === "2" && real.adapters[0] === "x" &&
         real.role === this.targets.get(endpointId)?.role;
-      return isRight && real.state === "ready" && takenOutAt === undefined;
+      return isRight && real.state === "ready" &&
+        removedFromRoutingAt === undefined;
     });
   }
 }
 
-test("any disturbed fleet becomes as desired, without harm on the way", () => {
+test("any disturbed fleet reaches the desired state without violations", () => {
   fc.assert(
     fc.property(fc.integer(), (seed) => {
       const fleet = new Fleet(seed);
@@ -264,29 +268,30 @@
 
 test("an engine that loads for too long is ordered again", () => {
   const report: LoadReport = { ...createReport(OLD), state: "loading" };
-  const ordered = { desired: WANTED, at: 10 };
-  const stuck = createEngine({ report, ordered, takenOutAt: 5 });
+  const lastOrder = { desired: WANTED, at: 10 };
+  const stuck = createEngine({ report, lastOrder, removedFromRoutingAt: 5 });
   const other = createEngine({ endpointId: "f" });
   const before = plan([stuck, other], { now: 59, floor: 0 });
   expect(before.map(({ type }) => type)).toEqual(["wait", "wait"]);
-  // Its zone stays closed, so that a version that cannot load goes no further.
+  // Its zone stays blocked, so that a version that cannot load spreads no
+  // further.
   const after = plan([stuck, other], { now: 60, floor: 0 });
   expect(after.map(({ type }) => type)).toEqual(["order", "wait"]);
 });
 
-// Symptom: a model has fewer ready engines than its floor.
-// Sequence: one engine is taken out to drain, and another one fails.
-// Cause: the drained engine still serves, but nobody may send to it.
-test("a draining engine that the floor needs is put back", () => {
-  const draining = createEngine({ takenOutAt: 5 });
+// Guards against a model with fewer ready engines than its minimum: one engine
+// is removed from routing to drain, and another one fails. The draining engine
+// still works, but no daemon may send to it.
+test("a draining engine that the minimum requires returns to routing", () => {
+  const draining = createEngine({ removedFromRoutingAt: 5 });
   expect(plan([draining], { now: 6, floor: 1 }))
     .toEqual([{ type: "put_back", endpointId: "e" }]);
-  const ordered = { desired: WANTED, at: 6 };
-  expect(plan([{ ...draining, ordered }], { now: 7, floor: 1 }))
+  const lastOrder = { desired: WANTED, at: 6 };
+  expect(plan([{ ...draining, lastOrder }], { now: 7, floor: 1 }))
     .toEqual([{ type: "wait", endpointId: "e", reason: "loading" }]);
 });
 
-test("a leaving engine is left alone", () => {
+test("a leaving engine is not changed", () => {
   const report: LoadReport = { ...createReport(OLD), state: "leaving" };
   expect(plan([createEngine({ report })], { now: 6, floor: 0 })).toEqual([]);
 });
--- a/packages/kelpspar-decisions/src/leases/engine_match.ts
+++ b/packages/kelpspar-decisions/src/leases/engine_match.ts
@@ -1,11 +1,11 @@
 import type { DesiredEngineState, LoadReport } from "kelpspar-shared";
 
-/** Names a load of weights among grants. */
+/** Key of a weight load in the grants map. */
 export function grantKey(model: string, version: string): string {
   return `${model}@${version}`;
 }
 
-/** True when both say the same, whatever the order of their parts. */
+/** True if both states are equal, ignoring order. */
 export function isSameState(
   left: DesiredEngineState,
   right: DesiredEngineState,
@@ -15,7 +15,7 @@
     hasSameItems(left.adapters, right.adapters);
 }
 
-/** True when an engine is ready and as desired. */
+/** True if an engine is ready and in the desired state. */
 export function isAsDesired(
   report: LoadReport | undefined,
   desired: DesiredEngineState,
@@ -23,8 +23,8 @@
   return report?.state === "ready" && isSameState(report, desired);
 }
 
-/** The weights that an engine has to load to be as desired. */
-export function listMissingLoads(
+/** Weights that an engine has to load to reach the desired state. */
+export function listMissingWeights(
   report: LoadReport,
   desired: DesiredEngineState,
 ): readonly { readonly model: string; readonly version: string }[] {
--- a/packages/kelpspar-decisions/src/leases/engine_plan.ts
+++ b/packages/kelpspar-decisions/src/leases/engine_plan.ts
@@ -1,48 +1,54 @@
 import type { DesiredEngineState, LoadReport } from "kelpspar-shared";
 
-/** One engine of a group, as its lease holder sees it. */
+/** One engine of a group from the lease holder's point of view. */
 export interface PlannedEngine {
   readonly endpointId: string;
   readonly availabilityZone: string;
   readonly desired: DesiredEngineState;
-  /** The newest report; undefined before the first. */
+  /** Latest report; undefined before the first. */
   readonly report?: LoadReport;
   /** When that report arrived, monotonic milliseconds. */
   readonly reportAt?: number;
-  /** Calls to it that this daemon has in flight. */
+  /** In-flight calls from this daemon to the engine. */
   readonly inFlight: number;
-  /** Since when routing is told to leave it out, monotonic milliseconds. */
-  readonly takenOutAt?: number;
-  /** This holder's last order. A new holder has none. */
-  readonly ordered?: {
+  /** When the engine was removed from routing, monotonic milliseconds. */
+  readonly removedFromRoutingAt?: number;
+  /** Last order sent by this holder; a new holder has none. */
+  readonly lastOrder?: {
     readonly desired: DesiredEngineState;
     /** Monotonic milliseconds. */
     readonly at: number;
   };
 }
 
-/** What the planner goes by. */
+/** Inputs of `planOrders`. */
 export interface PlannerInput {
   /** Monotonic milliseconds. */
   readonly now: number;
   readonly engines: readonly PlannedEngine[];
-  /** Engines that must stay ready for each model, in any version. */
+  /** Minimum number of ready engines per model, in any version. */
   readonly minimumReady: ReadonlyMap<string, number>;
-  /** Grants of the weight store that are not used yet, by `grantKey`. */
+  /** Unused grants of the weight store, by `grantKey`. */
   readonly grants: ReadonlyMap<string, number>;
 }
 
-/** The times the planner goes by, all in milliseconds. */
+/** Timing parameters of the planner, in milliseconds. */
 export interface PlannerTimes {
-  /** Until every daemon has stopped using what was taken out; 3,000. */
-  readonly routingMilliseconds: number;
-  /** Until a report must show an order; default 5,000. */
-  readonly reportMilliseconds: number;
-  /** After this an engine that still loads is ordered again; 600,000. */
-  readonly loadMilliseconds: number;
+  /**
+   * Time until every daemon has stopped routing to a removed engine; default
+   * 3,000.
+   */
+  readonly routingSettleMilliseconds: number;
+  /** Time within which a report must reflect an order; default 5,000. */
+  readonly reportTimeoutMilliseconds: number;
+  /**
+   * Time after which an engine that is still loading is ordered again; default
+   * 600,000.
+   */
+  readonly loadTimeoutMilliseconds: number;
 }
 
-/** Why an engine that is not as desired is left alone for now. */
+/** Why an engine that is not in the desired state is not changed yet. */
 export type WaitReason =
   | "no_report"
   | "loading"
@@ -51,9 +57,9 @@
   | "floor"
   | "grant";
 
-/** What the holder does next. */
+/** Next step of the lease holder. */
 export type PlannerStep =
-  /** Ask the weight store; pass what it grants in `grants`. */
+  /** Request a grant from the weight store; pass granted loads in `grants`. */
   | {
     readonly type: "request_grant";
     readonly model: string;
@@ -64,10 +70,10 @@
     readonly type: "order";
     readonly endpointId: string;
     readonly desired: DesiredEngineState;
-    /** The grants that this order uses up. */
+    /** Grants consumed by this order. */
     readonly grants: readonly string[];
   }
-  /** Routing may use it again. */
+  /** Return the engine to routing. */
   | { readonly type: "put_back"; readonly endpointId: string }
   | {
     readonly type: "wait";
--- a/packages/kelpspar-decisions/src/leases/lease_answers.ts
+++ b/packages/kelpspar-decisions/src/leases/lease_answers.ts
@@ -1,43 +1,44 @@
 import type { LeaseEvent, LeaseState, LeaseStep } from "./lease_state.ts";
-import { drop, gain, see } from "./lease_steps.ts";
+import { confirmLease, drop, observeRow } from "./lease_steps.ts";
 
 type LeaseWriteAnswer = Extract<
   LeaseEvent,
   { readonly type: "committed" | "conflict" | "unknown" | "unavailable" }
 >;
 
-/** Takes the table's answer to the write that is on its way. */
-export function answerLeaseWrite(
+/** Handles the table's answer to the pending write. */
+export function handleLeaseWriteAnswer(
   state: LeaseState,
   answer: LeaseWriteAnswer,
 ): LeaseStep {
-  const { writing, ...settled } = state;
-  if (writing === undefined) return { state, actions: [] };
-  if (answer.type === "conflict") return meetRival(settled, answer);
-  if (answer.type !== "committed") return askAgain(settled);
+  const { pendingWrite, ...settled } = state;
+  if (pendingWrite === undefined) return { state, actions: [] };
+  if (answer.type === "conflict") return resolveConflict(settled, answer);
+  if (answer.type !== "committed") return rereadRow(settled);
   const { now, version } = answer;
-  const { row, sentAt } = writing;
-  if (writing.isVoid || writing.kind === "release") {
-    return see(settled, { found: { row, version }, now });
+  const { row, sentAt } = pendingWrite;
+  if (pendingWrite.isObsolete || pendingWrite.kind === "release") {
+    return observeRow(settled, { found: { row, version }, now });
   }
   const { fencingNumber } = row;
-  return gain(settled, { fencingNumber, version, sentAt, now });
+  return confirmLease(settled, { fencingNumber, version, sentAt, now });
 }
 
-/** Looks at the row on the next tick: it may show our own write. */
-function askAgain(state: LeaseState): LeaseStep {
-  const { askedAt: _asked, ...rest } = state;
+/** Rereads the row on the next tick; it may contain our own write. */
+function rereadRow(state: LeaseState): LeaseStep {
+  const { readRequestedAt: _readRequestedAt, ...rest } = state;
   return { state: rest, actions: [] };
 }
 
-function meetRival(
+function resolveConflict(
   state: LeaseState,
   answer: Extract<LeaseWriteAnswer, { readonly type: "conflict" }>,
 ): LeaseStep {
   const { held, holder } = state;
   const { found, now } = answer;
-  if (held === undefined) return see(state, { found, now });
-  // A renewal whose answer was lost moved the version: still our lease.
+  if (held === undefined) return observeRow(state, { found, now });
+  // A renewal whose answer was lost changed the version; the lease is still
+  // ours.
   const isOurs = found?.row.holder === holder &&
     found.row.fencingNumber === held.fencingNumber;
   if (isOurs) {
@@ -45,6 +46,6 @@
     return { state: { ...state, held: { ...held, version } }, actions: [] };
   }
   const dropped = drop(state);
-  const seen = see(dropped.state, { found, now });
-  return { state: seen.state, actions: dropped.actions };
+  const observed = observeRow(dropped.state, { found, now });
+  return { state: observed.state, actions: dropped.actions };
 }
--- a/packages/kelpspar-decisions/src/leases/lease_holder.ts
+++ b/packages/kelpspar-decisions/src/leases/lease_holder.ts
@@ -1,17 +1,17 @@
 import type { LeaseTerms } from "./lease_terms.ts";
 import type { LeaseEvent, LeaseState, LeaseStep } from "./lease_state.ts";
 import { DEFAULT_LEASE_TERMS } from "./lease_terms.ts";
-import { answerLeaseWrite } from "./lease_answers.ts";
+import { handleLeaseWriteAnswer } from "./lease_answers.ts";
 import {
   acquire,
   drop,
-  isTakeable,
+  isAcquirable,
+  observeRow,
   release,
   renew,
-  see,
 } from "./lease_steps.ts";
 
-/** Starts to watch a group's lease. */
+/** Creates the initial state for watching a group's lease. */
 export function watchLease(
   holder: string,
   options: {
@@ -28,20 +28,21 @@
 }
 
 /**
- * Moves a lease on by one event.
+ * Advances a lease by one event.
  *
- * What goes wrong without it: a holder is paused, its lease lapses, another
- * takes over, and the first wakes and orders engines as if it still held it.
- * It shows as engines that change models to and fro. Time is therefore counted
- * on the monotonic clock from before a write was sent; a gap between ticks
- * drops the lease; a taker waits until the row stood unchanged, on its own
- * clock, for the lease, the longest order and the drift of clocks. No clock of
- * one process is compared with that of another.
+ * Guards against this failure: a holder is paused, its lease expires, another
+ * daemon takes over, and the first resumes and sends orders as if it still held
+ * the lease. The symptom is engines that switch models back and forth.
+ * Therefore a lease is timed on the monotonic clock from before its write was
+ * sent; a gap between ticks drops the lease; and a daemon acquires a lease only
+ * after the row has been unchanged, on its own clock, for the lease duration,
+ * the longest order time and the clock drift. Clocks of different processes are
+ * never compared.
  *
- * What remains possible at endpoints that ignore fencing numbers: an order
- * that is on its way, or in a process that pauses between the check and the
- * socket, for longer than the longest order time. The planner compares what
- * endpoints report with what is desired, and orders them right again.
+ * One case remains possible at endpoints that ignore fencing numbers: an order
+ * that is delayed in transit, or by a process pause between the check and the
+ * socket write, for more than the longest order time. The planner compares
+ * reported states with desired states and orders such endpoints again.
  *
  * Source: the brief, "What fails" (a lease lapses while its holder is paused).
  */
@@ -50,18 +51,19 @@
 }
 
 /**
- * The fencing number that an order may carry now; undefined when none may be
- * sent. To be asked right before each order, with no wait in between.
+ * Fencing number for an order sent now; undefined if no order may be sent. Call
+ * it immediately before each order, without awaiting in between.
  */
 export function fencingNumberForOrder(
   state: LeaseState,
   now: number,
 ): number | undefined {
   const { held, terms, lastTickAt, isStopping } = state;
-  if (held === undefined || isStopping || now >= held.heldUntil) {
+  if (held === undefined || isStopping || now >= held.expiresAt) {
     return undefined;
   }
-  // A process that just woke sends before its first tick notices the pause.
+  // A process that resumes from a pause may get here before its first tick
+  // detects the pause.
   const isPaused = now - lastTickAt > terms.pauseMilliseconds;
   return isPaused ? undefined : held.fencingNumber;
 }
@@ -75,11 +77,11 @@
 
 const EVENT_HANDLERS: EventHandlers = {
   tick,
-  seen: (state, { found, now }) => see(state, { found, now }),
-  committed: answerLeaseWrite,
-  conflict: answerLeaseWrite,
-  unknown: answerLeaseWrite,
-  unavailable: answerLeaseWrite,
+  seen: (state, { found, now }) => observeRow(state, { found, now }),
+  committed: handleLeaseWriteAnswer,
+  conflict: handleLeaseWriteAnswer,
+  unknown: handleLeaseWriteAnswer,
+  unavailable: handleLeaseWriteAnswer,
   stop: (state) => ({ state: { ...state, isStopping: true }, actions: [] }),
 };
 
@@ -88,24 +90,24 @@
   event: Extract<LeaseEvent, { readonly type: "tick" }>,
 ): LeaseStep {
   const { now, wallClock } = event;
-  const wasPaused = noticesPause(state, event);
+  const wasPaused = detectPause(state, event);
   const ticked: LeaseState = {
     ...state,
     lastTickAt: now,
     ...(wallClock === undefined ? {} : { clockOffset: wallClock - now }),
   };
   if (wasPaused) return drop(ticked);
-  if (ticked.held !== undefined) return keep(ticked, now);
+  if (ticked.held !== undefined) return maintain(ticked, now);
   if (ticked.isStopping) return { state: ticked, actions: [] };
-  if (isTakeable(ticked, now)) return acquire(ticked, now);
+  if (isAcquirable(ticked, now)) return acquire(ticked, now);
   return poll(ticked, now);
 }
 
 /**
- * A suspended VM may stop the monotonic clock as well; then only the wall
- * clock tells. A wall clock that was set looks the same and costs a lease.
+ * A VM suspension may also stop the monotonic clock; then only the wall clock
+ * shows it. Setting the wall clock looks the same and costs one lease.
  */
-function noticesPause(
+function detectPause(
   state: LeaseState,
   event: Extract<LeaseEvent, { readonly type: "tick" }>,
 ): boolean {
@@ -117,19 +119,22 @@
   return shift > terms.pauseMilliseconds;
 }
 
-function keep(state: LeaseState, now: number): LeaseStep {
-  const { held, writing } = state;
+function maintain(state: LeaseState, now: number): LeaseStep {
+  const { held, pendingWrite } = state;
   if (held === undefined) return { state, actions: [] };
-  if (now >= held.heldUntil) return drop(state);
-  if (writing !== undefined) return { state, actions: [] };
+  if (now >= held.expiresAt) return drop(state);
+  if (pendingWrite !== undefined) return { state, actions: [] };
   if (state.isStopping) return release(state, now);
   return now < held.renewAt ? { state, actions: [] } : renew(state, now);
 }
 
 function poll(state: LeaseState, now: number): LeaseStep {
-  const { askedAt, terms, writing } = state;
-  const isAsked = askedAt !== undefined &&
-    now - askedAt < terms.pollMilliseconds;
-  if (isAsked || writing !== undefined) return { state, actions: [] };
-  return { state: { ...state, askedAt: now }, actions: [{ type: "read" }] };
+  const { readRequestedAt, terms, pendingWrite } = state;
+  const isReadRecent = readRequestedAt !== undefined &&
+    now - readRequestedAt < terms.pollMilliseconds;
+  if (isReadRecent || pendingWrite !== undefined) return { state, actions: [] };
+  return {
+    state: { ...state, readRequestedAt: now },
+    actions: [{ type: "read" }],
+  };
 }
--- a/packages/kelpspar-decisions/src/leases/lease_row.ts
+++ b/packages/kelpspar-decisions/src/leases/lease_row.ts
@@ -1,15 +1,15 @@
-/** The table that holds leases (docs/PLATFORM.md). */
+/** Table of leases (docs/PLATFORM.md). */
 export const LEASES_TABLE = "leases";
 
-/** The value of a group's row in the table `leases`. Never deleted. */
+/** Value of a group's row in the table `leases`. Rows are never deleted. */
 export interface LeaseRow {
-  /** The holder's incarnation; empty once it was given back. */
+  /** Incarnation of the holder; empty after a release. */
   readonly holder: string;
-  /** Grows by one with each acquisition; the first is 1. */
+  /** Increases by one with each acquisition, starting at 1. */
   readonly fencingNumber: number;
-  /** How long the holder may act, from before it sent this row. */
+  /** Lease duration, counted from before the holder sent this row. */
   readonly leaseMilliseconds: number;
-  /** How long an order of the holder may travel. */
+  /** Maximum time that an order of the holder may be in transit. */
   readonly longestOrderMilliseconds: number;
 }
 
@@ -19,7 +19,7 @@
   readonly version: number;
 }
 
-/** Reads a row's value; undefined when it is not a lease. */
+/** Parses a row's value; undefined if it is not a lease. */
 export function parseLeaseRow(value: unknown): LeaseRow | undefined {
   if (typeof value !== "object" || value === null) return undefined;
   const row = value as Partial<Record<keyof LeaseRow, unknown>>;
--- a/packages/kelpspar-decisions/src/leases/lease_state.ts
+++ b/packages/kelpspar-decisions/src/leases/lease_state.ts
@@ -1,38 +1,41 @@
 import type { FoundLease, LeaseRow } from "./lease_row.ts";
 import type { LeaseTerms } from "./lease_terms.ts";
 
-/** A row and since when this daemon has seen it unchanged. */
-export interface SeenLease {
-  /** Null when the group never had a lease. */
+/** A row and the time since which this daemon has observed it unchanged. */
+export interface ObservedLease {
+  /** Null if the group never had a lease. */
   readonly found: FoundLease | null;
-  /** On this daemon's own monotonic clock. */
-  readonly firstSeenAt: number;
+  /** Monotonic milliseconds of this daemon. */
+  readonly unchangedSince: number;
 }
 
-/** A write that is on its way. */
+/** A write without an answer yet. */
 export interface LeaseWrite {
   readonly kind: "acquire" | "renew" | "release";
   readonly row: LeaseRow;
-  /** Monotonic milliseconds, taken before the write was sent. */
+  /** Monotonic milliseconds, read before the write was sent. */
   readonly sentAt: number;
-  /** True when the lease was dropped since: the answer gains nothing. */
-  readonly isVoid: boolean;
+  /**
+   * True if the lease was dropped since, so that the answer must not confirm
+   * it.
+   */
+  readonly isObsolete: boolean;
 }
 
 /** An acquisition that may have taken effect. */
 export interface TriedLease {
   readonly fencingNumber: number;
-  /** When it was first sent. */
+  /** When the acquisition was first sent. */
   readonly sentAt: number;
 }
 
-/** A lease that is held. */
+/** A lease held by this daemon. */
 export interface HeldLease {
   readonly fencingNumber: number;
   readonly version: number;
-  /** Monotonic milliseconds; counted from before the write was sent. */
-  readonly heldUntil: number;
-  /** When the lease is to be renewed next. */
+  /** Monotonic milliseconds, counted from before the write was sent. */
+  readonly expiresAt: number;
+  /** When to renew the lease next. */
   readonly renewAt: number;
 }
 
@@ -42,22 +45,22 @@
   readonly terms: LeaseTerms;
   readonly isStopping: boolean;
   readonly lastTickAt: number;
-  /** The wall clock minus the monotonic one at the last tick. */
+  /** Wall clock minus monotonic clock at the last tick. */
   readonly clockOffset?: number;
-  /** When the row was last asked for. */
-  readonly askedAt?: number;
-  readonly seen?: SeenLease;
-  readonly writing?: LeaseWrite;
+  /** When the row was last requested. */
+  readonly readRequestedAt?: number;
+  readonly observed?: ObservedLease;
+  readonly pendingWrite?: LeaseWrite;
   readonly tried?: TriedLease;
   readonly held?: HeldLease;
 }
 
-/** What happens to a lease; `now` is monotonic milliseconds. */
+/** Events of a lease; `now` is in monotonic milliseconds. */
 export type LeaseEvent =
   | {
     readonly type: "tick";
     readonly now: number;
-    /** Compared only with this process's own, to notice a suspended VM. */
+    /** Compared only within this process, to detect a VM suspension. */
     readonly wallClock?: number;
   }
   /** The row was read. */
@@ -76,29 +79,29 @@
     readonly now: number;
     readonly found: FoundLease | null;
   }
-  /** The write's answer was lost. */
+  /** The answer to the write was lost. */
   | { readonly type: "unknown"; readonly now: number }
-  /** Proved: the write was not received, or was refused. */
+  /** Proof that the write was not received or was refused. */
   | { readonly type: "unavailable"; readonly now: number }
   /**
-   * Give the lease back on the next tick. To be sent only when no order is on
-   * its way, since the next holder does not wait.
+   * Release the lease on the next tick. Send this only when no order is in
+   * transit, because the next holder does not wait.
    */
   | { readonly type: "stop"; readonly now: number };
 
-/** What the daemon has to do after an event. */
+/** Action required after an event. */
 export type LeaseAction =
   | { readonly type: "read" }
   | {
     readonly type: "write";
     readonly row: LeaseRow;
-    /** 0 for a row that must be absent. */
+    /** 0 if the row must be absent. */
     readonly expectedVersion: number;
   }
   | { readonly type: "gained"; readonly fencingNumber: number }
   | { readonly type: "lost" };
 
-/** A new snapshot and what to do. */
+/** New state and the actions to perform. */
 export interface LeaseStep {
   readonly state: LeaseState;
   readonly actions: readonly LeaseAction[];
--- a/packages/kelpspar-decisions/src/leases/lease_steps.ts
+++ b/packages/kelpspar-decisions/src/leases/lease_steps.ts
@@ -6,27 +6,27 @@
   LeaseWrite,
 } from "./lease_state.ts";
 
-const ABSENT = 0;
-const RENEWALS_A_LEASE = 3;
+const ABSENT_VERSION = 0;
+const RENEWALS_PER_LEASE = 3;
 
-/** True when the row has stood unchanged for long enough to be taken. */
-export function isTakeable(state: LeaseState, now: number): boolean {
-  const { seen, terms, writing } = state;
-  if (seen === undefined || writing !== undefined) return false;
-  if (seen.found === null || seen.found.row.holder === "") return true;
-  const { row } = seen.found;
-  // The holder may go by other settings than this daemon.
+/** True if the row has been unchanged for long enough to acquire the lease. */
+export function isAcquirable(state: LeaseState, now: number): boolean {
+  const { observed, terms, pendingWrite } = state;
+  if (observed === undefined || pendingWrite !== undefined) return false;
+  if (observed.found === null || observed.found.row.holder === "") return true;
+  const { row } = observed.found;
+  // The holder may use other settings than this daemon.
   const lease = Math.max(row.leaseMilliseconds, terms.leaseMilliseconds);
   const order = terms.hasUncheckedEndpoints
     ? Math.max(row.longestOrderMilliseconds, terms.longestOrderMilliseconds)
     : 0;
   const wait = lease + order + terms.driftMilliseconds;
-  return now - seen.firstSeenAt >= wait;
+  return now - observed.unchangedSince >= wait;
 }
 
 /** Sends an acquisition with the next fencing number. */
 export function acquire(state: LeaseState, now: number): LeaseStep {
-  const found = state.seen?.found ?? null;
+  const found = state.observed?.found ?? null;
   const fencingNumber = (found?.row.fencingNumber ?? 0) + 1;
   const tried = state.tried?.fencingNumber === fencingNumber
     ? state.tried
@@ -35,7 +35,7 @@
     kind: "acquire",
     row: createRow(state, fencingNumber),
     sentAt: now,
-    isVoid: false,
+    isObsolete: false,
   });
 }
 
@@ -43,10 +43,10 @@
 export function renew(state: LeaseState, now: number): LeaseStep {
   const fencingNumber = state.held?.fencingNumber ?? 0;
   const row = createRow(state, fencingNumber);
-  return send(state, { kind: "renew", row, sentAt: now, isVoid: false });
+  return send(state, { kind: "renew", row, sentAt: now, isObsolete: false });
 }
 
-/** Gives the lease back: the next holder need not wait. */
+/** Releases the lease, so that the next holder need not wait for its expiry. */
 export function release(state: LeaseState, now: number): LeaseStep {
   const fencingNumber = state.held?.fencingNumber ?? 0;
   const row = { ...createRow(state, fencingNumber), holder: "" };
@@ -54,41 +54,49 @@
     kind: "release",
     row,
     sentAt: now,
-    isVoid: false,
+    isObsolete: false,
   });
   const { held: _given, ...without } = sent.state;
   return { state: without, actions: [{ type: "lost" }, ...sent.actions] };
 }
 
-/** Gives up whatever is held or on its way. */
+/** Drops a held lease and marks a pending write as obsolete. */
 export function drop(state: LeaseState): LeaseStep {
-  const { held, tried: _tried, seen: _seen, askedAt: _askedAt, ...rest } =
-    state;
-  const writing = state.writing === undefined
+  const {
+    held,
+    tried: _tried,
+    observed: _observed,
+    readRequestedAt: _readRequestedAt,
+    ...rest
+  } = state;
+  const pendingWrite = state.pendingWrite === undefined
     ? {}
-    : { writing: { ...state.writing, isVoid: true } };
+    : { pendingWrite: { ...state.pendingWrite, isObsolete: true } };
   const actions: LeaseAction[] = held === undefined ? [] : [{ type: "lost" }];
-  return { state: { ...rest, ...writing }, actions };
+  return { state: { ...rest, ...pendingWrite }, actions };
 }
 
-/** Takes a row as read. The time starts anew whenever its version changes. */
-export function see(
+/** Records the row as read. The wait restarts whenever its version changes. */
+export function observeRow(
   state: LeaseState,
   options: { readonly found: FoundLease | null; readonly now: number },
 ): LeaseStep {
   const { found, now } = options;
   if (state.held !== undefined) return { state, actions: [] };
-  const gained = gainTried(state, options);
+  const gained = confirmTriedLease(state, options);
   if (gained !== undefined) return gained;
-  const { seen } = state;
-  const isSame = seen !== undefined &&
-    seen.found?.version === found?.version;
-  const firstSeenAt = isSame ? seen.firstSeenAt : now;
-  return { state: { ...state, seen: { found, firstSeenAt } }, actions: [] };
+  const { observed } = state;
+  const isSame = observed !== undefined &&
+    observed.found?.version === found?.version;
+  const unchangedSince = isSame ? observed.unchangedSince : now;
+  return {
+    state: { ...state, observed: { found, unchangedSince } },
+    actions: [],
+  };
 }
 
-/** Holds the lease that a write confirmed, unless its time is over already. */
-export function gain(
+/** Holds the lease confirmed by a write, unless it has already expired. */
+export function confirmLease(
   state: LeaseState,
   confirmed: {
     readonly fencingNumber: number;
@@ -100,10 +108,10 @@
   const { fencingNumber, version, sentAt, now } = confirmed;
   const { tried: _tried, ...rest } = state;
   const { leaseMilliseconds } = state.terms;
-  const heldUntil = sentAt + leaseMilliseconds;
-  const renewAt = sentAt + leaseMilliseconds / RENEWALS_A_LEASE;
-  const held = { fencingNumber, version, heldUntil, renewAt };
-  if (now >= heldUntil) return drop(rest);
+  const expiresAt = sentAt + leaseMilliseconds;
+  const renewAt = sentAt + leaseMilliseconds / RENEWALS_PER_LEASE;
+  const held = { fencingNumber, version, expiresAt, renewAt };
+  if (now >= expiresAt) return drop(rest);
   const isNew = state.held === undefined;
   return {
     state: { ...rest, held },
@@ -112,10 +120,11 @@
 }
 
 /**
- * An acquisition whose answer was lost shows in the row. It took effect after
- * it was first sent, so that the time from then on is safe to use.
+ * Confirms an acquisition whose answer was lost but which appears in the row.
+ * It took effect after it was first sent, so counting the lease from that time
+ * is safe.
  */
-export function gainTried(
+export function confirmTriedLease(
   state: LeaseState,
   options: { readonly found: FoundLease | null; readonly now: number },
 ): LeaseStep | undefined {
@@ -125,7 +134,7 @@
   const { row, version } = found;
   const isOurs = row.holder === holder &&
     row.fencingNumber === tried.fencingNumber;
-  return isOurs ? gain(state, { ...tried, version, now }) : undefined;
+  return isOurs ? confirmLease(state, { ...tried, version, now }) : undefined;
 }
 
 function createRow(state: LeaseState, fencingNumber: number): LeaseRow {
@@ -138,11 +147,12 @@
   };
 }
 
-function send(state: LeaseState, writing: LeaseWrite): LeaseStep {
-  const expectedVersion = state.held?.version ?? state.seen?.found?.version ??
-    ABSENT;
+function send(state: LeaseState, pendingWrite: LeaseWrite): LeaseStep {
+  const expectedVersion = state.held?.version ??
+    state.observed?.found?.version ??
+    ABSENT_VERSION;
   return {
-    state: { ...state, writing },
-    actions: [{ type: "write", row: writing.row, expectedVersion }],
+    state: { ...state, pendingWrite },
+    actions: [{ type: "write", row: pendingWrite.row, expectedVersion }],
   };
 }
--- a/packages/kelpspar-decisions/src/leases/lease_terms.ts
+++ b/packages/kelpspar-decisions/src/leases/lease_terms.ts
@@ -1,23 +1,27 @@
-/** The times that a lease rests on, all in milliseconds. */
+/** Timing parameters of a lease, in milliseconds. */
 export interface LeaseTerms {
-  /** How long a holder may act without renewal; default 10,000. */
+  /** Lease duration without renewal; default 10,000. */
   readonly leaseMilliseconds: number;
-  /** After this time an order is given up on its way; default 1,500. */
+  /**
+   * Maximum transit time of an order, after which it is aborted; default 1,500.
+   */
   readonly longestOrderMilliseconds: number;
-  /** How far two clocks may part in a lease and an order; default 500. */
+  /**
+   * Maximum drift between two clocks over a lease and an order; default 500.
+   */
   readonly driftMilliseconds: number;
-  /** How long between two looks at the row; default 2,000. */
+  /** Interval between reads of the row; default 2,000. */
   readonly pollMilliseconds: number;
-  /** A gap between ticks that counts as a pause; default 1,000. */
+  /** A longer gap between ticks counts as a pause; default 1,000. */
   readonly pauseMilliseconds: number;
   /**
-   * True when some endpoint of the group ignores fencing numbers, or when that
-   * is not known; default true.
+   * True if an endpoint of the group ignores fencing numbers or if this is
+   * unknown; default true.
    */
   readonly hasUncheckedEndpoints: boolean;
 }
 
-/** The terms that hold unless the settings say otherwise. */
+/** Default lease terms. */
 export const DEFAULT_LEASE_TERMS: LeaseTerms = {
   leaseMilliseconds: 10_000,
   longestOrderMilliseconds: 1_500,
--- a/packages/kelpspar-decisions/src/leases/mod.ts
+++ b/packages/kelpspar-decisions/src/leases/mod.ts
@@ -14,7 +14,7 @@
   LeaseState,
   LeaseStep,
   LeaseWrite,
-  SeenLease,
+  ObservedLease,
   TriedLease,
 } from "./lease_state.ts";
 export type { LeaseTerms } from "./lease_terms.ts";
@@ -22,7 +22,7 @@
   grantKey,
   isAsDesired,
   isSameState,
-  listMissingLoads,
+  listMissingWeights,
 } from "./engine_match.ts";
 export { planEngineTargets } from "./engine_targets.ts";
 export {
--- a/packages/kelpspar-decisions/src/leases/order_planner.ts
+++ b/packages/kelpspar-decisions/src/leases/order_planner.ts
@@ -9,31 +9,33 @@
   grantKey,
   isAsDesired,
   isSameState,
-  listMissingLoads,
+  listMissingWeights,
 } from "./engine_match.ts";
 
 const DEFAULT_TIMES: PlannerTimes = {
-  routingMilliseconds: 3_000,
-  reportMilliseconds: 5_000,
-  loadMilliseconds: 600_000,
+  routingSettleMilliseconds: 3_000,
+  reportTimeoutMilliseconds: 5_000,
+  loadTimeoutMilliseconds: 600_000,
 };
 
 /**
- * Compares what engines report with what is desired and gives the next steps.
+ * Compares reported engine states with desired states and returns the next
+ * steps.
  *
- * An engine is first taken out of routing, and ordered once every daemon has
- * stopped using it and its work has drained, so that no request is cut. That
- * holds for engines that seem to serve nothing as well, since reports lag. Per availability zone one engine changes at a time; an engine that
- * loads for too long is ordered again and goes on to hold its zone up, so that
- * a version that cannot load stops after one engine a zone. A model never
- * falls below its floor of ready engines by a change; an engine that waits to
- * drain is put back when others fail and the floor needs it. No load starts
- * without a grant of the weight store, and an engine is not taken out before
- * its grants are there.
+ * An engine is first removed from routing, and ordered once every daemon has
+ * stopped using it and its in-flight work has drained, so that no request is
+ * cut off. That also applies to engines that seem to serve nothing, because
+ * reports lag. Per availability zone, one engine changes at a time. An engine
+ * that loads for too long is ordered again and keeps blocking its zone, so that
+ * a version that cannot load stops after one engine per zone. A change never
+ * reduces a model below its minimum of ready engines; an engine that is waiting
+ * to drain returns to routing if others fail and the minimum requires it. No
+ * load starts without a grant of the weight store, and an engine is not removed
+ * from routing before its grants are available.
  *
- * Steps depend on reports alone, not on who ordered what. A wrong state that a
- * stale holder's order left on an endpoint that does not check fencing numbers
- * is therefore corrected like any other.
+ * Steps depend on reports alone, not on the sender of an order. A wrong state
+ * that a stale holder's order caused at an endpoint that does not check fencing
+ * numbers is therefore corrected like any other.
  *
  * Source: the brief, "What the platform gives" and "What must always hold".
  */
@@ -62,17 +64,18 @@
     const engines = this.#input.engines.filter((engine) =>
       engine.report?.state !== "leaving"
     ).toSorted((left, right) => left.endpointId < right.endpointId ? -1 : 1);
-    for (const engine of engines) this.#count(engine);
+    for (const engine of engines) this.#countServing(engine);
     const changing = engines.filter((engine) => this.#isChanging(engine));
     const open = engines.filter((engine) => !changing.includes(engine));
-    const takenOut = open.filter(isTakenOut);
+    const takenOut = open.filter(isRemovedFromRouting);
     for (const { availabilityZone } of [...changing, ...takenOut]) {
       this.#busyZones.add(availabilityZone);
     }
-    for (const engine of changing) this.#watch(engine);
-    for (const engine of takenOut) this.#goOn(engine);
-    const others = open.filter((engine) => !isTakenOut(engine));
-    // Those that serve nothing go first: they add to the floor of the others.
+    for (const engine of changing) this.#superviseOrder(engine);
+    for (const engine of takenOut) this.#continueRemoved(engine);
+    const others = open.filter((engine) => !isRemovedFromRouting(engine));
+    // Engines that serve nothing go first: they raise the ready counts for the
+    // others.
     for (const engine of others) if (servesNothing(engine)) this.#start(engine);
     for (const engine of others) {
       if (!servesNothing(engine)) this.#start(engine);
@@ -80,7 +83,7 @@
     return this.#steps;
   }
 
-  #count(engine: PlannedEngine): void {
+  #countServing(engine: PlannedEngine): void {
     if (!this.#isServing(engine)) return;
     for (const model of Object.keys(engine.report?.models ?? {})) {
       this.#ready.set(model, (this.#ready.get(model) ?? 0) + 1);
@@ -88,34 +91,35 @@
   }
 
   #isServing(engine: PlannedEngine): boolean {
-    return engine.report?.state === "ready" && !isTakenOut(engine) &&
+    return engine.report?.state === "ready" && !isRemovedFromRouting(engine) &&
       !this.#isChanging(engine);
   }
 
-  /** True while our order for the desired state is not settled. */
+  /** True while this holder's order for the desired state is in progress. */
   #isChanging(engine: PlannedEngine): boolean {
-    const { ordered, desired, report } = engine;
-    if (ordered === undefined || !isOrdered(engine)) return false;
+    const { lastOrder, desired, report } = engine;
+    if (lastOrder === undefined || !isOrdered(engine)) return false;
     if (isAsDesired(report, desired)) return false;
     const isFresh =
-      this.#input.now - ordered.at < this.#times.reportMilliseconds;
+      this.#input.now - lastOrder.at < this.#times.reportTimeoutMilliseconds;
     return isFresh || report?.state === "loading";
   }
 
-  #watch(engine: PlannedEngine): void {
-    const orderedAt = engine.ordered?.at ?? this.#input.now;
-    const isStuck = this.#input.now - orderedAt >= this.#times.loadMilliseconds;
+  #superviseOrder(engine: PlannedEngine): void {
+    const orderedAt = engine.lastOrder?.at ?? this.#input.now;
+    const isStuck =
+      this.#input.now - orderedAt >= this.#times.loadTimeoutMilliseconds;
     if (isStuck) this.#order(engine);
     else this.#wait(engine, "loading");
   }
 
-  #goOn(engine: PlannedEngine): void {
+  #continueRemoved(engine: PlannedEngine): void {
     const { endpointId, report, desired } = engine;
     if (isAsDesired(report, desired) || this.#isNeeded(engine)) {
       this.#steps.push({ type: "put_back", endpointId });
     } else if (this.#isDrained(engine)) this.#order(engine);
     else {
-      this.#takeGrants(engine);
+      this.#reserveGrants(engine);
       this.#wait(engine, "draining");
     }
   }
@@ -128,7 +132,7 @@
       return this.#wait(engine, "zone");
     }
     if (!this.#isAboveFloor(engine)) return this.#wait(engine, "floor");
-    if (this.#takeGrants(engine) === undefined) {
+    if (this.#reserveGrants(engine) === undefined) {
       return this.#wait(engine, "grant");
     }
     this.#busyZones.add(availabilityZone);
@@ -140,7 +144,7 @@
 
   #order(engine: PlannedEngine): void {
     const { endpointId, desired } = engine;
-    const grants = this.#takeGrants(engine);
+    const grants = this.#reserveGrants(engine);
     if (grants === undefined) this.#wait(engine, "grant");
     else this.#steps.push({ type: "order", endpointId, desired, grants });
   }
@@ -149,10 +153,10 @@
     this.#steps.push({ type: "wait", endpointId, reason });
   }
 
-  /** Sets aside the grants an engine needs, or asks for what is missing. */
-  #takeGrants({ report, desired }: PlannedEngine): string[] | undefined {
+  /** Reserves the grants that an engine needs, or requests the missing ones. */
+  #reserveGrants({ report, desired }: PlannedEngine): string[] | undefined {
     if (report === undefined) return undefined;
-    const loads = listMissingLoads(report, desired);
+    const loads = listMissingWeights(report, desired);
     const missing = loads.filter(({ model, version }) =>
       (this.#grants.get(grantKey(model, version)) ?? 0) < 1
     );
@@ -169,16 +173,16 @@
 
   #isAboveFloor({ report }: PlannedEngine): boolean {
     return Object.keys(report?.models ?? {}).every((model) =>
-      this.#countReady(model) - 1 >= this.#floorOf(model)
+      this.#countReady(model) - 1 >= this.#minimumReadyOf(model)
     );
   }
 
-  /** True when the floor of a model that it still serves is not met. */
+  /** True if a model that the engine still serves is below its minimum. */
   #isNeeded(engine: PlannedEngine): boolean {
     const { report } = engine;
     if (report?.state !== "ready" || isOrdered(engine)) return false;
     return Object.keys(report.models).some((model) =>
-      this.#countReady(model) < this.#floorOf(model)
+      this.#countReady(model) < this.#minimumReadyOf(model)
     );
   }
 
@@ -186,35 +190,37 @@
     return this.#ready.get(model) ?? 0;
   }
 
-  #floorOf(model: string): number {
+  #minimumReadyOf(model: string): number {
     return this.#input.minimumReady.get(model) ?? 0;
   }
 
   /**
-   * Another daemon may still send to it, and its report lags: only a report
-   * that arrived after all daemons had stopped proves that it is empty.
+   * Other daemons may still send calls, and reports lag: only a report that
+   * arrived after all daemons stopped proves that the engine is idle.
    */
   #isDrained(engine: PlannedEngine): boolean {
-    const { takenOutAt = Infinity, reportAt = -Infinity, report } = engine;
-    const settledAt = takenOutAt + this.#times.routingMilliseconds;
+    const { removedFromRoutingAt = Infinity, reportAt = -Infinity, report } =
+      engine;
+    const settledAt = removedFromRoutingAt +
+      this.#times.routingSettleMilliseconds;
     const isEmpty = report !== undefined && engine.inFlight === 0 &&
       report.running === 0 && report.waiting === 0;
     return isEmpty && reportAt >= settledAt;
   }
 }
 
-function isTakenOut(engine: PlannedEngine): boolean {
-  return engine.takenOutAt !== undefined;
+function isRemovedFromRouting(engine: PlannedEngine): boolean {
+  return engine.removedFromRoutingAt !== undefined;
 }
 
 /**
- * True when it was ordered into the desired state since it was taken out. An
- * order from before it was put back says nothing of what it does now.
+ * True if the engine was ordered into the desired state after its removal from
+ * routing. An earlier order says nothing about its current state.
  */
 function isOrdered(engine: PlannedEngine): boolean {
-  const { ordered, desired, takenOutAt = Infinity } = engine;
-  return ordered !== undefined && ordered.at >= takenOutAt &&
-    isSameState(ordered.desired, desired);
+  const { lastOrder, desired, removedFromRoutingAt = Infinity } = engine;
+  return lastOrder !== undefined && lastOrder.at >= removedFromRoutingAt &&
+    isSameState(lastOrder.desired, desired);
 }
 
 function servesNothing({ report }: PlannedEngine): boolean {
