--- a/packages/kelpspar-daemon/src/configuration/configuration_keeper.ts
+++ b/packages/kelpspar-daemon/src/configuration/configuration_keeper.ts
@@ -1,4 +1,4 @@
-import type { ServingStance } from "kelpspar-decisions/revisions";
+import type { ServingMode } from "kelpspar-decisions/revisions";
 import type { KelpsparError, TimerService } from "kelpspar-shared";
 import type { DaemonState } from "../state/daemon_state.ts";
 import type { StateStore } from "../state/state_store.ts";
@@ -62,12 +62,15 @@
 
   /** Takes proof that a revision was accepted, without its content. */
   noteProof(revision: number, prover: string): void {
-    this.#tracker.noteProof({ revision, prover }, this.#options.timer.now());
+    this.#tracker.recordAnnouncement(
+      { revision, announcer: prover },
+      this.#options.timer.now(),
+    );
   }
 
   /** What to do with new requests now. */
-  get stance(): ServingStance {
-    return this.#tracker.stance(this.#options.timer.now());
+  get stance(): ServingMode {
+    return this.#tracker.servingMode(this.#options.timer.now());
   }
 
   /** Waits, for a moment at most, while a newer revision is being fetched. */
--- a/packages/kelpspar-decisions/src/__tests__/unit/revisions_apply_test.ts
+++ b/packages/kelpspar-decisions/src/__tests__/unit/revisions_apply_test.ts
@@ -21,11 +21,11 @@
   toFoundRevision,
 } from "../../revisions/mod.ts";
 
-// Symptom: an operator is told that a change failed and it is in force, two
-//   are told that theirs is in force, or one change is accepted twice.
-// Sequence: racing operators whose writes lose their answer, arrive late,
-//   twice or after a rival's; retries of a change whose outcome is unconfirmed.
-// Cause looked for: a lost answer taken for a failure or for a success.
+// Guards against an operator who is told that a change failed although it is in
+// force, two operators who are both told that theirs is in force, and a change
+// that is accepted twice. Operators race; their writes lose their answer,
+// arrive late, twice or after a competing one, and unconfirmed changes are
+// retried. Possible cause: a lost answer treated as a failure or as a success.
 
 const RUNS = 3_000;
 const STEPS = 80;
@@ -33,7 +33,7 @@
 interface Operator {
   readonly changeId: string;
   step: ApplyStep;
-  /** The event that is due, if the operator waits for nothing else. */
+  /** The next event, unless the operator waits for an answer. */
   due: ApplyEvent | undefined;
 }
 
@@ -46,7 +46,7 @@
 class World {
   readonly random: SeededRandom;
   readonly rows = new Map<string, { value: unknown; version: number }>();
-  /** The naive version: what was accepted, in its order. */
+  /** Reference model: the accepted revisions in order. */
   readonly accepted: RevisionRow[] = [];
   readonly outcomes: { changeId: string; outcome: ApplyOutcome }[] = [];
   operators: Operator[] = [];
@@ -58,7 +58,7 @@
     this.random = new SeededRandom(seed);
   }
 
-  /** Starts a new change, or one again whose outcome is unconfirmed. */
+  /** Starts a new change, or retries one whose outcome is unconfirmed. */
   begin(): void {
     const running = this.operators.map((operator) => operator.changeId);
     const open = this.outcomes.findLast(({ changeId, outcome }) =>
@@ -103,7 +103,7 @@
         (this.rows.get(key)?.version ?? 0) !== expectedVersion
       )
       .map(({ key }) => ({ key, row: this.rows.get(key) ?? null }));
-    // Some table services name only the first row in conflict.
+    // Some table services report only the first conflicting row.
     if (conflicts.length > 0 && this.random.nextInteger(2) === 0) {
       return { committed: false, conflicts: conflicts.slice(0, 1) };
     }
@@ -124,15 +124,15 @@
   deliver(): void {
     const sent = this.network[this.random.nextInteger(this.network.length)];
     if (sent === undefined) return;
-    const fate = this.faults ? this.random.nextInteger(6) : 5;
-    if (fate > 1) this.network = this.network.filter((one) => one !== sent);
-    const isKept = fate === 0;
-    const isRefused = fate === 2 && sent.isAwaited;
+    const roll = this.faults ? this.random.nextInteger(6) : 5;
+    if (roll > 1) this.network = this.network.filter((one) => one !== sent);
+    const isKept = roll === 0;
+    const isRefused = roll === 2 && sent.isAwaited;
     const answer = isKept || isRefused ? undefined : this.#commit(sent.writes);
     if (!sent.isAwaited) return;
     sent.isAwaited = false;
     if (isRefused) return this.#tell(sent.from, { type: "unavailable" });
-    if (answer === undefined || fate === 3) {
+    if (answer === undefined || roll === 3) {
       return this.#tell(sent.from, { type: "unknown" });
     }
     this.#tell(sent.from, toApplyEvent(sent.from.step.attempt, answer));
@@ -173,7 +173,7 @@
       }
       settled.set(changeId, outcome);
     }
-    // The last word on a change counts: an earlier try of it may have been
+    // The last outcome of a change counts: an earlier attempt may have been
     // left unconfirmed.
     for (const [changeId, { type }] of settled) {
       if (type !== "conflict" && type !== "not_written") continue;
@@ -182,7 +182,7 @@
   }
 }
 
-test("operators learn what the list of accepted revisions says", (t) => {
+test("operators receive outcomes that match the accepted revisions", (t) => {
   const counts = new Map<string, number>();
   fc.assert(
     fc.property(fc.integer(), (seed) => {
@@ -206,7 +206,7 @@
   );
 });
 
-test("a change is refused when the operator built on another revision", () => {
+test("a change based on another revision is refused", () => {
   const change = { changeId: "b", fields: {}, expectedRevision: 3 };
   const current = { row: { revision: 4, changeId: "a" }, version: 9 };
   const { attempt, actions } = beginApply(change, { current });
--- a/packages/kelpspar-decisions/src/__tests__/unit/revisions_tracker_test.ts
+++ b/packages/kelpspar-decisions/src/__tests__/unit/revisions_tracker_test.ts
@@ -1,20 +1,20 @@
-import type { BootAnswer, BootSurvey } from "../../revisions/mod.ts";
+import type { BootAnswer, BootAnswers } from "../../revisions/mod.ts";
 import { test } from "node:test";
 import { expect } from "earl";
 import fc from "fast-check";
 import { SeededRandom } from "kelpspar-shared";
 import {
   chooseBootRevision,
-  pickBootPeers,
   RevisionTracker,
+  selectBootPeers,
 } from "../../revisions/mod.ts";
 
 const HOLD = 10;
 
-// Symptom: a configuration that was in force is not any more.
-// Sequence: offers and proofs of revisions overtake one another.
-// Cause looked for: the last one heard wins instead of the highest.
-test("a daemon moves only up and never serves below proof", () => {
+// Guards against a configuration that was in force and no longer is: offers and
+// announcements of revisions overtake one another, and the last one wins
+// instead of the highest.
+test("a daemon never lowers its revision nor serves one below an announced revision", () => {
   const eventArbitrary = fc.record({
     type: fc.constantFrom("offer", "proof"),
     revision: fc.integer({ min: 1, max: 9 }),
@@ -27,19 +27,19 @@
       const tracker = new RevisionTracker<string>({ holdMilliseconds: HOLD });
       let now = 0;
       let current = 0;
-      let proof = 0;
+      let announced = 0;
       let waitsSince = 0;
-      const taken = new Map<number, string>();
+      const accepted = new Map<number, string>();
       for (const { type, revision, isOther, wait } of sequence) {
         now += wait;
         const changeId = isOther ? `other${revision}` : `change${revision}`;
-        const wasMissing = proof > current;
+        const wasMissing = announced > current;
         if (type === "offer") {
           const offer = { revision, changeId, content: changeId } as const;
           const told = tracker.offer({ ...offer, source: "peer" }, now);
           const reason = revision < current
             ? "lower"
-            : taken.get(revision) === changeId
+            : accepted.get(revision) === changeId
             ? "known"
             : "diverged";
           expect(told).toEqual(
@@ -49,20 +49,20 @@
           );
           if (revision > current) {
             current = revision;
-            taken.set(revision, changeId);
+            accepted.set(revision, changeId);
             waitsSince = now;
           }
         } else {
-          tracker.noteProof({ revision, prover: changeId }, now);
-          proof = Math.max(proof, revision);
+          tracker.recordAnnouncement({ revision, announcer: changeId }, now);
+          announced = Math.max(announced, revision);
           if (!wasMissing) waitsSince = now;
         }
-        const isMissing = proof > current;
+        const isMissing = announced > current;
         expect(tracker.current?.revision ?? 0).toEqual(current);
         expect(tracker.missing?.revision).toEqual(
-          isMissing ? proof : undefined,
+          isMissing ? announced : undefined,
         );
-        expect(tracker.stance(now)).toEqual(
+        expect(tracker.servingMode(now)).toEqual(
           current === 0
             ? "refuse"
             : !isMissing
@@ -91,10 +91,9 @@
   ),
 );
 
-// Symptom: a daemon that boots in an outage serves an old configuration.
-// Sequence: the store is down; one peer was cut off, others were not.
-// Cause looked for: the first answer wins.
-test("a booting daemon starts from the highest answer, and not early", () => {
+// Guards against serving an old configuration after a boot during a store
+// outage: one peer was partitioned, others were not, and the first answer wins.
+test("a booting daemon waits for enough answers and starts from the highest revision", () => {
   const surveyArbitrary = fc.record({
     table: answerArbitrary,
     peers: fc.array(answerArbitrary, { maxLength: 5 }),
@@ -103,15 +102,20 @@
   fc.assert(
     fc.property(surveyArbitrary, ({ table, peers, elapsedMilliseconds }) => {
       const named = peers.map((answer, at) => [`peer${at}`, answer] as const);
-      const survey: BootSurvey = {
+      const bootAnswers: BootAnswers = {
         table,
         peers: new Map(named),
         elapsedMilliseconds,
       };
-      const heard = [table, ...peers].filter((one) => one?.type === "revision");
-      const highest = Math.max(0, ...heard.map(({ revision }) => revision));
-      const isTableSure = table !== undefined && table.type !== "failed";
-      const isEnough = isTableSure ||
+      const revisionAnswers = [table, ...peers].filter((one) =>
+        one?.type === "revision"
+      );
+      const highest = Math.max(
+        0,
+        ...revisionAnswers.map(({ revision }) => revision),
+      );
+      const hasTableAnswer = table !== undefined && table.type !== "failed";
+      const isEnough = hasTableAnswer ||
         peers.filter((one) => one?.type === "revision").length >= 3;
       const isOver = elapsedMilliseconds >= 1_500 ||
         (table !== undefined && !peers.includes(undefined));
@@ -119,20 +123,22 @@
         ? "wait"
         : highest > 0
         ? "start"
-        : isTableSure
+        : hasTableAnswer
         ? "start_empty"
         : "ask_again";
-      const choice = chooseBootRevision(survey);
+      const choice = chooseBootRevision(bootAnswers);
       expect(choice.type).toEqual(expected);
       if (choice.type !== "start") return;
       const from = choice.from === "table"
         ? table
-        : survey.peers.get(choice.from);
+        : bootAnswers.peers.get(choice.from);
       expect(from?.type === "revision" && from.revision).toEqual(highest);
       expect(choice.revision).toEqual(highest);
       expect(choice.highestKnown).toEqual(
         Math.max(
-          ...heard.map((one) => Math.max(one.revision, one.highestKnown ?? 0)),
+          ...revisionAnswers.map((one) =>
+            Math.max(one.revision, one.highestKnown ?? 0)
+          ),
         ),
       );
     }),
@@ -140,13 +146,13 @@
   );
 });
 
-test("peers to ask come from as many zones as there are", () => {
+test("peers to query come from as many zones as possible", () => {
   const peers = ["a", "a", "a", "a", "b", "c"].map((availabilityZone, at) => (
     { name: `${availabilityZone}${at}`, availabilityZone }
   ));
   for (let seed = 0; seed < 50; seed++) {
     const random = new SeededRandom(seed);
-    const zones = pickBootPeers(peers, { random }).map((name) => name[0]);
+    const zones = selectBootPeers(peers, { random }).map((name) => name[0]);
     expect(zones.sort()).toEqual(["a", "b", "c"]);
   }
 });
--- a/packages/kelpspar-decisions/src/revisions/apply_answers.ts
+++ b/packages/kelpspar-decisions/src/revisions/apply_answers.ts
@@ -6,13 +6,13 @@
   parseRevisionRow,
 } from "./revision_row.ts";
 
-/** A row in the form that the table service gives. */
+/** A row as returned by the table service. */
 export interface RevisionTableRow {
   readonly value: unknown;
   readonly version: number;
 }
 
-/** The answer to an apply's transaction, as the table service gives it. */
+/** Answer of the table service to an apply's transaction. */
 export type ApplyTransactionAnswer =
   | { readonly committed: true }
   | {
@@ -23,7 +23,7 @@
     }[];
   };
 
-/** Turns the table's answer to an apply's transaction into an event. */
+/** Converts the table's answer to an apply's transaction into an event. */
 export function toApplyEvent(
   attempt: ApplyAttempt,
   answer: ApplyTransactionAnswer,
@@ -40,7 +40,7 @@
   };
 }
 
-/** Reads a configuration row; null when it is absent or unreadable. */
+/** Parses a configuration row; null if it is absent or unreadable. */
 export function toFoundRevision(
   found: RevisionTableRow | null,
 ): FoundRevision | null {
--- a/packages/kelpspar-decisions/src/revisions/apply_confirmation.ts
+++ b/packages/kelpspar-decisions/src/revisions/apply_confirmation.ts
@@ -12,21 +12,21 @@
   historyKey,
 } from "./revision_row.ts";
 
-const ABSENT = 0;
+const ABSENT_VERSION = 0;
 
-/** What the table says before an apply. */
+/** Table contents read before an apply. */
 export interface ApplyBase {
-  /** The row `current`; null when nothing was ever accepted. */
+  /** The row `current`; null if no revision was ever accepted. */
   readonly current: FoundRevision | null;
   /**
-   * Given when the same change was tried before: the history rows from the
-   * revision that its first try was built on. Its writes may still arrive, so
-   * that `not_written` can't be proved any more.
+   * Present if the same change was tried before: the history rows from the base
+   * revision of the first attempt on. Writes of that attempt may still arrive,
+   * so `not_written` can no longer be proved.
    */
   readonly history?: readonly RevisionRow[];
 }
 
-/** Starts to apply a change on top of what the table says. */
+/** Starts to apply a change on top of the table's current revision. */
 export function beginApply(
   change: ConfigurationChange,
   base: ApplyBase,
@@ -35,7 +35,7 @@
   const attempt: ApplyAttempt = {
     change,
     baseRevision: current?.row.revision ?? 0,
-    baseVersion: current?.version ?? ABSENT,
+    baseVersion: current?.version ?? ABSENT_VERSION,
     mayHaveWritten: history !== undefined,
     phase: "writing",
   };
@@ -53,16 +53,16 @@
 }
 
 /**
- * Moves an apply on by one event.
+ * Advances an apply by one event.
  *
- * What goes wrong without it: the answer to the write is lost, the operator is
- * told that the change failed, and it is in force. Or two operators are both
- * told that theirs is in force. Here the same transaction is sent again under
- * the same conditions until it commits or conflicts; either settles what
- * became of all earlier sends, also of those that are still on their way,
- * since the version of `current` only grows. The history row, written in the
- * same transaction, tells our change from a rival's when later revisions stand
- * on top.
+ * Guards against two failures: the answer to a write is lost and the operator
+ * is told that the change failed although it is in force; or two operators are
+ * both told that their change is in force. The same transaction is sent again
+ * under the same conditions until it commits or conflicts. Either result also
+ * settles all earlier sends, including those still in transit, because the
+ * version of `current` only increases. The history row, written in the same
+ * transaction, distinguishes our change from a competing one when later
+ * revisions exist.
  *
  * Source: the brief, "What fails" (lost answers, racing operators).
  */
@@ -74,7 +74,7 @@
   return EVENT_HANDLERS[event.type](attempt, event as never);
 }
 
-/** Finds a change among accepted revisions, to look an unconfirmed one up. */
+/** Finds a change among accepted revisions, for example an unconfirmed one. */
 export function findAcceptedChange(
   rows: Iterable<RevisionRow>,
   changeId: string,
@@ -93,49 +93,50 @@
 const EVENT_HANDLERS: EventHandlers = {
   committed: (attempt) =>
     finish(attempt, { type: "accepted", revision: ownRevision(attempt) }),
-  conflict: settleConflict,
+  conflict: resolveConflict,
   unknown: (attempt) => wait({ ...attempt, mayHaveWritten: true }),
   unavailable: wait,
-  history: (attempt, { found }) => settleByHistory(attempt, found),
+  history: (attempt, { found }) => resolveByHistory(attempt, found),
   resend: (attempt) =>
-    attempt.rivalRevision === undefined ? commit(attempt) : read(attempt),
+    attempt.competingRevision === undefined ? commit(attempt) : read(attempt),
   give_up: (attempt) =>
     finish(attempt, {
       type: mayBeAccepted(attempt) ? "unconfirmed" : "not_written",
     }),
 };
 
-function settleConflict(
+function resolveConflict(
   attempt: ApplyAttempt,
   event: Extract<ApplyEvent, { readonly type: "conflict" }>,
 ): ApplyStep {
   const { current, history } = event;
-  const rivalRevision = current?.row.revision ?? history?.row.revision ??
+  const competingRevision = current?.row.revision ?? history?.row.revision ??
     attempt.baseRevision;
-  const settled = { ...attempt, rivalRevision };
-  // A table may name only the first row in conflict. Without the history row
-  // an earlier try of the same change that landed late looks like a rival.
+  const conflicting = { ...attempt, competingRevision };
+  // A table may report only the first conflicting row. Without the history row,
+  // an earlier attempt of the same change that arrived late looks like a
+  // competing change.
   return history === undefined
-    ? read(settled)
-    : settleByHistory(settled, history);
+    ? read(conflicting)
+    : resolveByHistory(conflicting, history);
 }
 
-function settleByHistory(
+function resolveByHistory(
   attempt: ApplyAttempt,
   history: FoundRevision | null,
 ): ApplyStep {
-  const { change, rivalRevision, baseRevision } = attempt;
+  const { change, competingRevision, baseRevision } = attempt;
   if (history?.row.changeId === change.changeId) {
     return finish(attempt, {
       type: "accepted",
       revision: history.row.revision,
     });
   }
-  const revision = rivalRevision ?? baseRevision;
+  const revision = competingRevision ?? baseRevision;
   return finish(attempt, { type: "conflict", revision });
 }
 
-/** A write still on its way may yet be accepted. */
+/** A pending write may still be accepted. */
 function mayBeAccepted(attempt: ApplyAttempt): boolean {
   return attempt.mayHaveWritten || attempt.phase === "writing";
 }
@@ -173,7 +174,12 @@
   const table = CONFIGURATION_TABLE;
   const writes = [
     { table, key: CURRENT_REVISION_KEY, value, expectedVersion: baseVersion },
-    { table, key: historyKey(revision), value, expectedVersion: ABSENT },
+    {
+      table,
+      key: historyKey(revision),
+      value,
+      expectedVersion: ABSENT_VERSION,
+    },
   ];
   return {
     attempt: { ...attempt, phase: "writing" },
--- a/packages/kelpspar-decisions/src/revisions/apply_state.ts
+++ b/packages/kelpspar-decisions/src/revisions/apply_state.ts
@@ -1,62 +1,68 @@
 import type { FoundRevision } from "./revision_row.ts";
 
-/** A change that an operator wants accepted. */
+/** A configuration change submitted by an operator. */
 export interface ConfigurationChange {
-  /** Differs for each change; the same when the same one is tried again. */
+  /** Unique per change; a retry of the same change uses the same id. */
   readonly changeId: string;
-  /** All else that the rows carry; `revision` and `changeId` are added. */
+  /** Other fields of the rows; `revision` and `changeId` are added. */
   readonly fields: Readonly<Record<string, unknown>>;
-  /** The revision that the operator built on; a higher one is a conflict. */
+  /**
+   * Revision that the change is based on; any other current revision is a
+   * conflict.
+   */
   readonly expectedRevision?: number;
 }
 
-/** How an apply ended. */
+/** Outcome of an apply. */
 export type ApplyOutcome =
-  /** In force from now on, and never reverted. */
+  /** The change is in force and is never reverted. */
   | { readonly type: "accepted"; readonly revision: number }
-  /** Another change came first; ours never takes effect. */
+  /** Another change was accepted first; this one never takes effect. */
   | { readonly type: "conflict"; readonly revision: number }
-  /** Whether it was or will be accepted is not known: look it up later. */
+  /** Unknown whether the change was or will be accepted; look it up later. */
   | { readonly type: "unconfirmed" }
-  /** Proved: the table never received it. */
+  /** Proof that the table never received the change. */
   | { readonly type: "not_written" };
 
-/** One apply, as an immutable snapshot. */
+/** Immutable state of one apply. */
 export interface ApplyAttempt {
   readonly change: ConfigurationChange;
-  /** What the change builds on; revision and version 0 for the very first. */
+  /** Base of the change; revision and version are 0 for the first change. */
   readonly baseRevision: number;
   readonly baseVersion: number;
-  /** True once a write's answer was lost, in this try or an earlier one. */
+  /**
+   * True once the answer to a write was lost, in this attempt or an earlier
+   * one.
+   */
   readonly mayHaveWritten: boolean;
-  /** What the attempt waits for. */
+  /** What the attempt is waiting for. */
   readonly phase: "writing" | "reading" | "waiting" | "finished";
-  /** The revision of the change that came first, while it is confirmed. */
-  readonly rivalRevision?: number;
+  /** Revision of a competing change, while it is being confirmed. */
+  readonly competingRevision?: number;
 }
 
-/** What happens to an apply. */
+/** Events of an apply. */
 export type ApplyEvent =
   | { readonly type: "committed" }
   | {
     readonly type: "conflict";
-    /** The row `current`, when its condition did not hold. */
+    /** The row `current`, if its condition failed. */
     readonly current?: FoundRevision | null;
-    /** The history row of our revision, when its condition did not hold. */
+    /** The history row of our revision, if its condition failed. */
     readonly history?: FoundRevision | null;
   }
-  /** The write's answer was lost. */
+  /** The answer to the write was lost. */
   | { readonly type: "unknown" }
-  /** Proved: the write or the read was not received, or was refused. */
+  /** Proof that the write or the read was not received or was refused. */
   | { readonly type: "unavailable" }
-  /** The history row that was asked for; null when there is none. */
+  /** The requested history row; null if it is absent. */
   | { readonly type: "history"; readonly found: FoundRevision | null }
-  /** The wait that `resend_later` asked for is over. */
+  /** The wait requested by `resend_later` has elapsed. */
   | { readonly type: "resend" }
-  /** The operator's patience is over. */
+  /** The operator's wait limit has expired. */
   | { readonly type: "give_up" };
 
-/** One write of the apply's transaction. */
+/** One write of an apply's transaction. */
 export interface ApplyWrite {
   readonly table: string;
   readonly key: string;
@@ -64,7 +70,7 @@
   readonly expectedVersion: number;
 }
 
-/** What the daemon has to do after an event. */
+/** Action required after an event. */
 export type ApplyAction =
   | { readonly type: "commit"; readonly writes: readonly ApplyWrite[] }
   | { readonly type: "read"; readonly table: string; readonly key: string }
@@ -72,7 +78,7 @@
   | { readonly type: "resend_later" }
   | { readonly type: "finish"; readonly outcome: ApplyOutcome };
 
-/** A new snapshot and what to do. */
+/** New state and the actions to perform. */
 export interface ApplyStep {
   readonly attempt: ApplyAttempt;
   readonly actions: readonly ApplyAction[];
--- a/packages/kelpspar-decisions/src/revisions/boot_choice.ts
+++ b/packages/kelpspar-decisions/src/revisions/boot_choice.ts
@@ -1,107 +1,115 @@
 import type { RandomSource } from "kelpspar-shared";
 
-const DEFAULT_PEERS_TO_ASK = 3;
-const DEFAULT_PATIENCE_MILLISECONDS = 1_500;
+const DEFAULT_PEERS_TO_QUERY = 3;
+const DEFAULT_ANSWER_TIMEOUT_MILLISECONDS = 1_500;
 
-/** What the table or a peer says when a daemon boots. */
+/** Answer of the table or a peer to a booting daemon. */
 export type BootAnswer =
   | {
     readonly type: "revision";
     readonly revision: number;
     readonly changeId: string;
-    /** The highest revision it knows of, when it lacks the content. */
+    /**
+     * Highest revision known to the answerer, if it lacks the content of that
+     * revision.
+     */
     readonly highestKnown?: number;
   }
-  /** It has no configuration. From the table: none was ever accepted. */
+  /** No configuration. From the table: no revision was ever accepted. */
   | { readonly type: "empty" }
   | { readonly type: "failed" };
 
-/** What was asked and what was answered so far. */
-export interface BootSurvey {
-  /** Undefined while the table has not answered. */
+/** Queries sent by a booting daemon and the answers so far. */
+export interface BootAnswers {
+  /** Answer of the table; undefined before it arrives. */
   readonly table: BootAnswer | undefined;
-  /** Every peer that was asked; undefined while it has not answered. */
+  /** Every queried peer; undefined before its answer arrives. */
   readonly peers: ReadonlyMap<string, BootAnswer | undefined>;
-  /** Since the first question, milliseconds. */
+  /** Time since the first query, milliseconds. */
   readonly elapsedMilliseconds: number;
 }
 
-/** How a daemon chooses at boot. */
+/** Options of `chooseBootRevision`. */
 export interface BootChoiceOptions {
-  /** Peers whose answers are enough without the table; default 3. */
-  readonly peersToAsk?: number;
-  /** How long to wait for more answers, milliseconds; default 1,500. */
-  readonly patienceMilliseconds?: number;
+  /** Number of peer answers that suffice without the table; default 3. */
+  readonly peersToQuery?: number;
+  /** Time to wait for further answers, milliseconds; default 1,500. */
+  readonly answerTimeoutMilliseconds?: number;
 }
 
-/** What a booting daemon does next. */
+/** Next step of a booting daemon. */
 export type BootChoice =
   | { readonly type: "wait" }
   | {
     readonly type: "start";
-    /** Who has the content: `table` or a peer's name. */
+    /** Source of the content: `table` or a peer's name. */
     readonly from: string;
     readonly revision: number;
     readonly changeId: string;
-    /** The highest revision that any answer proved. */
+    /** Highest revision mentioned by any answer. */
     readonly highestKnown: number;
   }
-  /** No revision was ever accepted: run without one and watch the table. */
+  /** No revision was ever accepted: run without one and poll the table. */
   | { readonly type: "start_empty" }
-  /** Nobody knows: take no requests, and ask again after a jittered wait. */
+  /**
+   * No usable answer: accept no requests and query again after a jittered wait.
+   */
   | { readonly type: "ask_again" };
 
-/** The name of the table among the answers. */
-export const TABLE_AS_PROVER = "table";
+/** Name of the table among the sources. */
+export const TABLE_AS_SOURCE = "table";
 
 /**
- * Chooses the revision to start from: the highest that was answered.
+ * Chooses the revision to start from: the highest one among the answers.
  *
- * What goes wrong without it: a daemon without a disk boots while the store is
- * down, meets one peer that was cut off and starts from an old revision. So
- * several peers are asked, of different availability zones. The table's answer
- * alone is enough, since it is where revisions are accepted. Without it the
- * daemon starts once enough peers answered, or after its patience if at least
- * one did. A revision that no answering peer has heard of can't be known then;
- * the daemon moves up as soon as it hears of it.
+ * Guards against a daemon without a disk that boots during a store outage,
+ * reaches one peer that was partitioned and starts from an old revision.
+ * Several peers in different availability zones are therefore queried. The
+ * table's answer alone suffices, because revisions are accepted there. Without
+ * it, the daemon starts once enough peers have answered, or after the answer
+ * timeout if at least one has. A revision unknown to all answering peers can't
+ * be detected at that point; the daemon upgrades as soon as a peer announces
+ * it.
  */
 export function chooseBootRevision(
-  survey: BootSurvey,
+  answers: BootAnswers,
   options: BootChoiceOptions = {},
 ): BootChoice {
   const {
-    peersToAsk = DEFAULT_PEERS_TO_ASK,
-    patienceMilliseconds = DEFAULT_PATIENCE_MILLISECONDS,
+    peersToQuery = DEFAULT_PEERS_TO_QUERY,
+    answerTimeoutMilliseconds = DEFAULT_ANSWER_TIMEOUT_MILLISECONDS,
   } = options;
-  const best = findHighest(survey);
-  const { table, elapsedMilliseconds } = survey;
-  const isTableSure = table !== undefined && table.type !== "failed";
-  if (isTableSure) return best ?? { type: "start_empty" };
-  const answers = [...survey.peers.values()];
-  const usable = answers.filter((answer) => answer?.type === "revision");
-  if (best !== undefined && usable.length >= peersToAsk) return best;
-  const isOpen = table === undefined || answers.includes(undefined);
-  if (isOpen && elapsedMilliseconds < patienceMilliseconds) {
+  const best = findHighest(answers);
+  const { table, elapsedMilliseconds } = answers;
+  const hasTableAnswer = table !== undefined && table.type !== "failed";
+  if (hasTableAnswer) return best ?? { type: "start_empty" };
+  const received = [...answers.peers.values()];
+  const usable = received.filter((answer) => answer?.type === "revision");
+  if (best !== undefined && usable.length >= peersToQuery) return best;
+  const isAnswerPending = table === undefined || received.includes(undefined);
+  if (isAnswerPending && elapsedMilliseconds < answerTimeoutMilliseconds) {
     return { type: "wait" };
   }
   return best ?? { type: "ask_again" };
 }
 
-/** Picks peers to ask at boot: of as many availability zones as there are. */
-export function pickBootPeers(
+/**
+ * Selects peers to query at boot, from as many availability zones as possible.
+ */
+export function selectBootPeers(
   peers: readonly {
     readonly name: string;
     readonly availabilityZone: string;
   }[],
   options: { readonly random: RandomSource; readonly count?: number },
 ): readonly string[] {
-  const { random, count = DEFAULT_PEERS_TO_ASK } = options;
+  const { random, count = DEFAULT_PEERS_TO_QUERY } = options;
   const shuffled = peers.map((peer) => ({ peer, order: random.next() }))
     .sort((left, right) => left.order - right.order);
-  const seen = new Map<string, number>();
+  const pickedPerZone = new Map<string, number>();
   const ranked = shuffled.map(({ peer }) => {
-    const round = seen.get(peer.availabilityZone) ?? 0;
-    seen.set(peer.availabilityZone, round + 1);
+    const round = pickedPerZone.get(peer.availabilityZone) ?? 0;
+    pickedPerZone.set(peer.availabilityZone, round + 1);
     return { name: peer.name, round };
   });
   ranked.sort((left, right) => left.round - right.round);
@@ -109,13 +117,13 @@
 }
 
 function findHighest(
-  survey: BootSurvey,
+  answers: BootAnswers,
 ): Extract<BootChoice, { readonly type: "start" }> | undefined {
-  const { table } = survey;
-  const answers = [[TABLE_AS_PROVER, table] as const, ...survey.peers];
+  const { table } = answers;
+  const received = [[TABLE_AS_SOURCE, table] as const, ...answers.peers];
   let best: { from: string; revision: number; changeId: string } | undefined;
   let highestKnown = 0;
-  for (const [from, answer] of answers) {
+  for (const [from, answer] of received) {
     if (answer?.type !== "revision") continue;
     const { revision, changeId } = answer;
     highestKnown = Math.max(highestKnown, revision, answer.highestKnown ?? 0);
--- a/packages/kelpspar-decisions/src/revisions/mod.ts
+++ b/packages/kelpspar-decisions/src/revisions/mod.ts
@@ -14,15 +14,15 @@
 } from "./apply_state.ts";
 export type {
   BootAnswer,
+  BootAnswers,
   BootChoice,
   BootChoiceOptions,
-  BootSurvey,
 } from "./boot_choice.ts";
 export type {
   RevisionDecision,
   RevisionOffer,
   RevisionSource,
-  ServingStance,
+  ServingMode,
 } from "./revision_offer.ts";
 export type { FoundRevision, RevisionRow } from "./revision_row.ts";
 export type {
@@ -37,8 +37,8 @@
 } from "./apply_confirmation.ts";
 export {
   chooseBootRevision,
-  pickBootPeers,
-  TABLE_AS_PROVER,
+  selectBootPeers,
+  TABLE_AS_SOURCE,
 } from "./boot_choice.ts";
 export {
   CONFIGURATION_TABLE,
--- a/packages/kelpspar-decisions/src/revisions/revision_offer.ts
+++ b/packages/kelpspar-decisions/src/revisions/revision_offer.ts
@@ -1,32 +1,34 @@
 import type { RevisionRow } from "./revision_row.ts";
 
-/** Where a daemon heard of a revision. */
+/** Source from which a daemon received a revision. */
 export type RevisionSource = "table" | "peer" | "boot";
 
 /**
- * A revision with its content. Only accepted revisions are ever offered: a
- * daemon passes on what the table confirmed, or what it was itself offered.
+ * A revision with its content. Only accepted revisions are offered: a daemon
+ * forwards what the table confirmed or what another daemon offered.
  */
 export interface RevisionOffer<Content> extends RevisionRow {
   readonly source: RevisionSource;
   readonly content: Content;
 }
 
-/** What became of an offer. */
+/** Result of an offer. */
 export type RevisionDecision =
   | { readonly type: "accepted" }
   | {
     readonly type: "ignored";
     /**
-     * `diverged`: another change under a revision that is in force. It cannot
-     * happen while the table keeps its promises, and calls for an alarm.
+     * `diverged`: a different change under a revision that is in force.
+     * Impossible while the table meets its guarantees; raise an alarm.
      */
     readonly reason: "known" | "lower" | "diverged" | "malformed";
   };
 
 /**
- * What to do with new requests: `serve` them; `hold` them for a moment, since
- * a higher revision exists that is being fetched; or `refuse` them as
- * `no_configuration`, `not_run`, to be sent to another daemon.
+ * How to handle new requests:
+ * - `serve`: accept them.
+ * - `hold`: delay them briefly, because a higher revision is being fetched.
+ * - `refuse`: refuse them as `no_configuration`, `not_run`, so that callers use
+ *   another daemon.
  */
-export type ServingStance = "serve" | "hold" | "refuse";
+export type ServingMode = "serve" | "hold" | "refuse";
--- a/packages/kelpspar-decisions/src/revisions/revision_row.ts
+++ b/packages/kelpspar-decisions/src/revisions/revision_row.ts
@@ -1,17 +1,17 @@
-/** The table that holds the configuration (docs/PLATFORM.md). */
+/** Table of the configuration (docs/PLATFORM.md). */
 export const CONFIGURATION_TABLE = "configuration";
 
-/** The key of the revision in force. */
+/** Key of the revision in force. */
 export const CURRENT_REVISION_KEY = "current";
 
 const HISTORY_PREFIX = "revision/";
 const HISTORY_DIGITS = 8;
 
-/** What every configuration row says, whatever else it carries. */
+/** Fields common to all configuration rows. */
 export interface RevisionRow {
-  /** Grows by one with each accepted change; the first is 1. */
+  /** Increases by one with each accepted change, starting at 1. */
   readonly revision: number;
-  /** The operator's change; differs for each change. */
+  /** Id of the operator's change; unique per change. */
   readonly changeId: string;
 }
 
@@ -21,12 +21,12 @@
   readonly version: number;
 }
 
-/** The key of an accepted revision's own row, in the order of revisions. */
+/** Key of an accepted revision's history row; keys sort by revision. */
 export function historyKey(revision: number): string {
   return `${HISTORY_PREFIX}${String(revision).padStart(HISTORY_DIGITS, "0")}`;
 }
 
-/** Reads the parts that decide from a row's value; undefined if unreadable. */
+/** Parses the common fields of a row's value; undefined if unreadable. */
 export function parseRevisionRow(value: unknown): RevisionRow | undefined {
   if (typeof value !== "object" || value === null) return undefined;
   const { revision, changeId } = value as Partial<
@@ -36,7 +36,7 @@
   return { revision, changeId };
 }
 
-/** True for the whole numbers from 1 that name revisions. */
+/** True for valid revision numbers: integers from 1. */
 export function isRevision(value: unknown): value is number {
   return Number.isSafeInteger(value) && Number(value) >= 1;
 }
--- a/packages/kelpspar-decisions/src/revisions/revision_tracker.ts
+++ b/packages/kelpspar-decisions/src/revisions/revision_tracker.ts
@@ -1,46 +1,51 @@
 import type {
   RevisionDecision,
   RevisionOffer,
-  ServingStance,
+  ServingMode,
 } from "./revision_offer.ts";
 import { isRevision } from "./revision_row.ts";
 
 const DEFAULT_HOLD_MILLISECONDS = 500;
 
-/** How a daemon behaves while it lacks a revision. */
+/** Options of `RevisionTracker`. */
 export interface RevisionTrackerOptions {
-  /** How long new requests wait for a missing revision; default 500. */
+  /**
+   * How long new requests wait for a missing revision, milliseconds; default
+   * 500.
+   */
   readonly holdMilliseconds?: number;
 }
 
-/** A revision that exists and that this daemon does not have. */
+/** A revision that is known to exist but is missing at this daemon. */
 export interface MissingRevision {
   readonly revision: number;
-  /** Monotonic milliseconds; when the daemon began to wait for it. */
+  /** When the daemon started waiting for it, monotonic milliseconds. */
   readonly since: number;
-  /** Who proved it and should be asked for it; the last few, newest first. */
-  readonly provers: readonly string[];
+  /**
+   * Daemons that announced it and can provide it; the last few, newest first.
+   */
+  readonly announcers: readonly string[];
 }
 
-const MOST_PROVERS = 4;
+const MAXIMUM_ANNOUNCERS = 4;
 
 /**
- * The revision that a daemon serves from. It only moves up.
+ * Tracks the revision that a daemon serves. It never decreases.
  *
- * What goes wrong without it: offers overtake one another between the table,
- * peers and boot, and a daemon goes back to an older configuration. It shows
- * as a change that was in force and is not any more.
+ * Guards against a daemon that returns to an older configuration because offers
+ * from the table, peers and boot overtake one another. The symptom is a change
+ * that was in force and no longer is.
  *
- * A daemon that has proof of a higher revision without its content stops
- * taking new requests at once. It holds them for a moment, because the prover
- * has the content and a fetch takes milliseconds. After that it refuses them
- * as `not_run`, since the prover and others can serve them by the right
- * revision. Serving the lower one on would let a change that operators have
- * seen in force be undone for some callers. The cost: when every daemon that
- * has the content dies before anyone fetched it while the store is down, the
- * others refuse until one of them returns. Whoever announces a revision should
- * therefore offer its content along with the number.
- * Requests in flight end by the revision they started with.
+ * A daemon that knows of a higher revision without its content stops accepting
+ * new requests immediately. It holds them briefly, because the announcing
+ * daemon has the content and a fetch takes milliseconds. After that it refuses
+ * them as `not_run`, since other daemons can serve them under the right
+ * revision. Serving the lower revision would undo, for some callers, a change
+ * that operators have seen in force. The cost: if every daemon that has the
+ * content dies before any other fetched it while the store is down, the others
+ * refuse requests until one of them returns. Announcements should therefore
+ * include the content of the revision. In-flight requests finish under the
+ * revision they started with.
  *
  * Source: the brief, "What must always hold" (an accepted configuration never
  * reverts).
@@ -55,22 +60,22 @@
       DEFAULT_HOLD_MILLISECONDS;
   }
 
-  /** The revision in force here; undefined before the first. */
+  /** Revision in force at this daemon; undefined before the first. */
   get current(): RevisionOffer<Content> | undefined {
     return this.#current;
   }
 
-  /** What has to be fetched, if anything. */
+  /** Revision that has to be fetched, if any. */
   get missing(): MissingRevision | undefined {
     return this.#missing;
   }
 
-  /** The highest revision that is known to exist; 0 before the first. */
+  /** Highest revision known to exist; 0 before the first. */
   get highestKnown(): number {
     return this.#missing?.revision ?? this.#current?.revision ?? 0;
   }
 
-  /** Takes a revision with its content, `now` in monotonic milliseconds. */
+  /** Offers a revision with its content; `now` in monotonic milliseconds. */
   offer(offer: RevisionOffer<Content>, now: number): RevisionDecision {
     if (!isRevision(offer.revision)) return ignored("malformed");
     const current = this.#current;
@@ -80,40 +85,40 @@
       return ignored(isSame ? "known" : "diverged");
     }
     this.#current = offer;
-    this.#settleMissing(offer.revision, now);
+    this.#updateMissing(offer.revision, now);
     return { type: "accepted" };
   }
 
-  /** Takes proof that a revision was accepted, without its content. */
-  noteProof(
-    proof: { readonly revision: number; readonly prover: string },
+  /** Records that a revision was accepted, without its content. */
+  recordAnnouncement(
+    proof: { readonly revision: number; readonly announcer: string },
     now: number,
   ): void {
-    const { revision, prover } = proof;
+    const { revision, announcer } = proof;
     if (!isRevision(revision)) return;
     if (revision <= (this.#current?.revision ?? 0)) return;
     const missing = this.#missing;
     if (missing !== undefined && revision < missing.revision) return;
     const isSame = missing?.revision === revision;
     const others = isSame
-      ? missing.provers.filter((known) => known !== prover)
+      ? missing.announcers.filter((known) => known !== announcer)
       : [];
-    const provers = [prover, ...others].slice(0, MOST_PROVERS);
-    this.#missing = { revision, since: missing?.since ?? now, provers };
+    const announcers = [announcer, ...others].slice(0, MAXIMUM_ANNOUNCERS);
+    this.#missing = { revision, since: missing?.since ?? now, announcers };
   }
 
-  /** What to do with new requests now. */
-  stance(now: number): ServingStance {
+  /** How to handle new requests now. */
+  servingMode(now: number): ServingMode {
     if (this.#current === undefined) return "refuse";
     if (this.#missing === undefined) return "serve";
     const waited = now - this.#missing.since;
     return waited < this.#holdMilliseconds ? "hold" : "refuse";
   }
 
-  #settleMissing(revision: number, now: number): void {
+  #updateMissing(revision: number, now: number): void {
     if (this.#missing === undefined) return;
     if (this.#missing.revision <= revision) this.#missing = undefined;
-    // A step towards it is progress: waiting starts anew.
+    // An intermediate revision is progress, so the wait restarts.
     else this.#missing = { ...this.#missing, since: now };
   }
 }
