--- a/packages/kelpspar-daemon/src/claims/claim_service.ts
+++ b/packages/kelpspar-daemon/src/claims/claim_service.ts
@@ -230,7 +230,7 @@
   #flush(): void {
     const { timer } = this.#options;
     for (;;) {
-      const batch = this.#batcher.take(timer.now(), {
+      const batch = this.#batcher.takeBatch(timer.now(), {
         wallClock: timer.wallClock(),
       });
       if (batch === undefined) break;
@@ -242,7 +242,7 @@
   async #commit(batch: ClaimBatch): Promise<void> {
     const outcome = await this.#write(batch);
     for (
-      const { operationId, answer } of this.#batcher.settle(
+      const { operationId, answer } of this.#batcher.completeBatch(
         batch.batchId,
         outcome,
       )
--- a/packages/kelpspar-daemon/src/requests/request_keys.ts
+++ b/packages/kelpspar-daemon/src/requests/request_keys.ts
@@ -54,7 +54,7 @@
       now,
     );
     if (decision.type !== "run") return decision;
-    this.#ledger.forget(run);
+    this.#ledger.discard(run);
     return undefined;
   }
 
@@ -75,7 +75,7 @@
     } else if (ending.type === "outcome_unknown") {
       this.#ledger.fail(run, now);
     } else {
-      this.#ledger.forget(run);
+      this.#ledger.discard(run);
     }
   }
 }
--- a/packages/kelpspar-daemon/src/requests/request_outcome.ts
+++ b/packages/kelpspar-daemon/src/requests/request_outcome.ts
@@ -1,7 +1,7 @@
 import type { StageFacts } from "kelpspar-decisions/claims";
 import type { KelpsparError, Outcome } from "kelpspar-shared";
 import type { RequestContext } from "./request_context.ts";
-import { judgeRefusal } from "kelpspar-decisions/claims";
+import { determineRefusalOutcome } from "kelpspar-decisions/claims";
 import { KelpsparError as ResultError } from "kelpspar-shared";
 
 /** What a caller may be told of a request that got no answer. */
@@ -23,7 +23,7 @@
     effect: context.onceStages.has(id) ? "once" : "none",
     calls: context.traces.get(id)?.dispatches ?? [],
   }));
-  return judgeRefusal({ stages });
+  return determineRefusalOutcome({ stages });
 }
 
 /** The same failure with the outcome that the request's calls prove. */
--- a/packages/kelpspar-decisions/src/__tests__/unit/claims_ledger_test.ts
+++ b/packages/kelpspar-decisions/src/__tests__/unit/claims_ledger_test.ts
@@ -8,8 +8,8 @@
 import fc from "fast-check";
 import {
   decideOwnerAnswer,
+  determineRefusalOutcome,
   formatEpochKey,
-  judgeRefusal,
   KeyLedger,
   parseEpochKey,
 } from "../../claims/mod.ts";
@@ -57,7 +57,7 @@
   return formatEpochKey({ incarnation, epoch: named, rest });
 }
 
-/** The rules of the ledger without any thought of memory. */
+/** Reference implementation of the ledger without memory limits. */
 class NaiveLedger {
   readonly entries = new Map<string, NaiveEntry>();
 
@@ -146,11 +146,12 @@
       const told = ledger.begin({ ...run, ...fresh }, now);
       const expected = naive.begin(key, fresh, { now, epoch });
       check(ledger, told, expected);
-      // Short of memory the two differ; go on from what the ledger said.
+      // Under memory pressure the two differ; continue with the ledger's
+      // decision.
       if (told.type === "run") naive.entries.set(key, fresh);
       else if (expected.type === "run") naive.entries.delete(key);
     } else if (type === "forget") {
-      ledger.forget(run);
+      ledger.discard(run);
       const isRunning = naive.entries.get(key)?.endedAt === undefined;
       if (isRunning) naive.entries.delete(key);
     } else {
@@ -162,7 +163,7 @@
   }
 }
 
-test("the ledger decides as a naive map does", () => {
+test("the ledger decides like a reference map", () => {
   fc.assert(
     fc.property(fc.array(commandArbitrary, LENGTHS), (commands) => {
       play(commands, Infinity, (_ledger, told, expected) => {
@@ -173,10 +174,10 @@
   );
 });
 
-// Symptom: a booking under a bound key runs twice.
-// Sequence: the ledger's memory fills up between a run and its retry.
-// Cause looked for: the fact that a key ran is dropped to make room.
-test("a ledger short of memory never lets a bound key run again", (t) => {
+// Guards against a booking under a bound key that runs twice: the ledger's
+// memory fills up between a run and its retry, and the record that the key ran
+// is dropped to free memory.
+test("a ledger under memory pressure never runs a bound key again", (t) => {
   const seen = new Map<string, number>();
   fc.assert(
     fc.property(fc.array(commandArbitrary, LENGTHS), (commands) => {
@@ -196,7 +197,7 @@
   }
 });
 
-test("a refusal says not run only with proof for each effectful stage", () => {
+test("a refusal reports not_run only with proof for each stage with an effect", () => {
   const proofs = ["connection_refused", "not_started", "unproved"] as const;
   const stageArbitrary = fc.record({
     effect: fc.constantFrom("none", "once"),
@@ -210,15 +211,17 @@
         ? unproved.some(({ effect }) => effect === "once")
         : unproved.length > 0;
       const outcome = mayHaveRun ? "outcome_unknown" : "not_run";
-      expect(judgeRefusal({ stages })).toEqual(outcome);
-      expect(judgeRefusal({ stages, earlierSubmissionUnanswered: true }))
+      expect(determineRefusalOutcome({ stages })).toEqual(outcome);
+      expect(
+        determineRefusalOutcome({ stages, earlierSubmissionUnanswered: true }),
+      )
         .toEqual("outcome_unknown");
     }),
     { seed: 13 },
   );
 });
 
-test("an owner's answer about another operation counts as silence", () => {
+test("a holder's answer about another operation counts as silence", () => {
   const held = {
     type: "held_elsewhere",
     daemon: "a",
--- a/packages/kelpspar-decisions/src/__tests__/unit/claims_model.ts
+++ b/packages/kelpspar-decisions/src/__tests__/unit/claims_model.ts
@@ -29,9 +29,9 @@
   readonly from: string;
   readonly content: ClaimContent;
   readonly expectedVersion: number;
-  /** False once its sender has stopped waiting for the answer. */
+  /** False once its sender no longer waits for the answer. */
   readonly isAwaited: boolean;
-  /** The answer that is on its way back, once the write arrived. */
+  /** Answer in transit, once the write arrived. */
   readonly answer?: ClaimAttemptEvent;
 }
 
@@ -41,7 +41,7 @@
   readonly held: readonly Held[];
 }
 
-/** Two daemons, one key, the table's row and what is on its way. */
+/** State of two daemons, one key, the table's row and the network. */
 export interface Model {
   readonly row: FoundClaim | null;
   readonly network: readonly Sent[];
@@ -58,7 +58,7 @@
   return "text" in result ? result.text : "";
 }
 
-function put<T>(list: readonly T[], index: number, item: T): T[] {
+function replaceAt<T>(list: readonly T[], index: number, item: T): T[] {
   return list.map((old, at) => at === index ? item : old);
 }
 
@@ -78,7 +78,7 @@
   return [at, model.daemons[at]?.held.findIndex(has) ?? -1];
 }
 
-/** Asks the holder of a claim as through the peer port. */
+/** Queries the holder of a claim, as through the peer port. */
 function askOwner(model: Model, held: HeldElsewhere): string {
   const [at, index] = find(model, held.operationId);
   const owner = model.daemons[at]?.held[index]?.attempt;
@@ -127,7 +127,10 @@
   const owner = model.daemons[at];
   if (owner === undefined) return model;
   const held = owner.held.filter((one) => one.attempt !== attempt);
-  return { ...model, daemons: put(model.daemons, at, { ...owner, held }) };
+  return {
+    ...model,
+    daemons: replaceAt(model.daemons, at, { ...owner, held }),
+  };
 }
 
 function advance(
@@ -141,8 +144,8 @@
   if (daemon === undefined || old === undefined) return model;
   const { attempt, actions } = advanceClaim(old.attempt, event);
   const isWaiting = actions.some(({ type }) => type === "resend_later");
-  const held = put(daemon.held, index, { attempt, isWaiting });
-  const daemons = put(model.daemons, at, { ...daemon, held });
+  const held = replaceAt(daemon.held, index, { attempt, isWaiting });
+  const daemons = replaceAt(model.daemons, at, { ...daemon, held });
   const next: Model = { ...model, daemons };
   return actions.reduce((state, action) => act(state, action, attempt), next);
 }
@@ -153,7 +156,7 @@
   const attempts = daemon.held.map(({ attempt }) => attempt);
   const own = attempts.find(({ phase }) => phase !== "abandoned");
   const requestId = own?.identity.requestId ?? `${daemon.name}${daemon.begun}`;
-  const known = own === undefined
+  const knownAnswer = own === undefined
     ? ""
     : own.identity.bodyHash !== body
     ? "reused"
@@ -162,7 +165,7 @@
     : own.result === undefined
     ? ""
     : textOf(own.result);
-  const submission = { body, daemon: at, requestId, answer: known };
+  const submission = { body, daemon: at, requestId, answer: knownAnswer };
   const submissions = [...model.submissions, submission];
   const next = { ...model, submissions, submit: model.submit - 1 };
   if (own !== undefined) return next;
@@ -175,7 +178,7 @@
   });
   const held = [...daemon.held, { attempt, isWaiting: false }];
   const begun = daemon.begun + 1;
-  const daemons = put(model.daemons, at, { ...daemon, begun, held });
+  const daemons = replaceAt(model.daemons, at, { ...daemon, begun, held });
   return actions.reduce<Model>(
     (state, action) => act(state, action, attempt),
     { ...next, daemons },
@@ -189,7 +192,7 @@
   const network = model.network
     .filter((sent) => sent.from !== name || sent.answer === undefined)
     .map((sent) => sent.from === name ? { ...sent, isAwaited: false } : sent);
-  const daemons = put(model.daemons, at, {
+  const daemons = replaceAt(model.daemons, at, {
     name: `${name}'`,
     begun: 0,
     held: [],
@@ -213,19 +216,19 @@
   for (const [index, sent] of model.network.entries()) {
     const { content: { operationId }, answer, isAwaited } = sent;
     const others = model.network.filter((_, at) => at !== index);
-    const gone = { ...model, network: others };
+    const withoutWrite = { ...model, network: others };
     const late = { ...sent, isAwaited: false };
-    if (answer !== undefined) yield advance(gone, operationId, answer);
+    if (answer !== undefined) yield advance(withoutWrite, operationId, answer);
     else {
-      const [arrived, event] = deliver(gone, sent);
+      const [arrived, event] = deliver(withoutWrite, sent);
       const told = isAwaited ? [{ ...sent, answer: event }] : [];
       yield { ...arrived, network: [...others, ...told] };
-      // The same write arrives once more later on.
+      // The same write may arrive a second time.
       yield { ...arrived, network: [...others, ...told, late] };
     }
     if (!isAwaited) continue;
     if (model.refuse > 0 && answer === undefined) {
-      const left = { ...gone, refuse: model.refuse - 1 };
+      const left = { ...withoutWrite, refuse: model.refuse - 1 };
       yield advance(left, operationId, { type: "unavailable" });
     }
     if (model.lose === 0) continue;
@@ -261,7 +264,7 @@
   }
 }
 
-/** Every state that one step leads to. */
+/** All states reachable in one step. */
 export function* moves(model: Model): Generator<Model> {
   yield* networkMoves(model);
   for (const [at, { held, name }] of model.daemons.entries()) {
--- a/packages/kelpspar-decisions/src/__tests__/unit/claims_model_checks.ts
+++ b/packages/kelpspar-decisions/src/__tests__/unit/claims_model_checks.ts
@@ -1,6 +1,6 @@
 import type { Daemon, Model, Sent, Submission } from "./claims_model.ts";
 
-/** Says which promise is broken. */
+/** Returns the violated guarantee, if any. */
 export function faultOf(model: Model): string | undefined {
   if (model.executions.length > 1) return "ran twice";
   for (const { requestId, answer, body } of model.submissions) {
@@ -12,7 +12,7 @@
   return findLostClaim(model);
 }
 
-/** A daemon that lives must not leave a key locked or its result unstored. */
+/** A live daemon must not leave a key locked or its result unstored. */
 function findLostClaim({ row, network, daemons }: Model): string | undefined {
   const content = row?.content;
   const isHeld = daemons.some(({ held }) =>
@@ -29,13 +29,16 @@
   return isDone && content?.state !== "done" ? "result not stored" : undefined;
 }
 
-/** Every field that can differ; a request and its operation share an id. */
+/**
+ * Describes every field that can differ; a request and its operation share an
+ * id.
+ */
 function describeDaemon({ name, begun, held }: Daemon): string {
   const attempts = held.map(({ attempt, isWaiting }) => {
-    const { phase, basis, version, writing, identity } = attempt;
+    const { phase, baseVersion, version, writing, identity } = attempt;
     const { operationId, bodyHash, abandonedOperations } = identity;
     const rest = [attempt.unprovedCalls, attempt.mayHaveWritten, isWaiting];
-    return `${operationId} ${bodyHash} ${abandonedOperations} ${phase} ${basis} ${version} ${writing} ${rest}`;
+    return `${operationId} ${bodyHash} ${abandonedOperations} ${phase} ${baseVersion} ${version} ${writing} ${rest}`;
   });
   return `${name} ${begun} ${attempts}`;
 }
@@ -53,7 +56,7 @@
     .join();
 }
 
-/** Numbers equal parts alike; parts are shared by many models. */
+/** Assigns equal parts the same number; many models share parts. */
 function createNumbering<T extends object>(
   describePart: (part: T) => string,
 ): (part: T) => number {
@@ -74,7 +77,7 @@
 const numberOfSent = createNumbering(describeSent);
 const numberOfSubmissions = createNumbering(describeSubmissions);
 
-/** The same text for the same state. */
+/** Returns the same text for equal states. */
 export function describe(model: Model): string {
   const { row, network, daemons, executions } = model;
   return [
@@ -87,8 +90,11 @@
   ].join("|");
 }
 
-/** Drops late writes that can never take effect, since versions only grow. */
-export function tidy(model: Model): Model {
+/**
+ * Removes late writes that can never take effect, because versions only
+ * increase.
+ */
+export function pruneLateWrites(model: Model): Model {
   const version = model.row?.version ?? 0;
   const network = model.network.filter((sent) =>
     sent.isAwaited || sent.expectedVersion >= version
--- a/packages/kelpspar-decisions/src/__tests__/unit/claims_simulation_test.ts
+++ b/packages/kelpspar-decisions/src/__tests__/unit/claims_simulation_test.ts
@@ -3,16 +3,16 @@
 import fc from "fast-check";
 import { World } from "./claims_world.ts";
 
-// Symptom: as in the model check, under many keys whose writes share batches.
-// Sequence: thousands of seeded random ones, some hundred steps each, through
-//   the real batcher and the real ledger, with free and bound keys.
-// Cause looked for: a batch that loses, swaps or repeats the answer of a row,
-//   a ledger that forgets a bound key, a claim lost between the two.
+// Checks the guarantees of the model check for many keys whose writes share
+// batches: thousands of seeded random runs, a few hundred steps each, through
+// the real batcher and the real ledger, with free and bound keys. Guards
+// against a batch that loses, swaps or repeats the answer of a row, a ledger
+// that drops a bound key, and a claim lost between the two.
 
 const RUNS = 2_000;
 const STEPS = 300;
 
-test("thousands of random runs of many keys keep every promise", (t) => {
+test("thousands of random runs with many keys keep every guarantee", (t) => {
   const counts = new Map<string, number>();
   let transactions = 0;
   fc.assert(
--- a/packages/kelpspar-decisions/src/__tests__/unit/claims_world.ts
+++ b/packages/kelpspar-decisions/src/__tests__/unit/claims_world.ts
@@ -24,13 +24,13 @@
   readonly body: string;
   step: ClaimAttemptStep | undefined;
   isWaiting: boolean;
-  /** Calls of a bound key that were sent. */
+  /** True once the call of a bound key was sent. */
   isSent: boolean;
 }
 
 class Daemon {
   readonly ledger: KeyLedger;
-  readonly batcher = new ClaimBatcher({ mostRows: 4 });
+  readonly batcher = new ClaimBatcher({ maximumRows: 4 });
   readonly runs = new Map<string, Run>();
   readonly name: string;
 
@@ -51,7 +51,7 @@
   isAwaited: boolean;
 }
 
-/** Three daemons, a table and callers, driven by one seed. */
+/** Simulates three daemons, a table and callers from one seed. */
 export class World {
   readonly random: SeededRandom;
   readonly rows = new Map<string, FoundClaim>();
@@ -129,11 +129,11 @@
         daemon.batcher.add({ ...action, key }, this.now);
       } else if (action.type === "refuse") {
         this.answer(id, action.outcome);
-        if (action.outcome === "not_run") daemon.ledger.forget(name);
+        if (action.outcome === "not_run") daemon.ledger.discard(name);
         else daemon.ledger.fail(name, this.now);
       } else if (action.type === "settle") {
         const { decision } = action;
-        daemon.ledger.forget(name);
+        daemon.ledger.discard(name);
         const isText = decision.type === "completed" &&
           "text" in decision.result;
         this.answer(id, isText ? decision.result.text : decision.type);
@@ -147,7 +147,7 @@
     }
   }
 
-  /** Gives a random run of a daemon a random push. */
+  /** Advances a random run of a daemon by a random event. */
   push(daemon: Daemon): void {
     const run = this.pick([...daemon.runs.values()]);
     if (run === undefined) return;
@@ -180,7 +180,7 @@
   }
 
   send(daemon: Daemon): void {
-    const batch = daemon.batcher.take(this.now, { wallClock: this.now });
+    const batch = daemon.batcher.takeBatch(this.now, { wallClock: this.now });
     if (batch === undefined) return;
     this.network.push({ from: daemon, batch, isAwaited: true });
   }
@@ -209,18 +209,18 @@
   deliver(): void {
     const sent = this.pick(this.network);
     if (sent === undefined) return;
-    const fate = this.faults ? this.random.nextInteger(10) : 9;
-    const isKept = fate < 2 && this.faults;
+    const roll = this.faults ? this.random.nextInteger(10) : 9;
+    const isKept = roll < 2 && this.faults;
     if (!isKept) this.network = this.network.filter((one) => one !== sent);
-    const isLate = fate === 0;
-    const isRefused = fate === 2 && sent.isAwaited;
+    const isLate = roll === 0;
+    const isRefused = roll === 2 && sent.isAwaited;
     const outcome = isLate || isRefused ? "unavailable" : this.#commit(
       sent.batch,
     );
     if (!sent.isAwaited) return;
     sent.isAwaited = false;
-    const told = isLate || fate === 3 ? "unknown" : outcome;
-    const results = sent.from.batcher.settle(sent.batch.batchId, told);
+    const told = isLate || roll === 3 ? "unknown" : outcome;
+    const results = sent.from.batcher.completeBatch(sent.batch.batchId, told);
     for (const { operationId, answer } of results) {
       this.advance(sent.from, operationId, answer);
     }
@@ -256,7 +256,7 @@
     }
     for (const { key, requestId, body, answer } of this.submissions) {
       const ran = this.executions.get(key) ?? [];
-      const told = `"${key}" was told "${answer}", ran "${ran}"`;
+      const told = `"${key}" was answered "${answer}", ran "${ran}"`;
       if (answer === "not_run" && ran.includes(requestId)) {
         throw new Error(told);
       }
@@ -266,7 +266,7 @@
     }
   }
 
-  /** Says which live daemon left a key locked when all work was done. */
+  /** Throws if a live daemon left a key locked after all work was done. */
   checkRows(): void {
     for (const [key, { content }] of this.rows) {
       const owner = this.daemons.find(({ name }) => name === content?.daemon);
--- a/packages/kelpspar-decisions/src/claims/bound_key_epoch.ts
+++ b/packages/kelpspar-decisions/src/claims/bound_key_epoch.ts
@@ -6,16 +6,16 @@
 export interface EpochKey {
   readonly incarnation: string;
   /**
-   * A small whole number that the incarnation advances. It remembers the keys
-   * of the current and the previous epoch, and so need not remember all.
+   * Small integer that the incarnation advances. The incarnation remembers the
+   * keys of the current and the previous epoch only, which bounds its memory.
    */
   readonly epoch: number;
   readonly rest: string;
 }
 
 /**
- * Reads a key: `free` when the caller chose it, `malformed` when it is bound
- * but carries no epoch.
+ * Parses a key: `free` if the caller chose it, `malformed` if it is bound but
+ * has no epoch.
  */
 export function parseEpochKey(key: string): EpochKey | "free" | "malformed" {
   const bound = parseBoundKey(key);
@@ -26,7 +26,7 @@
   return { incarnation: bound.incarnation, epoch: Number(epoch), rest };
 }
 
-/** Writes a bound key with its epoch. */
+/** Formats a bound key with its epoch. */
 export function formatEpochKey(key: EpochKey): string {
   const { incarnation, epoch, rest } = key;
   return formatBoundKey({ incarnation, rest: `${epoch}.${rest}` });
--- a/packages/kelpspar-decisions/src/claims/claim_attempt.ts
+++ b/packages/kelpspar-decisions/src/claims/claim_attempt.ts
@@ -13,15 +13,15 @@
 } from "./claim_attempt_state.ts";
 import type { ClaimIdentity } from "./claim_identity.ts";
 import { invariant } from "kelpspar-shared";
-import { answerWrite } from "./claim_write_answers.ts";
-import { stay, step, write } from "./claim_attempt_steps.ts";
+import { handleWriteAnswer } from "./claim_write_answers.ts";
+import { noop, step, write } from "./claim_attempt_steps.ts";
 
-/** Starts an attempt; its first action writes the claim. */
+/** Starts an attempt; the first action writes the claim. */
 export function beginClaim(identity: ClaimIdentity): ClaimAttemptStep {
   const attempt: ClaimAttempt = {
     identity,
     phase: "pending",
-    basis: 0,
+    baseVersion: 0,
     mayHaveWritten: false,
     unprovedCalls: 0,
   };
@@ -29,14 +29,14 @@
 }
 
 /**
- * Moves an attempt on by one event.
+ * Advances an attempt by one event.
  *
- * What goes wrong without it: a claim whose answer was lost is taken for held
- * or for failed, and a request runs twice or is refused as `not_run` and runs.
- * Here nothing is dispatched before the table has confirmed the claim, a lost
- * answer is settled by sending the same claim again, and a refusal is spoken
- * only after the attempt can never dispatch again. Throws invariant 9004 when
- * a dispatch is tried without a confirmed claim.
+ * Guards against this failure: a claim whose answer was lost is treated as held
+ * or as failed, and a request runs twice, or is refused as `not_run` but runs.
+ * Nothing is dispatched before the table has confirmed the claim, a lost answer
+ * is resolved by sending the same claim again, and a refusal is returned only
+ * when the attempt can never dispatch again. Throws invariant 9004 on a
+ * dispatch without a confirmed claim.
  *
  * Source: the brief, "What must always hold" and "What fails" (a write that
  * takes effect while its answer never comes back).
@@ -56,13 +56,13 @@
 };
 
 const EVENT_HANDLERS: EventHandlers = {
-  committed: answerWrite,
-  conflict: answerWrite,
-  unknown: answerWrite,
-  unavailable: answerWrite,
+  committed: handleWriteAnswer,
+  conflict: handleWriteAnswer,
+  unknown: handleWriteAnswer,
+  unavailable: handleWriteAnswer,
   resend,
   dispatch,
-  not_started: proveNotStarted,
+  not_started: recordNotStarted,
   complete,
   give_up: giveUp,
 };
@@ -76,27 +76,27 @@
 
 function resend(attempt: ClaimAttempt): ClaimAttemptStep {
   const kind = RESENT_WRITES[attempt.phase];
-  if (attempt.writing !== undefined || kind === undefined) return stay(attempt);
+  if (attempt.writing !== undefined || kind === undefined) return noop(attempt);
   return write(attempt, kind);
 }
 
 function dispatch(attempt: ClaimAttempt): ClaimAttemptStep {
   const { phase, unprovedCalls } = attempt;
   invariant(phase === "owned" || phase === "dispatched", 9004);
-  return stay({
+  return noop({
     ...attempt,
     phase: "dispatched",
     unprovedCalls: unprovedCalls + 1,
   });
 }
 
-function proveNotStarted(attempt: ClaimAttempt): ClaimAttemptStep {
-  if (attempt.unprovedCalls === 0) return stay(attempt);
+function recordNotStarted(attempt: ClaimAttempt): ClaimAttemptStep {
+  if (attempt.unprovedCalls === 0) return noop(attempt);
   const unprovedCalls = attempt.unprovedCalls - 1;
   const next = { ...attempt, unprovedCalls };
-  if (unprovedCalls > 0) return stay(next);
-  if (attempt.phase === "dispatched") return stay({ ...next, phase: "owned" });
-  if (attempt.phase !== "unresolved") return stay(next);
+  if (unprovedCalls > 0) return noop(next);
+  if (attempt.phase === "dispatched") return noop({ ...next, phase: "owned" });
+  if (attempt.phase !== "unresolved") return noop(next);
   return write({ ...next, phase: "abandoned" }, "release");
 }
 
@@ -105,7 +105,7 @@
   event: Extract<ClaimAttemptEvent, { readonly type: "complete" }>,
 ): ClaimAttemptStep {
   const { phase } = attempt;
-  if (phase !== "dispatched" && phase !== "unresolved") return stay(attempt);
+  if (phase !== "dispatched" && phase !== "unresolved") return noop(attempt);
   const completing = {
     ...attempt,
     phase: "completing",
@@ -128,20 +128,20 @@
     step({ ...attempt, phase: "unresolved" }, [
       { type: "refuse", outcome: "outcome_unknown" },
     ]),
-  unresolved: stay,
-  completing: stay,
-  abandoned: stay,
-  foreign: stay,
-  released: stay,
-  done: stay,
+  unresolved: noop,
+  completing: noop,
+  abandoned: noop,
+  foreign: noop,
+  released: noop,
+  done: noop,
 };
 
 const NOT_RUN: ClaimAttemptAction = { type: "refuse", outcome: "not_run" };
 
 /**
- * Nothing was dispatched, and from here on nothing can be. A claim that may
- * still arrive late would lock the key for good, and so is fenced off by a
- * released row under the version that the claim expects.
+ * Nothing was dispatched, and nothing can be dispatched from here on. A claim
+ * that may still arrive late would lock the key forever, so it is fenced off by
+ * a released row under the version that the claim expects.
  */
 function abandon(attempt: ClaimAttempt): ClaimAttemptStep {
   const abandoned = { ...attempt, phase: "abandoned" } as const;
--- a/packages/kelpspar-decisions/src/claims/claim_attempt_state.ts
+++ b/packages/kelpspar-decisions/src/claims/claim_attempt_state.ts
@@ -2,15 +2,15 @@
 import type { StoredResult } from "./stored_result.ts";
 
 /**
- * Where an attempt stands:
- * - `pending`: its claim was sent, or could not be sent yet;
- * - `unknown`: an answer was lost; the claim may hold, now or later;
- * - `owned`: the claim is confirmed and nothing that it allows has started;
- * - `dispatched`: a call may have reached an endpoint;
- * - `unresolved`: the caller was told `outcome_unknown`;
- * - `completing`: it ran; the result is on its way to the table;
- * - `abandoned`: the caller was told `not_run`; the release is on its way;
- * - `foreign`, `released`, `done`: over.
+ * Phase of an attempt:
+ * - `pending`: the claim was sent or could not be sent yet.
+ * - `unknown`: an answer was lost; the claim may take effect now or later.
+ * - `owned`: the claim is confirmed and no call has started.
+ * - `dispatched`: a call may have reached an endpoint.
+ * - `unresolved`: the caller received `outcome_unknown`.
+ * - `completing`: the request ran; the result is being written to the table.
+ * - `abandoned`: the caller received `not_run`; the release is being written.
+ * - `foreign`, `released`, `done`: final phases.
  */
 export type ClaimPhase =
   | "pending"
@@ -24,20 +24,20 @@
   | "released"
   | "done";
 
-/** What a write to the table says. */
+/** Kind of a write to the table. */
 export type ClaimWriteKind = "claim" | "done" | "release";
 
-/** One attempt to claim a key, as an immutable snapshot. */
+/** Immutable state of one attempt to claim a key. */
 export interface ClaimAttempt {
   readonly identity: ClaimIdentity;
   readonly phase: ClaimPhase;
-  /** The version that a claim expects to replace; 0 for absent. */
-  readonly basis: number;
-  /** The version of our own row, once it is known. */
+  /** Version that the claim expects to replace; 0 if the row must be absent. */
+  readonly baseVersion: number;
+  /** Version of the attempt's own row, once known. */
   readonly version?: number;
-  /** True while a claim whose answer was lost may hold, now or later. */
+  /** True while a claim whose answer was lost may take effect, now or later. */
   readonly mayHaveWritten: boolean;
-  /** The write that is on its way; there is never more than one. */
+  /** Write without an answer yet; at most one at a time. */
   readonly writing?: ClaimWriteKind;
   /** Calls that may have reached an endpoint. */
   readonly unprovedCalls: number;
--- a/packages/kelpspar-decisions/src/claims/claim_attempt_steps.ts
+++ b/packages/kelpspar-decisions/src/claims/claim_attempt_steps.ts
@@ -6,7 +6,7 @@
 import type { ClaimContent } from "./claim_row.ts";
 import { createClaimContent } from "./claim_row.ts";
 
-/** A step with actions. */
+/** Creates a step with actions. */
 export function step(
   attempt: ClaimAttempt,
   actions: readonly ClaimAttemptAction[],
@@ -14,12 +14,12 @@
   return { attempt, actions };
 }
 
-/** A step that asks for nothing. */
-export function stay(attempt: ClaimAttempt): ClaimAttemptStep {
+/** Creates a step without actions. */
+export function noop(attempt: ClaimAttempt): ClaimAttemptStep {
   return { attempt, actions: [] };
 }
 
-/** A step that ends the attempt. */
+/** Creates a step that ends the attempt. */
 export function finish(
   attempt: ClaimAttempt,
   phase: "foreign" | "released" | "done",
@@ -27,7 +27,7 @@
   return step({ ...attempt, phase }, [{ type: "finish" }]);
 }
 
-/** A step that sends one write. */
+/** Creates a step that sends one write. */
 export function write(
   attempt: ClaimAttempt,
   kind: ClaimWriteKind,
@@ -35,13 +35,13 @@
   const action: ClaimAttemptAction = {
     type: "write",
     kind,
-    content: CONTENTS[kind](attempt),
-    expectedVersion: attempt.version ?? attempt.basis,
+    content: CONTENT_BUILDERS[kind](attempt),
+    expectedVersion: attempt.version ?? attempt.baseVersion,
   };
   return step({ ...attempt, writing: kind }, [action]);
 }
 
-const CONTENTS: Readonly<
+const CONTENT_BUILDERS: Readonly<
   Record<ClaimWriteKind, (attempt: ClaimAttempt) => ClaimContent>
 > = {
   claim: ({ identity }) => createClaimContent("claimed", identity),
--- a/packages/kelpspar-decisions/src/claims/claim_batcher.ts
+++ b/packages/kelpspar-decisions/src/claims/claim_batcher.ts
@@ -10,27 +10,30 @@
 } from "./queued_claim_write.ts";
 import { CLAIMS_TABLE, parseClaimContent } from "./claim_row.ts";
 
-const MOST_ROWS_OF_A_TRANSACTION = 100;
-const DEFAULT_MOST_UNITS = 1024 * 1024;
-const DEFAULT_MOST_IN_FLIGHT = 2;
+const MAXIMUM_ROWS_PER_TRANSACTION = 100;
+const DEFAULT_MAXIMUM_TEXT_UNITS = 1024 * 1024;
+const DEFAULT_MAXIMUM_IN_FLIGHT = 2;
 const DEFAULT_LINGER_MILLISECONDS = 2;
 const DEFAULT_DEFER_MILLISECONDS = 50;
 
-/** How claim writes are gathered. */
+/** Options of `ClaimBatcher`. */
 export interface ClaimBatcherOptions {
-  /** Rows of a batch at most; default and upper limit 100. */
-  readonly mostRows?: number;
-  /** Result text of a batch at most, UTF-16 units; default 1 Mi. */
-  readonly mostTextUnits?: number;
-  /** Transactions on their way at a time; default 2. */
-  readonly mostInFlight?: number;
-  /** How long the first claim waits for others, milliseconds; default 2. */
+  /** Maximum rows per batch; default and upper limit 100. */
+  readonly maximumRows?: number;
+  /** Maximum result text per batch, UTF-16 units; default 1 Mi. */
+  readonly maximumTextUnits?: number;
+  /** Maximum number of concurrent transactions; default 2. */
+  readonly maximumInFlight?: number;
+  /** Time that the first claim waits for others, milliseconds; default 2. */
   readonly lingerMilliseconds?: number;
-  /** How long a done or release waits for claims, milliseconds; default 50. */
+  /**
+   * Time that a done or release write waits for claims, milliseconds; default
+   * 50.
+   */
   readonly deferMilliseconds?: number;
 }
 
-/** A batch that has to be sent now. */
+/** A batch to be sent now. */
 export interface ClaimBatch {
   readonly batchId: number;
   readonly transaction: ClaimTransaction;
@@ -42,28 +45,29 @@
 }
 
 /**
- * Group commit for claims. A write each would take more transactions than the
- * table service gives; here a batch leaves when it is full, when its first
- * write has waited long enough and as soon as an earlier batch was answered.
+ * Group commit for claims. One transaction per write would exceed the
+ * transaction rate of the table service. A batch is sent when it is full, when
+ * its first write has waited long enough, or as soon as an earlier batch was
+ * answered.
  *
- * A conflict in one row fails the whole transaction, so the rows in conflict
- * are answered and all others leave at once in the next batch. After a lost or
- * refused answer the batches shrink by half, down to one row, so that one row
- * that the store cannot take does not hold up the rest; each answer doubles
- * them again.
+ * A conflict in one row fails the whole transaction, so the conflicting rows
+ * are answered and all others are sent immediately in the next batch. After a
+ * lost or refused answer the batch size is halved, down to one row, so that one
+ * row that the store cannot accept does not block the rest; each answer doubles
+ * the size again.
  *
- * Done and release writes are deferred to share a batch with claims. A crash
- * in that time leaves the row `claimed`: a retry elsewhere then learns
- * `outcome_unknown` instead of the result, and never runs again. Deferring
- * widens that window by `deferMilliseconds` for each request.
+ * Done and release writes are deferred to share a batch with claims. A crash in
+ * that time leaves the row `claimed`: a retry at another daemon then receives
+ * `outcome_unknown` instead of the result, and the request never runs again.
+ * Deferring widens that window by `deferMilliseconds` for each request.
  *
  * Source: the brief, "What the platform gives" (several hundred writes a
  * second).
  */
 export class ClaimBatcher {
-  readonly #mostRows: number;
-  readonly #mostTextUnits: number;
-  readonly #mostInFlight: number;
+  readonly #maximumRows: number;
+  readonly #maximumTextUnits: number;
+  readonly #maximumInFlight: number;
   readonly #lingerMilliseconds: number;
   readonly #deferMilliseconds: number;
   readonly #waiting = new Map<string, WaitingWrite>();
@@ -73,25 +77,27 @@
   #nextBatchId = 1;
 
   constructor(options: ClaimBatcherOptions = {}) {
-    this.#mostRows = Math.min(
-      options.mostRows ?? MOST_ROWS_OF_A_TRANSACTION,
-      MOST_ROWS_OF_A_TRANSACTION,
+    this.#maximumRows = Math.min(
+      options.maximumRows ?? MAXIMUM_ROWS_PER_TRANSACTION,
+      MAXIMUM_ROWS_PER_TRANSACTION,
     );
-    this.#mostTextUnits = options.mostTextUnits ?? DEFAULT_MOST_UNITS;
-    this.#mostInFlight = options.mostInFlight ?? DEFAULT_MOST_IN_FLIGHT;
+    this.#maximumTextUnits = options.maximumTextUnits ??
+      DEFAULT_MAXIMUM_TEXT_UNITS;
+    this.#maximumInFlight = options.maximumInFlight ??
+      DEFAULT_MAXIMUM_IN_FLIGHT;
     this.#lingerMilliseconds = options.lingerMilliseconds ??
       DEFAULT_LINGER_MILLISECONDS;
     this.#deferMilliseconds = options.deferMilliseconds ??
       DEFAULT_DEFER_MILLISECONDS;
-    this.#rowLimit = this.#mostRows;
+    this.#rowLimit = this.#maximumRows;
   }
 
-  /** Writes that wait to be sent. */
+  /** Number of queued writes. */
   get size(): number {
     return this.#waiting.size + this.#deferred.size;
   }
 
-  /** Queues a write; an operation has one write on its way at most. */
+  /** Queues a write; an operation has at most one pending write. */
   add(write: QueuedClaimWrite, now: number): void {
     const { operationId } = write.content;
     if (write.kind === "claim") {
@@ -104,8 +110,8 @@
   }
 
   /**
-   * Takes back a write that has not been sent. True is proof that it never
-   * will be; hand its attempt `unavailable` then.
+   * Removes a write that has not been sent. True proves that it will never be
+   * sent; pass `unavailable` to its attempt then.
    */
   withdraw(operationId: string): boolean {
     return this.#waiting.delete(operationId) ||
@@ -113,35 +119,37 @@
   }
 
   /**
-   * When to call `take`, maybe in the past; undefined while nothing can leave.
-   * Changes with every `add`, `take`, `withdraw` and `settle`.
+   * When to call `takeBatch`, possibly in the past; undefined while nothing can
+   * be sent. Changes with every `add`, `takeBatch`, `withdraw` and
+   * `completeBatch`.
    */
   dueAt(): number | undefined {
-    if (this.size === 0 || this.#inFlight.size >= this.#mostInFlight) {
+    if (this.size === 0 || this.#inFlight.size >= this.#maximumInFlight) {
       return undefined;
     }
     if (this.size >= this.#rowLimit) return -Infinity;
-    return Math.min(firstDue(this.#waiting), firstDue(this.#deferred));
+    return Math.min(earliestDue(this.#waiting), earliestDue(this.#deferred));
   }
 
-  /** The batch that has to leave now, if any is due. */
-  take(
+  /** Removes and returns the batch that is due now, if any. */
+  takeBatch(
     now: number,
     options: { readonly wallClock: number },
   ): ClaimBatch | undefined {
     const dueAt = this.dueAt();
     if (dueAt === undefined || dueAt > now) return undefined;
-    const writes = this.#takeWrites();
+    const writes = this.#dequeueWrites();
     const batchId = this.#nextBatchId++;
     this.#inFlight.set(batchId, writes);
     return { batchId, transaction: toTransaction(writes, options.wallClock) };
   }
 
   /**
-   * Takes a batch's outcome and gives the answers for its attempts. Writes
-   * that are not among them wait for the next batch, which is due at once.
+   * Handles the outcome of a batch and returns the answers for its attempts.
+   * Writes without an answer are requeued for the next batch, which is due
+   * immediately.
    */
-  settle(
+  completeBatch(
     batchId: number,
     outcome: ClaimTransactionOutcome,
   ): readonly ClaimWriteResult[] {
@@ -151,20 +159,20 @@
     if (outcome === "unknown" || outcome === "unavailable") {
       return this.#fail(writes, outcome);
     }
-    this.#rowLimit = Math.min(this.#mostRows, this.#rowLimit * 2);
+    this.#rowLimit = Math.min(this.#maximumRows, this.#rowLimit * 2);
     if (outcome.committed) return this.#commit(writes, outcome.versions);
-    return this.#split(writes, outcome);
+    return this.#resolveConflicts(writes, outcome);
   }
 
-  #takeWrites(): QueuedClaimWrite[] {
+  #dequeueWrites(): QueuedClaimWrite[] {
     const writes: QueuedClaimWrite[] = [];
     const keys = new Set<string>();
     let textUnits = 0;
     for (const queue of [this.#waiting, this.#deferred]) {
       for (const [operationId, { write }] of queue) {
         if (writes.length >= this.#rowLimit) return writes;
-        if (textUnits >= this.#mostTextUnits) return writes;
-        // Two operations of one key would fail each other's conditions.
+        if (textUnits >= this.#maximumTextUnits) return writes;
+        // Two operations on one key would violate each other's conditions.
         if (keys.has(write.key)) continue;
         keys.add(write.key);
         textUnits += countTextUnits(write);
@@ -194,24 +202,24 @@
     });
   }
 
-  #split(
+  #resolveConflicts(
     writes: readonly QueuedClaimWrite[],
     answer: Extract<ClaimTransactionAnswer, { readonly committed: false }>,
   ): ClaimWriteResult[] {
     const rows = new Map(answer.conflicts.map(({ key, row }) => [key, row]));
-    // An answer that blames none of our rows would otherwise be sent again
-    // and again without a pause.
+    // An answer that names none of the batch's rows would otherwise cause
+    // endless resends without a pause.
     if (!writes.some((write) => rows.has(write.key))) {
       return this.#fail(writes, "unavailable");
     }
     const results: ClaimWriteResult[] = [];
-    const others: QueuedClaimWrite[] = [];
+    const unaffected: QueuedClaimWrite[] = [];
     for (const write of writes) {
       const row = rows.get(write.key);
-      if (row === undefined) others.push(write);
+      if (row === undefined) unaffected.push(write);
       else results.push(toResult(write, toConflict(row)));
     }
-    this.#requeue(others);
+    this.#requeue(unaffected);
     return results;
   }
 
@@ -228,7 +236,7 @@
   }
 }
 
-function firstDue(queue: ReadonlyMap<string, WaitingWrite>): number {
+function earliestDue(queue: ReadonlyMap<string, WaitingWrite>): number {
   for (const { dueAt } of queue.values()) return dueAt;
   return Infinity;
 }
--- a/packages/kelpspar-decisions/src/claims/claim_decision.ts
+++ b/packages/kelpspar-decisions/src/claims/claim_decision.ts
@@ -1,27 +1,30 @@
 import type { StoredResult } from "./stored_result.ts";
 
-/** What a row of the table `claims` means for a daemon's own claim. */
+/** Meaning of a row of the table `claims` for a daemon's own claim. */
 export type ClaimDecision =
-  /** Nobody can run it: write the claim under this version, 0 for absent. */
+  /**
+   * No operation can run the request: write the claim under this version, 0 if
+   * the row must be absent.
+   */
   | { readonly type: "claim"; readonly expectedVersion: number }
-  /** The row is our own claim; only now may the request be dispatched. */
+  /** The row is our own claim; the request may now be dispatched. */
   | { readonly type: "owned"; readonly version: number }
-  /** The row says that this very operation was given up. */
+  /** The row shows that this operation was abandoned. */
   | { readonly type: "abandoned" }
   | { readonly type: "completed"; readonly result: StoredResult }
-  /** It completed, but no result is kept. */
+  /** The request completed, but its result is no longer stored. */
   | { readonly type: "expired" }
-  /** The key was used with another body. */
+  /** The key was used with a different body. */
   | { readonly type: "reused" }
   | HeldElsewhere;
 
 /**
- * Another operation holds the claim and may have run the request, so that
- * this one never will. Ask the holder when it lives.
+ * Another operation holds the claim and may have run the request, so this
+ * operation never will. Query the holder if it is alive.
  */
 export interface HeldElsewhere {
   readonly type: "held_elsewhere";
-  /** The holder's incarnation; empty when the row cannot be read. */
+  /** Incarnation of the holder; empty if the row is unreadable. */
   readonly daemon: string;
   readonly requestId: string;
   readonly operationId: string;
--- a/packages/kelpspar-decisions/src/claims/claim_identity.ts
+++ b/packages/kelpspar-decisions/src/claims/claim_identity.ts
@@ -1,18 +1,18 @@
-/** Who claims a key, and for which request. */
+/** Identifies the claimant of a key and its request. */
 export interface ClaimIdentity {
   /**
-   * Differs for every attempt to claim. A writer whose answer was lost knows
-   * its own row by it.
+   * Unique per claim attempt. A writer whose answer was lost recognizes its own
+   * row by it.
    */
   readonly operationId: string;
-  /** The daemon's incarnation. */
+  /** Incarnation of the daemon. */
   readonly daemon: string;
   readonly requestId: string;
-  /** A hash of the request's body; tells a retry from a reused key. */
+  /** Hash of the request's body; distinguishes a retry from a reused key. */
   readonly bodyHash: string;
   /**
-   * Earlier operations of this same daemon on this key that it gave up and
-   * can therefore never dispatch. Default: none.
+   * Earlier operations of the same daemon on this key that it abandoned and can
+   * therefore never dispatch. Default: none.
    */
   readonly abandonedOperations?: readonly string[];
 }
--- a/packages/kelpspar-decisions/src/claims/claim_row.ts
+++ b/packages/kelpspar-decisions/src/claims/claim_row.ts
@@ -1,18 +1,19 @@
 import type { ClaimIdentity } from "./claim_identity.ts";
 import type { StoredResult } from "./stored_result.ts";
 
-/** The table that holds claims (docs/PLATFORM.md). */
+/** Table of claims (docs/PLATFORM.md). */
 export const CLAIMS_TABLE = "claims";
 
 const CLAIM_STATES = ["claimed", "done", "released"] as const;
 
 /**
- * `claimed`: its daemon alone may run the request. `done`: it ran, and the
- * result is here. `released`: its daemon proved that it never ran it.
+ * - `claimed`: only its daemon may run the request.
+ * - `done`: the request ran, and the row contains the result.
+ * - `released`: its daemon proved that it never ran the request.
  */
 export type ClaimState = typeof CLAIM_STATES[number];
 
-/** What a claim says, without the time of writing. */
+/** Contents of a claim without the time of writing. */
 export interface ClaimContent {
   readonly state: ClaimState;
   readonly operationId: string;
@@ -23,28 +24,28 @@
 }
 
 /**
- * The value of a row in the table `claims`. A row is never deleted while its
- * key may still be delivered or a write of it may still arrive, since every
- * guard here rests on versions that only grow.
+ * Value of a row in the table `claims`. A row is never deleted while its key
+ * may still be delivered or a write of it may still arrive, because every guard
+ * here relies on versions that only increase.
  */
 export interface ClaimRow extends ClaimContent {
-  /** For people; never compared. */
+  /** For diagnostics only; never compared. */
   readonly writtenAtWallClock: number;
 }
 
 /** A claim as read from the table. */
 export interface FoundClaim {
-  /** Undefined when the row cannot be read; then nobody may claim it. */
+  /** Undefined if the row is unreadable; it can't be claimed then. */
   readonly content: ClaimContent | undefined;
   readonly version: number;
 }
 
-/** The row's key; account ids contain no slash. */
+/** Key of the row; account ids contain no slash. */
 export function claimKey(account: string, key: string): string {
   return `${account}/${key}`;
 }
 
-/** The content of a claim that has no result. */
+/** Creates the content of a claim without a result. */
 export function createClaimContent(
   state: ClaimState,
   identity: ClaimIdentity,
@@ -53,7 +54,7 @@
   return { state, operationId, daemon, requestId, bodyHash };
 }
 
-/** Reads a row's value; undefined when it is not a claim. */
+/** Parses a row's value; undefined if it is not a claim. */
 export function parseClaimContent(value: unknown): ClaimContent | undefined {
   if (typeof value !== "object" || value === null) return undefined;
   const row = value as Partial<Record<keyof ClaimContent, unknown>>;
--- a/packages/kelpspar-decisions/src/claims/claim_transaction.ts
+++ b/packages/kelpspar-decisions/src/claims/claim_transaction.ts
@@ -1,20 +1,20 @@
 import type { ClaimRow } from "./claim_row.ts";
 
-/** One write of a batch, in the form that the table service takes. */
+/** One write of a batch, as sent to the table service. */
 export interface ClaimTableWrite {
   readonly table: string;
   readonly key: string;
   readonly value: ClaimRow;
-  /** 0 for a row that must be absent. */
+  /** 0 if the row must be absent. */
   readonly expectedVersion: number;
 }
 
-/** A batch of claim writes; all take effect or none. */
+/** An atomic batch of claim writes. */
 export interface ClaimTransaction {
   readonly writes: readonly ClaimTableWrite[];
 }
 
-/** The answer to a transaction, in the form that the table service gives. */
+/** Answer of the table service to a transaction. */
 export type ClaimTransactionAnswer =
   | { readonly committed: true; readonly versions: readonly number[] }
   | {
@@ -28,8 +28,8 @@
   };
 
 /**
- * What became of a transaction: an answer, `unknown` when the answer was lost,
- * or `unavailable` when it is proved that nothing was written.
+ * Outcome of a transaction: an answer, `unknown` if the answer was lost, or
+ * `unavailable` if it is proved that nothing was written.
  */
 export type ClaimTransactionOutcome =
   | ClaimTransactionAnswer
--- a/packages/kelpspar-decisions/src/claims/claim_write_answers.ts
+++ b/packages/kelpspar-decisions/src/claims/claim_write_answers.ts
@@ -3,32 +3,32 @@
 import type { ClaimAttempt, ClaimWriteKind } from "./claim_attempt_state.ts";
 import type { ClaimDecision } from "./claim_decision.ts";
 import type { FoundClaim } from "./claim_row.ts";
-import { finish, stay, step, write } from "./claim_attempt_steps.ts";
+import { finish, noop, step, write } from "./claim_attempt_steps.ts";
 import { decideClaim } from "./decide_claim.ts";
 
-const ABSENT = 0;
+const ABSENT_VERSION = 0;
 
-/** Takes the table's answer to the write that is on its way. */
-export function answerWrite(
+/** Handles the table's answer to the pending write. */
+export function handleWriteAnswer(
   attempt: ClaimAttempt,
   answer: ClaimWriteAnswer,
 ): ClaimAttemptStep {
   const { writing, ...settled } = attempt;
-  if (writing === undefined) return stay(attempt);
-  if (answer.type === "unavailable") return waitOrFinish(settled);
-  if (answer.type === "unknown") return LOST_ANSWERS[writing](settled);
+  if (writing === undefined) return noop(attempt);
+  if (answer.type === "unavailable") return retryOrFinish(settled);
+  if (answer.type === "unknown") return LOST_ANSWER_HANDLERS[writing](settled);
   if (answer.type === "committed") {
-    return COMMITS[writing](settled, answer.version);
+    return COMMIT_HANDLERS[writing](settled, answer.version);
   }
-  return CONFLICTS[writing](settled, answer.found);
+  return CONFLICT_HANDLERS[writing](settled, answer.found);
 }
 
 function resendLater(attempt: ClaimAttempt): ClaimAttemptStep {
   return step(attempt, [{ type: "resend_later" }]);
 }
 
-/** An abandoned attempt of which nothing was ever written needs no fence. */
-function waitOrFinish(attempt: ClaimAttempt): ClaimAttemptStep {
+/** An abandoned attempt that never wrote anything needs no fence. */
+function retryOrFinish(attempt: ClaimAttempt): ClaimAttemptStep {
   const hasNothing = attempt.version === undefined && !attempt.mayHaveWritten;
   if (attempt.phase === "abandoned" && hasNothing) {
     return finish(attempt, "released");
@@ -36,7 +36,7 @@
   return resendLater(attempt);
 }
 
-const LOST_ANSWERS: Readonly<
+const LOST_ANSWER_HANDLERS: Readonly<
   Record<ClaimWriteKind, (attempt: ClaimAttempt) => ClaimAttemptStep>
 > = {
   claim: (attempt) => {
@@ -47,7 +47,7 @@
   done: resendLater,
 };
 
-const COMMITS: Readonly<
+const COMMIT_HANDLERS: Readonly<
   Record<
     ClaimWriteKind,
     (attempt: ClaimAttempt, version: number) => ClaimAttemptStep
@@ -58,10 +58,13 @@
   done: (attempt, version) => finish({ ...attempt, version }, "done"),
 };
 
-function own(attempt: ClaimAttempt, version: number): ClaimAttemptStep {
-  const held = { ...attempt, version, mayHaveWritten: false };
-  if (attempt.phase === "abandoned") return write(held, "release");
-  return step({ ...held, phase: "owned" }, [{ type: "run" }]);
+function own(
+  attempt: ClaimAttempt,
+  version: number,
+): ClaimAttemptStep {
+  const confirmed = { ...attempt, version, mayHaveWritten: false };
+  if (attempt.phase === "abandoned") return write(confirmed, "release");
+  return step({ ...confirmed, phase: "owned" }, [{ type: "run" }]);
 }
 
 type ConflictHandler = (
@@ -69,7 +72,7 @@
   found: FoundClaim | null,
 ) => ClaimAttemptStep;
 
-const CONFLICTS: Readonly<Record<ClaimWriteKind, ConflictHandler>> = {
+const CONFLICT_HANDLERS: Readonly<Record<ClaimWriteKind, ConflictHandler>> = {
   claim: (attempt, found) => {
     const decision = decideClaim(found, attempt.identity);
     if (decision.type === "owned") return own(attempt, decision.version);
@@ -79,30 +82,32 @@
   release: (attempt, found) => {
     if (found === null) {
       const { version: _deleted, ...absent } = attempt;
-      return write({ ...absent, basis: ABSENT }, "release");
+      return write({ ...absent, baseVersion: ABSENT_VERSION }, "release");
     }
     const decision = decideClaim(found, attempt.identity);
     if (decision.type !== "owned") return finish(attempt, "released");
     return write({ ...attempt, version: decision.version }, "release");
   },
-  // Nobody else may change a claim that we hold. Whatever stands there now,
-  // our own earlier `done` or something unforeseen, is not written over.
+  // No other operation may change a claim that we hold. Whatever the row
+  // contains now, our own earlier `done` or something unforeseen, is not
+  // overwritten.
   done: (attempt) => finish(attempt, "done"),
 };
 
 /**
- * The conflict proves that the row has moved past the version that our earlier
- * writes expect, and versions only grow: none of them can take effect later.
+ * The conflict proves that the row has advanced past the version that our
+ * earlier writes expect. Versions only increase, so none of them can take
+ * effect later.
  */
 function followDecision(
   attempt: ClaimAttempt,
   decision: Exclude<ClaimDecision, { readonly type: "owned" }>,
 ): ClaimAttemptStep {
   if (decision.type === "claim") {
-    const basis = decision.expectedVersion;
-    if (basis === attempt.basis) return resendLater(attempt);
-    const fresh = { ...attempt, basis, mayHaveWritten: false };
-    return write({ ...fresh, phase: "pending" }, "claim");
+    const baseVersion = decision.expectedVersion;
+    if (baseVersion === attempt.baseVersion) return resendLater(attempt);
+    const rebased = { ...attempt, baseVersion, mayHaveWritten: false };
+    return write({ ...rebased, phase: "pending" }, "claim");
   }
   if (decision.type === "abandoned") {
     return step({ ...attempt, phase: "released" }, [
--- a/packages/kelpspar-decisions/src/claims/decide_owner_answer.ts
+++ b/packages/kelpspar-decisions/src/claims/decide_owner_answer.ts
@@ -1,7 +1,7 @@
 import type { HeldElsewhere } from "./claim_decision.ts";
 import type { StoredResult } from "./stored_result.ts";
 
-/** What a claim's holder says when it is asked through the peer port. */
+/** Answer of a claim's holder to a query through the peer port. */
 export type OwnerAnswer =
   | { readonly type: "running"; readonly operationId: string }
   | {
@@ -9,17 +9,17 @@
     readonly operationId: string;
     readonly result: StoredResult;
   }
-  /** It does not know the operation, or gave no answer, or is gone. */
+  /** The holder does not know the operation, gave no answer, or is gone. */
   | { readonly type: "silent" };
 
-/** What to tell a caller whose request another daemon holds. */
+/** Answer to a caller whose request is held by another daemon. */
 export type HeldDecision =
   | { readonly type: "in_progress" }
   | { readonly type: "completed"; readonly result: StoredResult }
   | { readonly type: "outcome_unknown" };
 
 /**
- * Turns the holder's answer into the caller's. An answer about any other
+ * Converts the holder's answer into the caller's. An answer about any other
  * operation counts as silence: a late or foreign result is never used.
  */
 export function decideOwnerAnswer(
--- a/packages/kelpspar-decisions/src/claims/ended_entries.ts
+++ b/packages/kelpspar-decisions/src/claims/ended_entries.ts
@@ -2,22 +2,22 @@
 import { EndedQueue } from "./ended_queue.ts";
 import { estimateResultBytes } from "./ledger_entry.ts";
 
-const MOST_DROPPED_A_CALL = 64;
+const MAXIMUM_DROPS_PER_CALL = 64;
 
 /**
- * The ended requests of a ledger, oldest first. Free keys are dropped whole.
- * Bound keys lose their result first; the entry itself goes with its epoch,
- * in one step, so that no call ever walks through all keys.
+ * Ended requests of a ledger, oldest first. Entries of free keys are removed as
+ * a whole. Entries of bound keys first lose their result; the entry itself is
+ * removed with its epoch, in one step, so that no call iterates over all keys.
  */
 export class EndedEntries {
   readonly #free = new Map<string, LedgerEntry>();
   readonly #bound = new Map<number, Map<string, LedgerEntry>>();
-  /** Entries that can still be made smaller. */
+  /** Entries whose memory can still be reduced. */
   readonly #droppable = new EndedQueue();
   #bytes = 0;
   readonly #epochBytes = new Map<number, number>();
 
-  /** What all entries take, bytes. */
+  /** Memory used by all entries, bytes. */
   get bytes(): number {
     return this.#bytes;
   }
@@ -43,7 +43,9 @@
     if (resultBytes > 0) this.#droppable.add(entry);
   }
 
-  /** Makes the oldest entry smaller; false when none can be. */
+  /**
+   * Reduces the memory of the oldest entry; false if no entry can be reduced.
+   */
   dropOldest(): boolean {
     const entry = this.#droppable.first();
     if (entry === undefined) return false;
@@ -51,26 +53,28 @@
     return true;
   }
 
-  /** Drops what ended at or before `limit`, some of it now, the rest later. */
+  /**
+   * Drops entries that ended at or before `limit`, a limited number per call.
+   */
   dropEndedBefore(limit: number): void {
-    for (let dropped = 0; dropped < MOST_DROPPED_A_CALL; dropped++) {
+    for (let dropped = 0; dropped < MAXIMUM_DROPS_PER_CALL; dropped++) {
       const entry = this.#droppable.first();
       if (entry?.ending === undefined || entry.ending.endedAt > limit) return;
       this.#drop(entry);
     }
   }
 
-  /** Forgets the bound keys of all epochs before `epoch`. */
+  /** Removes the bound keys of all epochs before `epoch`. */
   dropEpochsBefore(epoch: number): void {
-    for (const lapsed of [...this.#bound.keys()]) {
-      if (lapsed >= epoch) continue;
-      this.#bound.delete(lapsed);
-      this.#bytes -= this.#epochBytes.get(lapsed) ?? 0;
-      this.#epochBytes.delete(lapsed);
+    for (const expiredEpoch of [...this.#bound.keys()]) {
+      if (expiredEpoch >= epoch) continue;
+      this.#bound.delete(expiredEpoch);
+      this.#bytes -= this.#epochBytes.get(expiredEpoch) ?? 0;
+      this.#epochBytes.delete(expiredEpoch);
     }
   }
 
-  /** Forgets one entry. */
+  /** Removes one entry. */
   remove(entry: LedgerEntry): void {
     const { id, ending, epoch, bytes } = entry;
     this.#bytes -= estimateResultBytes(ending?.result);
@@ -85,7 +89,10 @@
     }
   }
 
-  /** Makes one entry smaller: a free key goes, a bound one stays as a fact. */
+  /**
+   * Reduces one entry: a free key is removed; a bound key keeps the record that
+   * it ran.
+   */
   #drop(entry: LedgerEntry): void {
     const { ending, epoch } = entry;
     if (epoch === undefined || ending === undefined) {
--- a/packages/kelpspar-decisions/src/claims/ended_queue.ts
+++ b/packages/kelpspar-decisions/src/claims/ended_queue.ts
@@ -1,28 +1,28 @@
 import type { LedgerEnding, LedgerEntry } from "./ledger_entry.ts";
 
-const FEWEST_TO_COMPACT = 1_024;
+const MINIMUM_COMPACTION_LENGTH = 1_024;
 
 interface QueuedEntry {
   readonly entry: LedgerEntry;
-  /** How it had ended when it was queued. */
+  /** Ending of the entry when it was queued. */
   readonly ending: LedgerEnding;
 }
 
 /**
- * Ended entries in the order they ended. A Map would keep that order too, but
- * finding its first entry walks over all that were deleted before it.
+ * Queue of ended entries in the order they ended. A Map would keep that order
+ * too, but finding its first entry iterates over all entries deleted before it.
  */
 export class EndedQueue {
   #items: QueuedEntry[] = [];
   #head = 0;
 
-  /** Queues an entry; it leaves the queue once its ending is replaced. */
+  /** Queues an entry; it is skipped once its ending is replaced. */
   add(entry: LedgerEntry): void {
     const { ending } = entry;
     if (ending !== undefined) this.#items.push({ entry, ending });
   }
 
-  /** The entry that ended first, and is still in the queue. */
+  /** The queued entry that ended first. */
   first(): LedgerEntry | undefined {
     for (;;) {
       const item = this.#items[this.#head];
@@ -34,7 +34,7 @@
   }
 
   #compact(): void {
-    if (this.#head < FEWEST_TO_COMPACT) return;
+    if (this.#head < MINIMUM_COMPACTION_LENGTH) return;
     if (this.#head * 2 < this.#items.length) return;
     this.#items = this.#items.slice(this.#head);
     this.#head = 0;
--- a/packages/kelpspar-decisions/src/claims/key_ledger.ts
+++ b/packages/kelpspar-decisions/src/claims/key_ledger.ts
@@ -1,6 +1,6 @@
 import type {
   LedgerDecision,
-  LedgerFinding,
+  LedgerLookup,
   LedgerRefusal,
   LedgerRequest,
 } from "./ledger_decision.ts";
@@ -19,32 +19,35 @@
 const DEFAULT_RESULT_KEEP_BYTES = 64 * 1024;
 const DEFAULT_TOTAL_BYTES = 64 * 1024 * 1024;
 
-/** What a ledger remembers and for how long. */
+/** Options of `KeyLedger`. */
 export interface KeyLedgerOptions {
-  /** This daemon's incarnation. */
+  /** Incarnation of this daemon. */
   readonly incarnation: string;
   /** Monotonic milliseconds. */
   readonly startedAt: number;
-  /** How long results stay, and an epoch lasts; default 900,000. */
+  /**
+   * Retention of results and duration of an epoch, milliseconds; default
+   * 900,000.
+   */
   readonly resultKeepMilliseconds?: number;
-  /** The longest text that is kept, bytes in UTF-8; default 64 KiB. */
+  /** Maximum size of a retained text, bytes in UTF-8; default 64 KiB. */
   readonly resultKeepBytes?: number;
-  /** Memory for all entries, bytes; default 64 MiB. */
+  /** Maximum memory of all entries, bytes; default 64 MiB. */
   readonly totalBytes?: number;
 }
 
-/** Names the run that a call is about. */
+/** Identifies a run. */
 export type LedgerRun = Pick<LedgerRequest, "account" | "key" | "requestId">;
 
 /**
- * The keys that this daemon has run or is running.
+ * Idempotency keys that this daemon has run or is running.
  *
- * What goes wrong without it: a caller whose connection went silent sends the
- * same booking again to the same daemon, and it runs twice. For a free key the
- * claim in the table guards as well, so that its entry may be dropped. For a
- * key bound to this incarnation this memory is the only guard: the fact that
- * it ran stays as long as its epoch is accepted, only its result may go. When
- * such facts fill the memory, new requests are refused as `overloaded`.
+ * Guards against this failure: a caller whose connection went silent sends the
+ * same booking again to the same daemon, and it runs twice. A free key is also
+ * protected by the claim in the table, so its entry may be dropped. For a key
+ * bound to this incarnation this memory is the only guard: the record that it
+ * ran is kept while its epoch is accepted; only its result may be dropped. When
+ * such records fill the memory, new requests are refused as `overloaded`.
  *
  * Source: the brief, "What must always hold" (at most once).
  */
@@ -69,23 +72,23 @@
       DEFAULT_RESULT_KEEP_BYTES;
   }
 
-  /** What the entries take, bytes, estimated from above. */
+  /** Upper estimate of the memory used by all entries, bytes. */
   get bytes(): number {
     return this.#runningBytes + this.#ended.bytes;
   }
 
-  /** The epoch that new bound keys carry. Grows, also while idle. */
+  /** Epoch for new bound keys. Advances with time, also while idle. */
   advanceEpoch(now: number): number {
-    const keep = this.#resultKeepMilliseconds;
-    const passed = Math.floor((now - this.#epochStartedAt) / keep);
+    const keepMilliseconds = this.#resultKeepMilliseconds;
+    const passed = Math.floor((now - this.#epochStartedAt) / keepMilliseconds);
     if (passed <= 0) return this.#epoch;
     this.#epoch += passed;
-    this.#epochStartedAt += passed * keep;
+    this.#epochStartedAt += passed * keepMilliseconds;
     this.#ended.dropEpochsBefore(this.#epoch - 1);
     return this.#epoch;
   }
 
-  /** Takes the limits of a newly accepted configuration. */
+  /** Applies the limits of a newly accepted configuration. */
   configure(limits: {
     readonly resultKeepMilliseconds: number;
     readonly resultKeepBytes: number;
@@ -96,34 +99,34 @@
   }
 
   /**
-   * Looks a request up and, when it says `run`, records it as running. Every
-   * `run` must be ended by `complete`, `fail` or `forget`.
+   * Looks up a request and, if the decision is `run`, records it as running.
+   * Every `run` must be ended by `complete`, `fail` or `discard`.
    */
   begin(request: LedgerRequest, now: number): LedgerDecision {
-    this.#tidy(now);
+    this.#evictExpired(now);
     const id = claimKey(request.account, request.key);
     const parsed = parseEpochKey(request.key);
     const known = this.#find(id, parsed, now);
-    if (known !== undefined) return this.#judge(known, request, now);
+    if (known !== undefined) return this.#decideKnown(known, request, now);
     const refusal = this.#refusalOf(parsed);
     if (refusal !== undefined) return refused(refusal);
     return this.#record(id, request, parsed);
   }
 
-  /** What is known of a key, without starting anything. */
+  /** Looks up a key without starting a run. */
   lookUp(
     name: Pick<LedgerRequest, "account" | "key">,
     now: number,
-  ): LedgerFinding | undefined {
-    this.#tidy(now);
+  ): LedgerLookup | undefined {
+    this.#evictExpired(now);
     const id = claimKey(name.account, name.key);
     const entry = this.#find(id, parseEpochKey(name.key), now);
     return entry === undefined ? undefined : this.#describe(entry, now);
   }
 
   /**
-   * Keeps a run's result, also after its outcome was unknown for a while.
-   * Ignored unless that run is still recorded.
+   * Stores a run's result, also if its outcome was unknown before. Ignored
+   * unless that run is still recorded.
    */
   complete(run: LedgerRun, options: {
     readonly result: StoredResult;
@@ -133,14 +136,17 @@
     this.#end(run, { result, now: options.now });
   }
 
-  /** Ends a run whose outcome is unknown. The key never runs here again. */
+  /**
+   * Ends a run whose outcome is unknown. The key never runs again at this
+   * daemon.
+   */
   fail(run: LedgerRun, now: number): void {
     this.#end(run, { result: undefined, now });
   }
 
-  /** Ends a run that is proved not to have started: the key may run again. */
-  forget(run: LedgerRun): void {
-    this.#takeRunning(run);
+  /** Ends a run that provably did not start; the key may run again. */
+  discard(run: LedgerRun): void {
+    this.#removeRunning(run);
   }
 
   #find(id: string, parsed: ParsedKey, now: number): LedgerEntry | undefined {
@@ -162,7 +168,7 @@
     return now - entry.ending.endedAt >= this.#resultKeepMilliseconds;
   }
 
-  #judge(
+  #decideKnown(
     entry: LedgerEntry,
     request: LedgerRequest,
     now: number,
@@ -176,7 +182,7 @@
     return { type: "attach", requestId: found.requestId };
   }
 
-  #describe(entry: LedgerEntry, now: number): LedgerFinding {
+  #describe(entry: LedgerEntry, now: number): LedgerLookup {
     const { requestId, ending } = entry;
     if (ending === undefined) return { requestId, state: "running" };
     const { result, isDropped } = ending;
@@ -195,7 +201,7 @@
     if (parsed === "malformed") return "malformed_request";
     if (parsed.incarnation !== this.#incarnation) return "wrong_daemon";
     if (parsed.epoch > this.#epoch) return "malformed_request";
-    // Its memory is gone, so that it may have run.
+    // The records of that epoch were removed, so the key may have run.
     if (parsed.epoch < this.#epoch - 1) return "outcome_unknown";
     return undefined;
   }
@@ -206,7 +212,7 @@
     parsed: ParsedKey,
   ): LedgerDecision {
     const bytes = estimateEntryBytes(id, request.bodyHash);
-    this.#makeRoom(bytes);
+    this.#evictToFit(bytes);
     if (this.bytes + bytes > this.#totalBytes) return refused("overloaded");
     const { bodyHash, requestId } = request;
     const epoch = epochOf(parsed);
@@ -226,19 +232,19 @@
     readonly result: StoredResult | undefined;
     readonly now: number;
   }): void {
-    this.#tidy(ending.now);
-    const entry = this.#takeRunning(run) ??
-      this.#takeUnknown(run, ending.now);
+    this.#evictExpired(ending.now);
+    const entry = this.#removeRunning(run) ??
+      this.#removeUnknown(run, ending.now);
     if (entry === undefined) return;
     if (entry.epoch !== undefined && entry.epoch < this.#epoch - 1) return;
     const { result, now } = ending;
-    this.#makeRoom(entry.bytes + estimateResultBytes(result));
+    this.#evictToFit(entry.bytes + estimateResultBytes(result));
     entry.ending = { endedAt: now, result, isDropped: false };
     this.#ended.add(entry);
-    this.#makeRoom(0);
+    this.#evictToFit(0);
   }
 
-  #takeUnknown(run: LedgerRun, now: number): LedgerEntry | undefined {
+  #removeUnknown(run: LedgerRun, now: number): LedgerEntry | undefined {
     const id = claimKey(run.account, run.key);
     const entry = this.#find(id, parseEpochKey(run.key), now);
     if (entry?.requestId !== run.requestId) return undefined;
@@ -248,7 +254,7 @@
     return entry;
   }
 
-  #takeRunning(run: LedgerRun): LedgerEntry | undefined {
+  #removeRunning(run: LedgerRun): LedgerEntry | undefined {
     const id = claimKey(run.account, run.key);
     const entry = this.#running.get(id);
     if (entry?.requestId !== run.requestId) return undefined;
@@ -257,12 +263,12 @@
     return entry;
   }
 
-  #tidy(now: number): void {
+  #evictExpired(now: number): void {
     this.advanceEpoch(now);
     this.#ended.dropEndedBefore(now - this.#resultKeepMilliseconds);
   }
 
-  #makeRoom(bytes: number): void {
+  #evictToFit(bytes: number): void {
     while (this.bytes + bytes > this.#totalBytes) {
       if (!this.#ended.dropOldest()) return;
     }
--- a/packages/kelpspar-decisions/src/claims/ledger_decision.ts
+++ b/packages/kelpspar-decisions/src/claims/ledger_decision.ts
@@ -1,6 +1,6 @@
 import type { StoredResult } from "./stored_result.ts";
 
-/** A request as the ledger sees it. */
+/** A request as seen by the ledger. */
 export interface LedgerRequest {
   readonly account: string;
   readonly key: string;
@@ -8,26 +8,29 @@
   readonly requestId: string;
 }
 
-/** What the ledger says to a request. */
+/** Decision of the ledger on a request. */
 export type LedgerDecision =
-  /** Not known here: run it, after a claim in the table when `bound` is false. */
+  /**
+   * Unknown key: run the request, after a claim in the table if `bound` is
+   * false.
+   */
   | { readonly type: "run"; readonly bound: boolean }
-  /** It is running here under this request id. */
+  /** The request is running at this daemon under this request id. */
   | { readonly type: "attach"; readonly requestId: string }
   | { readonly type: "completed"; readonly result: StoredResult }
-  /** The key was used with another body. */
+  /** The key was used with a different body. */
   | { readonly type: "reused" }
   | { readonly type: "refused"; readonly result: LedgerRefusal };
 
-/** What the ledger knows of a request that it ran or is running. */
-export type LedgerFinding =
+/** State of a request that this daemon has run or is running. */
+export type LedgerLookup =
   & { readonly requestId: string }
   & (
     | { readonly state: "running" | "outcome_unknown" | "result_expired" }
     | { readonly state: "completed"; readonly result: StoredResult }
   );
 
-/** The result codes of the ledger's refusals. */
+/** Result codes of the ledger's refusals. */
 export type LedgerRefusal =
   | "malformed_request"
   | "outcome_unknown"
--- a/packages/kelpspar-decisions/src/claims/mod.ts
+++ b/packages/kelpspar-decisions/src/claims/mod.ts
@@ -32,7 +32,7 @@
 export type { KeyLedgerOptions, LedgerRun } from "./key_ledger.ts";
 export type {
   LedgerDecision,
-  LedgerFinding,
+  LedgerLookup,
   LedgerRefusal,
   LedgerRequest,
 } from "./ledger_decision.ts";
@@ -40,7 +40,7 @@
   ClaimWriteResult,
   QueuedClaimWrite,
 } from "./queued_claim_write.ts";
-export type { CallProof, RequestFacts, StageFacts } from "./refusal_truth.ts";
+export type { CallProof, RequestFacts, StageFacts } from "./refusal_outcome.ts";
 export type {
   KeptResult,
   OversizedResult,
@@ -53,4 +53,4 @@
 export { decideClaim } from "./decide_claim.ts";
 export { decideOwnerAnswer } from "./decide_owner_answer.ts";
 export { KeyLedger } from "./key_ledger.ts";
-export { judgeRefusal } from "./refusal_truth.ts";
+export { determineRefusalOutcome } from "./refusal_outcome.ts";
--- a/packages/kelpspar-standins/src/capacity/simulate_claims.ts
+++ b/packages/kelpspar-standins/src/capacity/simulate_claims.ts
@@ -61,7 +61,7 @@
     later.push({
       at: now + TABLE_MILLISECONDS,
       run: () => {
-        batcher.settle(batch.batchId, { committed: true, versions });
+        batcher.completeBatch(batch.batchId, { committed: true, versions });
       },
     });
   };
@@ -71,7 +71,7 @@
     if (due.length > 0) later = later.filter((event) => event.at > now);
     for (const event of due) event.run();
     for (;;) {
-      const batch = batcher.take(now, { wallClock: now });
+      const batch = batcher.takeBatch(now, { wallClock: now });
       if (batch === undefined) break;
       send(batch, now);
     }
