--- a/packages/kelpspar-configuration/src/checks/check_accounts.ts
+++ b/packages/kelpspar-configuration/src/checks/check_accounts.ts
@@ -1,7 +1,7 @@
 import type { ConfigurationProblem } from "../problems/configuration_problem.ts";
 import type { ConfigurationOutline } from "./configuration_outline.ts";
 import { formatPath } from "../problems/format_path.ts";
-import { listed } from "./listed.ts";
+import { listed } from "./readable_elements.ts";
 
 /** Decimal shares such as 0.1 have no exact binary form. */
 const SHARE_TOLERANCE = 1e-9;
--- a/packages/kelpspar-configuration/src/checks/check_duplicates.ts
+++ b/packages/kelpspar-configuration/src/checks/check_duplicates.ts
@@ -1,7 +1,7 @@
 import type { ConfigurationProblem } from "../problems/configuration_problem.ts";
 import type { ConfigurationOutline } from "./configuration_outline.ts";
 import { formatPath } from "../problems/format_path.ts";
-import { listed } from "./listed.ts";
+import { listed } from "./readable_elements.ts";
 
 interface Named {
   readonly name: string | null;
--- a/packages/kelpspar-configuration/src/checks/check_models.ts
+++ b/packages/kelpspar-configuration/src/checks/check_models.ts
@@ -4,9 +4,9 @@
   OutlineElement,
   StageOutline,
 } from "./configuration_outline.ts";
-import type { Listed } from "./listed.ts";
+import type { Listed } from "./readable_elements.ts";
 import { formatPath } from "../problems/format_path.ts";
-import { listed } from "./listed.ts";
+import { listed } from "./readable_elements.ts";
 
 interface KnownParts {
   readonly services: ReadonlyMap<string | null, OutlineElement<"services">>;
--- a/packages/kelpspar-configuration/src/checks/check_references.ts
+++ b/packages/kelpspar-configuration/src/checks/check_references.ts
@@ -1,7 +1,7 @@
 import type { ConfigurationProblem } from "../problems/configuration_problem.ts";
 import type { ConfigurationOutline } from "./configuration_outline.ts";
 import { formatPath } from "../problems/format_path.ts";
-import { idsOf, listed } from "./listed.ts";
+import { idsOf, listed } from "./readable_elements.ts";
 
 interface Reference {
   readonly kind: "account" | "model" | "service";
