--- a/packages/kelpspar-shared/src/__tests__/unit/conventions_test.ts
+++ b/packages/kelpspar-shared/src/__tests__/unit/conventions_test.ts
@@ -5,8 +5,8 @@
 
 const PACKAGES = fileURLToPath(new URL("../../../../", import.meta.url));
 
-/** Which packages of ours each package may import; docs/ARCHITECTURE.md. */
-const ALLOWED: Readonly<Record<string, readonly string[]>> = {
+/** The kelpspar packages that each package may import; docs/ARCHITECTURE.md. */
+const ALLOWED_IMPORTS: Readonly<Record<string, readonly string[]>> = {
   shared: [],
   decisions: ["shared"],
   configuration: ["shared"],
@@ -34,8 +34,11 @@
   ],
 };
 
-/** Stand-ins, experiments and scenarios are test tooling, not the product. */
-const PRODUCT = [
+/**
+ * Packages of the product; stand-ins, experiments and scenarios are test
+ * tooling.
+ */
+const PRODUCT_PACKAGES = [
   "shared",
   "decisions",
   "configuration",
@@ -47,9 +50,10 @@
   "cli",
 ];
 
-const CLOCKS =
+const CLOCK_ACCESS =
   /\b(setTimeout|setInterval|Date\.now|performance\.now|Math\.random|hrtime)\b/;
-const PROCESSES = /child_process|worker_threads|SharedArrayBuffer|node:cluster/;
+const PROCESS_ACCESS =
+  /child_process|worker_threads|SharedArrayBuffer|node:cluster/;
 
 interface SourceFile {
   readonly package: string;
@@ -58,8 +62,8 @@
 }
 
 /**
- * Names of the users' platform that may stand in `platform/`, `deploy/` and
- * the stand-in of the platform alone.
+ * Names of the users' platform, which only `platform/`, `deploy/` and the
+ * platform's stand-in may contain.
  */
 const PLATFORM_HEADERS = new RegExp(
   [
@@ -75,8 +79,10 @@
     "trafficSplit|apiKeys|KELPSPAR_BOOT|morePages|tombstone|heartbeatMs)\\b",
 );
 
-/** The stand-in of the platform speaks its names. */
-const STAND_IN = "kelpspar-standins/src/wire/";
+/**
+ * The platform's stand-in implements its protocol and so contains its names.
+ */
+const PLATFORM_STAND_IN_FOLDER = "kelpspar-standins/src/wire/";
 
 function readSources(names: readonly string[]): readonly SourceFile[] {
   return names.flatMap((name) => {
@@ -91,45 +97,45 @@
   });
 }
 
-/** Paths of the product's files whose code, not comments, matches. */
-function findProduct(pattern: RegExp): readonly string[] {
-  return readSources(PRODUCT).filter(({ text }) =>
+/** Paths of the product's files with a match outside comments. */
+function findProductFiles(pattern: RegExp): readonly string[] {
+  return readSources(PRODUCT_PACKAGES).filter(({ text }) =>
     text.split("\n").some((line) =>
       pattern.test(line) && !/^\s*(\*|\/\/|\/\*)/.test(line)
     )
   ).map(({ path }) => path);
 }
 
-test("packages import one another one way only", () => {
-  const wrong = readSources(Object.keys(ALLOWED)).flatMap((file) =>
+test("packages import only the packages that they are allowed to", () => {
+  const wrong = readSources(Object.keys(ALLOWED_IMPORTS)).flatMap((file) =>
     [...file.text.matchAll(/from "kelpspar-([a-z]+)/g)]
       .map((match) => match[1] ?? "")
-      .filter((name) => !ALLOWED[file.package]?.includes(name))
+      .filter((name) => !ALLOWED_IMPORTS[file.package]?.includes(name))
       .map((name) => `${file.path} imports ${name}`)
   );
   expect(wrong).toEqual([]);
 });
 
-test("the product takes time from the timer service alone", () => {
-  expect(findProduct(CLOCKS)).toEqual([
+test("the product uses clocks and timers only through the timer service", () => {
+  expect(findProductFiles(CLOCK_ACCESS)).toEqual([
     "kelpspar-shared/src/timer/system_timer.ts",
   ]);
 });
 
 test("the product starts no process and shares no memory", () => {
-  expect(findProduct(PROCESSES)).toEqual([]);
+  expect(findProductFiles(PROCESS_ACCESS)).toEqual([]);
 });
 
-test("the platform's names stand in its folder alone", () => {
-  const wrong = readSources(Object.keys(ALLOWED))
+test("only the platform's folder and stand-in contain the platform's names", () => {
+  const wrong = readSources(Object.keys(ALLOWED_IMPORTS))
     .filter(({ path, text }) =>
-      !path.startsWith(STAND_IN) &&
+      !path.startsWith(PLATFORM_STAND_IN_FOLDER) &&
       (PLATFORM_HEADERS.test(text) || PLATFORM_FIELDS.test(text))
     ).map(({ path }) => path);
   expect(wrong).toEqual([]);
 });
 
-test("the platform's folder takes time from the timer service alone", () => {
+test("the platform's folder uses clocks and timers only through the timer service", () => {
   const folder = fileURLToPath(
     new URL("../platform/src", `file://${PACKAGES}`),
   );
@@ -137,7 +143,7 @@
     .filter((path) => path.endsWith(".ts") && !path.includes("__tests__"))
     .filter((path) => {
       const text = readFileSync(`${folder}/${path}`, "utf8");
-      return CLOCKS.test(text) || PROCESSES.test(text);
+      return CLOCK_ACCESS.test(text) || PROCESS_ACCESS.test(text);
     });
   expect(wrong).toEqual([]);
 });
--- a/packages/kelpspar-shared/src/__tests__/unit/kelpspar_error_test.ts
+++ b/packages/kelpspar-shared/src/__tests__/unit/kelpspar_error_test.ts
@@ -2,10 +2,10 @@
 import { test } from "node:test";
 import { KelpsparError, toKelpsparError } from "../../mod.ts";
 
-test("an error that wraps another of its kind changes neither", () => {
-  // Symptom: a refused request was answered with the code of its cause.
-  // Sequence: an error was created with a cause that was a KelpsparError.
-  // Cause: the errors library returned the cause itself, changed.
+test("wrapping a KelpsparError changes neither the wrapper nor the cause", () => {
+  // Guards against a refused request that gets the result code of its cause:
+  // given a cause of its own class, the errors library returns the modified
+  // cause instead of a new error.
   const cause = new KelpsparError("endpoint_refused", "Cannot connect");
   const error = new KelpsparError("no_endpoint", "No endpoint", { cause });
   expect(error.result).toEqual("no_endpoint");
@@ -15,8 +15,8 @@
   expect(error.cause).toEqual(cause);
 });
 
-test("any thrown value gets a result code, and keeps one it has", () => {
-  const known = new KelpsparError("draining", "Stopping");
-  expect(toKelpsparError(known) === known).toEqual(true);
+test("any thrown value gets a result code, and a KelpsparError keeps its own", () => {
+  const existing = new KelpsparError("draining", "Stopping");
+  expect(toKelpsparError(existing) === existing).toEqual(true);
   expect(toKelpsparError("text").result).toEqual("internal_error");
 });
--- a/packages/kelpspar-shared/src/__tests__/unit/manual_timer_test.ts
+++ b/packages/kelpspar-shared/src/__tests__/unit/manual_timer_test.ts
@@ -2,7 +2,7 @@
 import { expect } from "earl";
 import { ManualTimer } from "../../mod.ts";
 
-test("alarms of one time fire in the order they were set", async () => {
+test("timers due at the same time fire in the order of their registration", async () => {
   const timer = new ManualTimer();
   const fired: string[] = [];
   timer.registerTimeout(() => fired.push("first"), 10);
--- a/packages/kelpspar-shared/src/__tests__/unit/result_codes_test.ts
+++ b/packages/kelpspar-shared/src/__tests__/unit/result_codes_test.ts
@@ -9,7 +9,7 @@
   import.meta.url,
 );
 
-test("docs/RESULT_CODES.md holds the table of the code", async () => {
+test("docs/RESULT_CODES.md contains the rendered table", async () => {
   const page = await readFile(PAGE, "utf8");
   expect(page.includes(renderResultCodes())).toEqual(true);
 });
--- a/packages/kelpspar-shared/src/caller/answer_record.ts
+++ b/packages/kelpspar-shared/src/caller/answer_record.ts
@@ -19,31 +19,31 @@
   readonly text: string;
 }
 
-/** The last record of a whole answer; without it the answer was cut off. */
+/** The last record of a complete answer; without it the answer was cut off. */
 export interface EndRecord {
   readonly type: "end";
   readonly requestId: string;
-  /** The length of the whole text in UTF-16 units. */
+  /** The length of the complete text in UTF-16 units. */
   readonly length: number;
-  /** CRC-32 of the whole text in UTF-8, eight hexadecimal digits. */
+  /** CRC-32 of the complete text in UTF-8, eight hexadecimal digits. */
   readonly checksum: string;
   readonly cost: readonly StageCost[];
   /** Milliseconds from arrival at the daemon to this record. */
   readonly elapsedMilliseconds: number;
 }
 
-/** The last record of a request that got no whole answer. */
+/** The last record of a request without a complete answer. */
 export interface FailureRecord {
   readonly type: "failure";
   readonly code: number;
   readonly result: ResultName;
   readonly outcome: Outcome;
   readonly retry: RetryAdvice;
-  /** When to come back, in milliseconds; absent when coming back is no use. */
+  /** Delay before a retry, in milliseconds; absent if a retry is useless. */
   readonly retryAfterMilliseconds?: number;
   readonly message: string;
   readonly requestId?: string;
-  /** Other daemons to use, as `address:port`. */
+  /** Other daemons to retry at, as `address:port`. */
   readonly elsewhere?: readonly string[];
 }
 
--- a/packages/kelpspar-shared/src/caller/failure_record.ts
+++ b/packages/kelpspar-shared/src/caller/failure_record.ts
@@ -2,7 +2,7 @@
 import type { KelpsparError } from "../results/kelpspar_error.ts";
 import { RESULT_CODES } from "../results/result_codes.ts";
 
-/** Turns an error into the record that a caller receives. */
+/** Converts an error to the record that a caller receives. */
 export function toFailureRecord(
   error: KelpsparError,
   options: {
--- a/packages/kelpspar-shared/src/caller/stage_cost.ts
+++ b/packages/kelpspar-shared/src/caller/stage_cost.ts
@@ -1,7 +1,9 @@
-/** What one stage of one request cost. */
+/** The cost of one stage of one request. */
 export interface StageCost {
   readonly stageId: string;
-  /** Time that endpoints spent on the stage, all attempts, milliseconds. */
+  /**
+   * Time that endpoints spent on all attempts of the stage, in milliseconds.
+   */
   readonly runnerMilliseconds: number;
   readonly tokensIn: number;
   readonly tokensOut: number;
--- a/packages/kelpspar-shared/src/endpoint/endpoint_address.ts
+++ b/packages/kelpspar-shared/src/endpoint/endpoint_address.ts
@@ -1,6 +1,6 @@
-/** Where an endpoint is and what it serves, as the VM list says. */
+/** The address and service of an endpoint, from the VM list. */
 export interface EndpointAddress {
-  /** The VM's id, kept when a VM is replaced under the same address. */
+  /** The VM's id, unchanged when a VM is replaced under the same address. */
   readonly endpointId: string;
   /** The VM's incarnation in the VM list. */
   readonly incarnation: string;
@@ -9,6 +9,6 @@
   readonly availabilityZone: string;
   /** The id of the service in the configuration. */
   readonly service: string;
-  /** True when the endpoint refuses orders with an old fencing number. */
+  /** True if the endpoint refuses orders with a stale fencing number. */
   readonly checksFencing: boolean;
 }
--- a/packages/kelpspar-shared/src/endpoint/engine_order.ts
+++ b/packages/kelpspar-shared/src/endpoint/engine_order.ts
@@ -1,8 +1,8 @@
 import type { EndpointRole } from "./load_report.ts";
 
-/** The state an engine is ordered into; orders are idempotent by it. */
+/** The state that an order requests; makes orders idempotent. */
 export interface DesiredEngineState {
-  /** Models to have loaded, with their version. */
+  /** Models to load, with their version. */
   readonly models: Readonly<Record<string, string>>;
   readonly adapters: readonly string[];
   readonly role: EndpointRole;
@@ -12,7 +12,7 @@
 export interface EngineOrder {
   /** The group whose lease the sender holds. */
   readonly group: string;
-  /** Grows with each holder of the group's lease. */
+  /** Increases with each holder of the group's lease. */
   readonly fencingNumber: number;
   readonly desired: DesiredEngineState;
 }
--- a/packages/kelpspar-shared/src/endpoint/load_report.ts
+++ b/packages/kelpspar-shared/src/endpoint/load_report.ts
@@ -1,15 +1,17 @@
-/** What an endpoint says of itself: the answer of `GET /v1/load`. */
+/** An endpoint's report of its load: the response body of `GET /v1/load`. */
 export interface LoadReport {
-  /** Changes when the endpoint's process starts anew. */
+  /** Changes when the endpoint's process restarts. */
   readonly incarnation: string;
-  /** Grows with each report of an incarnation. */
+  /** Increases with each report of an incarnation. */
   readonly sequence: number;
   readonly state: "loading" | "ready" | "leaving";
   readonly running: number;
   readonly waiting: number;
-  /** Calls it runs at a time. */
+  /** Number of calls that it runs at a time. */
   readonly concurrency: number;
-  /** Calls accepted since the incarnation began; tells how old a report is. */
+  /**
+   * Calls accepted since the incarnation started; shows how old a report is.
+   */
   readonly accepted: number;
   readonly queuedTokens: number;
   /** Models that are loaded and ready, with their version. */
@@ -18,5 +20,5 @@
   readonly role: EndpointRole;
 }
 
-/** What part of generation an engine takes. */
+/** The part of generation that an engine runs. */
 export type EndpointRole = "any" | "prefill" | "decode" | "service";
--- a/packages/kelpspar-shared/src/endpoint/stage_record.ts
+++ b/packages/kelpspar-shared/src/endpoint/stage_record.ts
@@ -1,4 +1,4 @@
-/** Says which call a record answers; checked before a record is used. */
+/** Identifies the call of a record; checked before a record is used. */
 export interface StageRecordIds {
   readonly requestId: string;
   readonly stageId: string;
@@ -13,11 +13,11 @@
   readonly text: string;
 }
 
-/** The last record of a whole result. */
+/** The last record of a complete result. */
 export interface StageEndRecord extends StageRecordIds {
   readonly type: "end";
   readonly length: number;
-  /** Time the endpoint spent on the call, milliseconds. */
+  /** Time the endpoint spent on the call, in milliseconds. */
   readonly runnerMilliseconds: number;
   readonly tokensIn: number;
   readonly tokensOut: number;
@@ -26,13 +26,13 @@
 /** The last record of a call that failed at the endpoint. */
 export interface StageFailureRecord extends StageRecordIds {
   readonly type: "failure";
-  /** False only when the endpoint vouches that it did not start the call. */
+  /** False only if the endpoint guarantees that it did not start the call. */
   readonly started: boolean;
   readonly reason: StageFailureReason;
   readonly retryAfterMilliseconds?: number;
 }
 
-/** Why an endpoint failed a call. */
+/** The reason that an endpoint gives for a failed call. */
 export type StageFailureReason =
   | "overloaded"
   | "leaving"
@@ -41,7 +41,7 @@
   | "unknown_attempt"
   | "wrong_model";
 
-/** One line of a call's answer (newline-delimited JSON). */
+/** One line of a call's response stream (newline-delimited JSON). */
 export type StageRecord =
   | StageChunkRecord
   | StageEndRecord
--- a/packages/kelpspar-shared/src/random/seeded_random.ts
+++ b/packages/kelpspar-shared/src/random/seeded_random.ts
@@ -4,7 +4,7 @@
 
 const TWO_TO_32 = 2 ** 32;
 
-/** A repeatable source of chance for tests and for jitter. */
+/** A reproducible random number generator, for tests and for jitter. */
 export class SeededRandom implements RandomSource {
   #generator: RandomGenerator;
 
--- a/packages/kelpspar-shared/src/random/system_random.ts
+++ b/packages/kelpspar-shared/src/random/system_random.ts
@@ -6,10 +6,10 @@
 const POOL_BYTES = 4_096;
 
 /**
- * Chance of a running process. Identifiers are made of unpredictable bytes,
- * taken from the operating system in pools; jitter and choices among endpoints
- * come from a generator that is seeded once, since they are drawn thousands of
- * times a second and need not be secret.
+ * The random source of a running process. Identifiers use unpredictable bytes,
+ * read from the operating system in pools; jitter and choices among endpoints
+ * use a generator that is seeded once, since they are needed thousands of times
+ * a second and need not be secret.
  */
 export class SystemRandom implements RandomSource {
   readonly #generator = new SeededRandom(randomBytes(4).readInt32BE());
--- a/packages/kelpspar-shared/src/results/invariant.ts
+++ b/packages/kelpspar-shared/src/results/invariant.ts
@@ -1,13 +1,13 @@
 import { INVARIANTS } from "./invariants.ts";
 
 /**
- * Throws when something happens that cannot happen. The number leads to the
- * line in `INVARIANTS` that says what was assumed.
+ * Throws if `condition` is false. The number refers to the entry of
+ * `INVARIANTS` that states the assumption.
  */
 export function invariant(
   condition: unknown,
   number: keyof typeof INVARIANTS,
 ): asserts condition {
   if (condition) return;
-  throw new Error(`Invariant ${number} broken: ${INVARIANTS[number]}`);
+  throw new Error(`Invariant ${number} violated: ${INVARIANTS[number]}`);
 }
--- a/packages/kelpspar-shared/src/results/invariants.ts
+++ b/packages/kelpspar-shared/src/results/invariants.ts
@@ -1,4 +1,6 @@
-/** What the code takes for granted, numbered; numbers are never reused. */
+/**
+ * The assumptions that the code relies on, by number. Numbers are never reused.
+ */
 export const INVARIANTS = {
   9001: "A state changes only inside its own update",
   9002: "A timer fires no earlier than it was set for",
--- a/packages/kelpspar-shared/src/results/kelpspar_error.ts
+++ b/packages/kelpspar-shared/src/results/kelpspar_error.ts
@@ -5,13 +5,13 @@
 
 const BaseError = ModernError.subclass("BaseError");
 
-/** What is known about a failure beyond its name and message. */
+/** Details of a failure besides its name and message. */
 export interface KelpsparErrorOptions {
-  /** Overrides the table's outcome where the failure proves another one. */
+  /** Overrides the table's outcome if the failure proves another one. */
   readonly outcome?: Outcome;
-  /** When a caller may come back, in milliseconds from now. */
+  /** When a caller may retry, in milliseconds from now. */
   readonly retryAfterMilliseconds?: number;
-  /** The error that led to this one. */
+  /** The error that caused this one. */
   readonly cause?: unknown;
 }
 
@@ -34,8 +34,8 @@
     this.outcome = options.outcome ?? RESULT_CODES[result].outcome;
     this.retryAfterMilliseconds = options.retryAfterMilliseconds;
     if (options.cause === undefined) return;
-    // The library takes a cause of its own class for the error itself and
-    // changes it; a wrapped failure would then lose its result code.
+    // Given a cause of its own class, the library modifies and returns the
+    // cause, so that the wrapping error would lose its result code.
     Object.defineProperty(this, "cause", {
       value: options.cause,
       configurable: true,
@@ -45,10 +45,11 @@
 }
 
 /**
- * The one error type of the product: a numbered result with a message that
- * says what was tried and why it failed.
+ * The only error type of the product: a numbered result code with a message
+ * that says what was tried and why it failed.
  */
-// The library's types know only constructors that take the message first.
+// The library's types allow only constructors whose first parameter is the
+// message.
 export const KelpsparError = BaseError.subclass("KelpsparError", {
   custom: NumberedError as unknown as typeof BaseError,
 }) as unknown as typeof NumberedError;
--- a/packages/kelpspar-shared/src/results/outcome.ts
+++ b/packages/kelpspar-shared/src/results/outcome.ts
@@ -1,7 +1,7 @@
 /**
- * What is known of a request that got no answer. `not_run` is said only with
- * proof that no endpoint received a byte of the first stage that has an
- * effect; everything short of proof is `outcome_unknown`.
+ * What is known about a request's outcome. `not_run` requires proof that no
+ * endpoint received a byte of the first stage that has an effect; without proof
+ * the outcome of an unanswered request is `outcome_unknown`.
  *
  * Source: the brief, "What must always hold".
  */
--- a/packages/kelpspar-shared/src/results/render_result_codes.ts
+++ b/packages/kelpspar-shared/src/results/render_result_codes.ts
@@ -11,7 +11,7 @@
   "Meaning",
 ] as const;
 
-/** Renders the table of docs/RESULT_CODES.md, in Markdown. */
+/** Renders the Markdown table of docs/RESULT_CODES.md. */
 export function renderResultCodes(): string {
   const rows = Object.entries<ResultCode>(RESULT_CODES).map(([name, row]) => [
     String(row.number),
--- a/packages/kelpspar-shared/src/results/result_code.ts
+++ b/packages/kelpspar-shared/src/results/result_code.ts
@@ -5,12 +5,12 @@
 export interface ResultCode {
   /** The number that callers, operators and logs see. */
   readonly number: number;
-  /** The outcome unless the failure itself proves another one. */
+  /** The outcome, unless the failure itself proves another one. */
   readonly outcome: Outcome;
   readonly retry: RetryAdvice;
   readonly httpStatus: number;
-  /** The exit code of a process that ends with this result. */
+  /** The exit code of a process that exits with this result. */
   readonly exitCode: number;
-  /** One sentence for people, without a full stop. */
+  /** One human-readable sentence, without a full stop. */
   readonly meaning: string;
 }
--- a/packages/kelpspar-shared/src/results/result_codes.ts
+++ b/packages/kelpspar-shared/src/results/result_codes.ts
@@ -1,8 +1,8 @@
 import type { ResultCode } from "./result_code.ts";
 
 /**
- * Every result code, by name. docs/RESULT_CODES.md is made from this table and
- * a test compares the two. Numbers are never reused.
+ * Every result code, by name. docs/RESULT_CODES.md is generated from this table
+ * and a test compares the two. Numbers are never reused.
  */
 export const RESULT_CODES = {
   ok: {
--- a/packages/kelpspar-shared/src/results/to_kelpspar_error.ts
+++ b/packages/kelpspar-shared/src/results/to_kelpspar_error.ts
@@ -2,8 +2,8 @@
 import { KelpsparError } from "./kelpspar_error.ts";
 
 /**
- * Gives any thrown value a result code: errors that have one keep it, all
- * others become `fallback`.
+ * Converts any thrown value to a KelpsparError. A KelpsparError is returned
+ * unchanged; other values get the result code `fallback`.
  */
 export function toKelpsparError(
   thrown: unknown,
--- a/packages/kelpspar-shared/src/text/format_host.ts
+++ b/packages/kelpspar-shared/src/text/format_host.ts
@@ -1,4 +1,4 @@
-/** `address:port` as URLs write it: IPv6 numbers stand in brackets. */
+/** Formats `address:port` for a URL: IPv6 addresses are put in brackets. */
 export function formatHost(address: string, port: number): string {
   const host = address.includes(":") ? `[${address}]` : address;
   return `${host}:${port}`;
--- a/packages/kelpspar-shared/src/text/hash.ts
+++ b/packages/kelpspar-shared/src/text/hash.ts
@@ -6,8 +6,8 @@
 }
 
 /**
- * Compares two texts in a time that tells nothing of where they differ, so
- * that a key cannot be guessed digit by digit.
+ * Compares two texts in constant time, so that the time does not reveal where
+ * they differ and a key cannot be guessed digit by digit.
  */
 export function equalInConstantTime(left: string, right: string): boolean {
   const leftHash = createHash("sha256").update(left).digest();
--- a/packages/kelpspar-shared/src/text/offset_assembler.ts
+++ b/packages/kelpspar-shared/src/text/offset_assembler.ts
@@ -1,62 +1,63 @@
-/** A piece of a text and where it starts, in UTF-16 units. */
+/** A piece of a text and its start offset, in UTF-16 units. */
 export interface TextPiece {
   readonly offset: number;
   readonly text: string;
 }
 
 /**
- * Puts a text together by offset. What goes wrong: pieces arrive late, twice,
- * overlapping or out of order; taken as they come they double or scramble the
- * text. Each unit of the text is taken once, from whichever piece brings it,
- * and pieces beyond a gap wait for it to close.
+ * Assembles a text from pieces by their offset. Pieces may arrive late, twice,
+ * overlapping or out of order; concatenating them in order of arrival would
+ * duplicate or scramble the text. Each unit of the text is used once, from the
+ * first piece that contains it, and pieces beyond a gap are kept until the gap
+ * is closed.
  */
 export class OffsetAssembler {
   #length: number;
-  #waiting: TextPiece[] = [];
+  #pendingPieces: TextPiece[] = [];
 
   constructor(options: { readonly startOffset?: number } = {}) {
     this.#length = options.startOffset ?? 0;
   }
 
-  /** The length of the text without gaps so far. */
+  /** The length of the text assembled without gaps so far. */
   get length(): number {
     return this.#length;
   }
 
-  /** True while pieces wait beyond a gap. */
+  /** True while pieces beyond a gap are pending. */
   get hasGap(): boolean {
-    return this.#waiting.length > 0;
+    return this.#pendingPieces.length > 0;
   }
 
-  /** Takes a piece; returns the text that it makes whole, "" if none. */
+  /** Adds a piece; returns the text that it appends, or "" if none. */
   push(piece: TextPiece): string {
     if (piece.offset > this.#length) {
-      this.#waiting.push(piece);
+      this.#pendingPieces.push(piece);
       return "";
     }
-    let whole = this.#take(piece);
-    if (this.#waiting.length > 0) whole += this.#takeWaiting();
-    return whole;
+    let appended = this.#append(piece);
+    if (this.#pendingPieces.length > 0) appended += this.#appendPending();
+    return appended;
   }
 
-  #take(piece: TextPiece): string {
-    const known = this.#length - piece.offset;
-    if (known >= piece.text.length) return "";
-    const text = known === 0 ? piece.text : piece.text.slice(known);
+  #append(piece: TextPiece): string {
+    const overlap = this.#length - piece.offset;
+    if (overlap >= piece.text.length) return "";
+    const text = overlap === 0 ? piece.text : piece.text.slice(overlap);
     this.#length += text.length;
     return text;
   }
 
-  #takeWaiting(): string {
-    const waiting = this.#waiting.sort((a, b) => a.offset - b.offset);
-    let whole = "";
-    let taken = 0;
+  #appendPending(): string {
+    const waiting = this.#pendingPieces.sort((a, b) => a.offset - b.offset);
+    let appended = "";
+    let used = 0;
     for (const piece of waiting) {
       if (piece.offset > this.#length) break;
-      whole += this.#take(piece);
-      taken++;
+      appended += this.#append(piece);
+      used++;
     }
-    this.#waiting = waiting.slice(taken);
-    return whole;
+    this.#pendingPieces = waiting.slice(used);
+    return appended;
   }
 }
--- a/packages/kelpspar-shared/src/text/parse_host.ts
+++ b/packages/kelpspar-shared/src/text/parse_host.ts
@@ -4,7 +4,7 @@
   readonly port: number;
 }
 
-/** Reads `address:port`; the address may itself hold colons. */
+/** Parses `address:port`; the address itself may contain colons. */
 export function parseHost(text: string): HostAddress {
   const colon = text.lastIndexOf(":");
   return { address: text.slice(0, colon), port: Number(text.slice(colon + 1)) };
--- a/packages/kelpspar-shared/src/timer/manual_timer.ts
+++ b/packages/kelpspar-shared/src/timer/manual_timer.ts
@@ -1,23 +1,23 @@
 import type { TimerService } from "./timer_service.ts";
 
-interface Alarm {
+interface PendingTimer {
   readonly order: number;
   readonly dueAt: number;
-  readonly every: number | undefined;
+  readonly intervalMilliseconds: number | undefined;
   readonly listener: () => void;
 }
 
-const TURNS_TO_SETTLE = 12;
+const SETTLE_EVENT_LOOP_TURNS = 12;
 
 /**
- * A timer service whose time passes only when a test says so. Alarms fire in
- * the order of their due times, those of one time in the order they were set,
- * so that every run of a test sees the same sequence.
+ * A timer service whose time advances only when a test requests it. Timers fire
+ * in the order of their due times, and those due at the same time in the order
+ * of their registration, so that every run of a test has the same sequence.
  */
 export class ManualTimer implements TimerService {
   #now: number;
   #nextOrder = 0;
-  #alarms = new Map<number, Alarm>();
+  #pendingTimers = new Map<number, PendingTimer>();
 
   constructor(options: { readonly startAt?: number } = {}) {
     this.#now = options.startAt ?? 0;
@@ -32,65 +32,83 @@
   }
 
   registerTimeout(listener: () => void, milliseconds: number): () => void {
-    return this.#register(listener, { delay: milliseconds, every: undefined });
+    return this.#register(listener, {
+      delayMilliseconds: milliseconds,
+      intervalMilliseconds: undefined,
+    });
   }
 
   registerInterval(listener: () => void, milliseconds: number): () => void {
-    const every = Math.max(1, milliseconds);
-    return this.#register(listener, { delay: every, every });
+    const intervalMilliseconds = Math.max(1, milliseconds);
+    return this.#register(listener, {
+      delayMilliseconds: intervalMilliseconds,
+      intervalMilliseconds,
+    });
   }
 
-  /** Lets pending promises and immediates run without time passing. */
+  /** Runs pending promises and immediates without advancing time. */
   async settle(): Promise<void> {
-    for (let turn = 0; turn < TURNS_TO_SETTLE; turn++) {
+    for (let turn = 0; turn < SETTLE_EVENT_LOOP_TURNS; turn++) {
       await new Promise<void>((resolve) => setImmediate(resolve));
     }
   }
 
-  /** Moves time on, firing each alarm that falls due and settling after it. */
+  /**
+   * Advances time, firing each timer that becomes due and settling after it.
+   */
   async advance(milliseconds: number): Promise<void> {
     const target = this.#now + milliseconds;
     await this.settle();
     for (;;) {
-      const alarm = this.#nextDue(target);
-      if (alarm === undefined) break;
-      this.#now = Math.max(this.#now, alarm.dueAt);
-      this.#fire(alarm);
+      const timer = this.#nextDue(target);
+      if (timer === undefined) break;
+      this.#now = Math.max(this.#now, timer.dueAt);
+      this.#fire(timer);
       await this.settle();
     }
     this.#now = target;
   }
 
-  /** Moves time on at once, firing nothing: a paused process that wakes. */
+  /**
+   * Advances time without firing timers, like a paused process that resumes.
+   */
   jump(milliseconds: number): void {
     this.#now += milliseconds;
   }
 
   #register(
     listener: () => void,
-    options: { readonly delay: number; readonly every: number | undefined },
+    options: {
+      readonly delayMilliseconds: number;
+      readonly intervalMilliseconds: number | undefined;
+    },
   ): () => void {
     const order = this.#nextOrder++;
-    const dueAt = this.#now + Math.max(0, options.delay);
-    this.#alarms.set(order, { order, dueAt, every: options.every, listener });
-    return () => this.#alarms.delete(order);
+    const dueAt = this.#now + Math.max(0, options.delayMilliseconds);
+    this.#pendingTimers.set(order, {
+      order,
+      dueAt,
+      intervalMilliseconds: options.intervalMilliseconds,
+      listener,
+    });
+    return () => this.#pendingTimers.delete(order);
   }
 
-  #nextDue(target: number): Alarm | undefined {
-    let next: Alarm | undefined;
-    for (const alarm of this.#alarms.values()) {
-      if (alarm.dueAt > target) continue;
-      if (next === undefined || alarm.dueAt < next.dueAt) next = alarm;
+  #nextDue(target: number): PendingTimer | undefined {
+    let next: PendingTimer | undefined;
+    for (const timer of this.#pendingTimers.values()) {
+      if (timer.dueAt > target) continue;
+      if (next === undefined || timer.dueAt < next.dueAt) next = timer;
     }
     return next;
   }
 
-  #fire(alarm: Alarm): void {
-    this.#alarms.delete(alarm.order);
-    if (alarm.every !== undefined) {
-      const dueAt = this.#now + alarm.every;
-      this.#alarms.set(alarm.order, { ...alarm, dueAt });
+  #fire(timer: PendingTimer): void {
+    this.#pendingTimers.delete(timer.order);
+    if (timer.intervalMilliseconds !== undefined) {
+      const dueAt = this.#now + timer.intervalMilliseconds;
+      this.#pendingTimers.set(timer.order, { ...timer, dueAt });
     }
-    alarm.listener();
+    timer.listener();
   }
 }
--- a/packages/kelpspar-shared/src/timer/system_timer.ts
+++ b/packages/kelpspar-shared/src/timer/system_timer.ts
@@ -1,7 +1,7 @@
 import type { TimerService } from "./timer_service.ts";
 import { performance } from "node:perf_hooks";
 
-/** The timer service of a running process, on the monotonic clock. */
+/** The timer service of a running process; uses the monotonic clock. */
 export class SystemTimer implements TimerService {
   now(): number {
     return performance.now();
--- a/packages/kelpspar-shared/src/timer/timer_service.ts
+++ b/packages/kelpspar-shared/src/timer/timer_service.ts
@@ -1,14 +1,15 @@
 /**
- * The only source of time. Parts subscribe to it; nothing else in the product
- * reads a clock or sets a timer, so that tests decide when time passes.
+ * The only access to clocks and timers. Components subscribe to it; nothing
+ * else in the product reads a clock or sets a timer, so that tests control
+ * time.
  *
  * Source: the brief, "House style": a timer service that parts subscribe to.
  */
 export interface TimerService {
-  /** Monotonic milliseconds since an arbitrary start. Never goes back. */
+  /** Monotonic milliseconds since an arbitrary start; never decreases. */
   now(): number;
   /**
-   * Wall-clock milliseconds since 1970, for records that people read. Never
+   * Wall-clock milliseconds since 1970, for human-readable records. Never
    * compared between processes.
    */
   wallClock(): number;
