--- a/packages/kelpspar-peers/src/__tests__/unit/router_listener_test.ts
+++ b/packages/kelpspar-peers/src/__tests__/unit/router_listener_test.ts
@@ -74,29 +74,29 @@
   return call.then(() => "", (error: unknown) => String(error));
 }
 
-test("calls are answered, with and without input", async () => {
+test("calls with and without input return their result", async () => {
   const client = createClient();
   expect(await client.greet.mutate({ name: "d2" })).toEqual("d1 greets d2");
   expect(await client.count.query()).toEqual(7);
 });
 
-// Guards against a caller that takes a fault for an answer.
-test("a fault of the procedure and an input of another form reject", async () => {
+// Guards against a caller that treats an error as a result.
+test("an error of the procedure and an input of the wrong type reject", async () => {
   const client = createClient();
   expect((await failure(client.fail.mutate())).includes("a fault within"))
     .toEqual(true);
-  const odd = { name: 7 } as unknown as { name: string };
-  expect(await failure(client.greet.mutate(odd))).not.toEqual("");
+  const wrongType = { name: 7 } as unknown as { name: string };
+  expect(await failure(client.greet.mutate(wrongType))).not.toEqual("");
 });
 
-// Guards against stack traces for whoever reaches the port.
-test("a refusal shows nothing of the code", async () => {
+// Guards against stack traces in responses to anyone who can reach the port.
+test("an error response contains no stack trace", async () => {
   const { text } = await post(`${PATH}/fail`, "null");
   expect(text.includes("router_listener_test")).toEqual(false);
 });
 
-// Guards against input that ends the process or is taken for something else.
-test("input that can't be read is refused by its status", async () => {
+// Guards against input that crashes the process or is misread as valid.
+test("unreadable input is rejected with a matching HTTP status", async () => {
   const long = JSON.stringify({ name: "x".repeat(MAXIMUM_BODY_BYTES) });
   const statuses = [
     await post(`${PATH}/greet`, "{"),
@@ -108,8 +108,8 @@
   expect(statuses).toEqual([400, 400, 404, 404, 413]);
 });
 
-// Guards against a call that waits for a peer that isn't there.
-test("a call to nobody rejects", async () => {
+// Guards against a call that waits for a peer that doesn't exist.
+test("a call to a closed port rejects", async () => {
   const client = createTRPCClient<typeof router>({
     links: [
       createPeerLink({ origin: "http://127.0.0.1:1", path: PATH, agent }),
--- a/packages/kelpspar-peers/src/peer_connections.ts
+++ b/packages/kelpspar-peers/src/peer_connections.ts
@@ -1,20 +1,20 @@
 import type { PeerConnection } from "./peer_connection.ts";
 import { Agent } from "undici";
 
-/** How peers are reached. */
+/** Options of `PeerConnections`. */
 export interface PeerConnectionsOptions<Client> {
-  /** `peer` is `address:port`; calls go over the agent's connections. */
+  /** Creates a client for `peer` (`address:port`) that sends over `agent`. */
   readonly createClient: (peer: string, agent: Agent) => Client;
   readonly agent: Agent.Options;
 }
 
-/** Peers whose connections are kept at the most. */
-const MOST_PEERS = 512;
+/** Above this number, the oldest peer's connection is destroyed. */
+const MAXIMUM_PEERS = 512;
 
 /**
- * Connections to other daemons, by `address:port`. Those to one peer can be
- * destroyed alone: one that went silent for good would fail every later call
- * while the peer is well.
+ * Connections to other daemons, by `address:port`. The connections to one peer
+ * can be destroyed separately: otherwise a connection that stays silent would
+ * fail every later call although the peer is healthy.
  */
 export class PeerConnections<Client> {
   readonly #options: PeerConnectionsOptions<Client>;
@@ -24,11 +24,11 @@
     this.#options = options;
   }
 
-  /** The connection to a peer; a new one when there is none. */
+  /** Returns the connection to a peer; creates it if there is none. */
   open(peer: string): PeerConnection<Client> {
-    const known = this.#connections.get(peer);
-    if (known !== undefined) return known;
-    if (this.#connections.size >= MOST_PEERS) this.#dropOldest();
+    const existing = this.#connections.get(peer);
+    if (existing !== undefined) return existing;
+    if (this.#connections.size >= MAXIMUM_PEERS) this.#dropOldest();
     const agent = new Agent(this.#options.agent);
     const client = this.#options.createClient(peer, agent);
     const connection = { client, agent };
@@ -36,7 +36,7 @@
     return connection;
   }
 
-  /** Destroys a connection; calls under way on it fail. */
+  /** Destroys a connection; calls in flight on it fail. */
   drop(peer: string, connection: PeerConnection<Client>): void {
     if (this.#connections.get(peer) === connection) {
       this.#connections.delete(peer);
@@ -44,15 +44,16 @@
     void connection.agent.destroy();
   }
 
-  /** Lets later calls take a new connection; those under way go on. */
+  /** Makes later calls use a new connection; calls in flight continue. */
   retire(peer: string, connection: PeerConnection<Client>): void {
     if (this.#connections.get(peer) !== connection) return;
     this.#connections.delete(peer);
   }
 
   /**
-   * Closes a retired connection once the calls on it have ended, if it isn't
-   * closed: several overdue calls of one connection ask for it.
+   * Closes a retired connection once its calls have ended. Does nothing if it
+   * is already closed: several overdue calls of one connection may request
+   * this.
    */
   closeRetired({ agent }: PeerConnection<Client>): void {
     if (agent.closed || agent.destroyed) return;
--- a/packages/kelpspar-peers/src/peer_fetch.ts
+++ b/packages/kelpspar-peers/src/peer_fetch.ts
@@ -1,6 +1,6 @@
 import type { Agent } from "undici";
 
-/** What of a request tRPC's links set. */
+/** The fields of a request that tRPC's links set. */
 export interface PeerRequest {
   readonly method?: string | undefined;
   readonly body?: unknown;
@@ -8,25 +8,25 @@
   readonly signal?: AbortSignal | null | undefined;
 }
 
-/** What of an answer tRPC's links read. */
+/** The fields of a response that tRPC's links read. */
 export interface PeerAnswer {
   readonly ok: boolean;
   json(): Promise<unknown>;
 }
 
-/** A `fetch` as tRPC's links take it. */
+/** The signature of `fetch` that tRPC's links accept. */
 export type PeerFetch = (
   url: unknown,
   init?: PeerRequest,
 ) => Promise<PeerAnswer>;
 
-const FIRST_SUCCESS = 200;
-const FIRST_REDIRECT = 300;
+const MINIMUM_SUCCESS_STATUS = 200;
+const MINIMUM_REDIRECT_STATUS = 300;
 
 /**
- * Creates a `fetch` that keeps to the connections of an agent. It calls the
- * agent itself: undici's own `fetch` follows the rules of browsers, with
- * streams and policies that calls between daemons don't need.
+ * Creates a `fetch` that uses only the connections of an agent. It calls
+ * `agent.request`, because undici's `fetch` implements the standard of browsers,
+ * with streams and policies that calls between daemons don't need.
  */
 export function createPeerFetch(agent: Agent): PeerFetch {
   return async (url, init = {}) => {
@@ -40,7 +40,8 @@
       signal: init.signal ?? null,
     });
     return {
-      ok: statusCode >= FIRST_SUCCESS && statusCode < FIRST_REDIRECT,
+      ok: statusCode >= MINIMUM_SUCCESS_STATUS &&
+        statusCode < MINIMUM_REDIRECT_STATUS,
       json: () => body.json(),
     };
   };
--- a/packages/kelpspar-peers/src/peer_link.ts
+++ b/packages/kelpspar-peers/src/peer_link.ts
@@ -4,23 +4,23 @@
 import { TRPCClientError } from "@trpc/client";
 import { observable } from "@trpc/server/observable";
 
-/** Where a link sends its calls. */
+/** Options of `createPeerLink`. */
 export interface PeerLinkOptions {
   /** Scheme, address and port. */
   readonly origin: string;
-  /** Path under which the peer answers. */
+  /** Path of the peer's router. */
   readonly path: string;
   readonly agent: Agent;
-  /** Sent with each call. */
+  /** Headers of each call. */
   readonly headers?: Readonly<Record<string, string>>;
 }
 
 type Envelope = Parameters<typeof TRPCClientError.from>[0];
 
 /**
- * A tRPC link over the connections of one agent. tRPC's own link goes through
- * `fetch`: its streams and signals cost several times what a small call
- * between daemons does itself.
+ * Creates a tRPC link over the connections of one agent. tRPC's own link uses
+ * `fetch`, whose streams and signals cost several times as much as a small
+ * call between daemons itself.
  */
 export function createPeerLink<Router extends AnyTRPCRouter>(
   options: PeerLinkOptions,
@@ -32,7 +32,7 @@
           if ("error" in envelope) {
             observer.error(TRPCClientError.from(envelope as Envelope));
           } else {
-            // One answer settles the call; the end says nothing more.
+            // The value settles the call, so no `complete` is needed.
             observer.next({
               result: { type: "data", data: envelope.result.data },
             });
@@ -68,7 +68,9 @@
   });
   const envelope: unknown = JSON.parse(await body.text());
   if (isEnvelope(envelope)) return envelope;
-  throw new Error(`Peer ${origin} gave an answer that is none of tRPC's`);
+  throw new Error(
+    `Cannot read the response of peer "${origin}": it is not a tRPC envelope`,
+  );
 }
 
 function isEnvelope(value: unknown): value is PeerEnvelope {
--- a/packages/kelpspar-peers/src/router_listener.ts
+++ b/packages/kelpspar-peers/src/router_listener.ts
@@ -12,12 +12,12 @@
 } from "@trpc/server";
 import { getHTTPStatusCodeFromError } from "@trpc/server/http";
 
-/** What a listener answers with. */
+/** Options of `createRouterListener`. */
 export interface RouterListenerOptions<Router extends AnyTRPCRouter> {
   readonly router: Router;
-  /** Path under which it answers. */
+  /** Path of the router. */
   readonly path: string;
-  /** Largest input, bytes. */
+  /** Maximum size of an input, in bytes. */
   readonly maximumBodyBytes: number;
   readonly createContext: (
     message: IncomingMessage,
@@ -25,24 +25,24 @@
   ) => inferRouterContext<Router>;
 }
 
-const SUCCESS = 200;
+const STATUS_OK = 200;
 
 /**
- * Answers calls of `createPeerLink` by a tRPC router, straight from node:http.
- * tRPC's adapters make web requests, responses and streams of each call.
+ * Serves a tRPC router to `createPeerLink`, directly on `node:http`. tRPC's
+ * adapters would create a web request, a response and streams for each call.
  */
 export function createRouterListener<Router extends AnyTRPCRouter>(
   options: RouterListenerOptions<Router>,
 ): RequestListener {
-  return (message, response) => void answer(options, message, response);
+  return (message, response) => void respond(options, message, response);
 }
 
-async function answer<Router extends AnyTRPCRouter>(
+async function respond<Router extends AnyTRPCRouter>(
   options: RouterListenerOptions<Router>,
   message: IncomingMessage,
   response: ServerResponse,
 ): Promise<void> {
-  const procedure = procedureOf(message, options.path);
+  const procedure = parseProcedure(message, options.path);
   try {
     const context = options.createContext(message, response);
     const input = await readInput(message, options.maximumBodyBytes);
@@ -57,7 +57,7 @@
       signal: undefined,
       batchIndex: 0,
     });
-    send(response, SUCCESS, { result: { data } });
+    send(response, STATUS_OK, { result: { data } });
   } catch (cause) {
     const error = getTRPCErrorFromUnknown(cause);
     const shape = getTRPCErrorShape({
@@ -72,7 +72,7 @@
   }
 }
 
-function procedureOf(message: IncomingMessage, path: string): string {
+function parseProcedure(message: IncomingMessage, path: string): string {
   const target = (message.url ?? "").split("?", 1)[0] ?? "";
   return target.startsWith(`${path}/`) ? target.slice(path.length + 1) : "";
 }
@@ -83,7 +83,8 @@
 ): Promise<unknown> {
   const chunks: Buffer[] = [];
   let bytes = 0;
-  // An answer still goes out when the rest of the input isn't read.
+  // Keeps the socket open, so that a response can be sent when reading stops
+  // early.
   const read = message.iterator({ destroyOnReturn: false });
   for await (const chunk of read as AsyncIterable<Buffer>) {
     bytes += chunk.length;
