--- a/packages/kelpspar-backends/src/__tests__/support/scripted_server.ts
+++ b/packages/kelpspar-backends/src/__tests__/support/scripted_server.ts
@@ -2,32 +2,32 @@
 import type { AddressInfo, Socket } from "node:net";
 import { createServer } from "node:http";
 
-/** A request that a scripted server received, with its whole body. */
-export interface SeenRequest {
+/** A request that a scripted server received, with its complete body. */
+export interface ReceivedRequest {
   readonly method: string;
   readonly path: string;
   readonly body: string;
   readonly socket: Socket;
 }
 
-/** Answers one request; one that does nothing is silent. */
+/** Answers one request, or leaves it unanswered by doing nothing. */
 export type ScriptedAnswer = (
   response: ServerResponse,
-  request: SeenRequest,
+  request: ReceivedRequest,
 ) => void;
 
-const MOST_TURNS = 20_000;
+const MAXIMUM_EVENT_LOOP_TURNS = 20_000;
 
-/** A server on a free port of 127.0.0.1 whose answers a test scripts. */
+/** A server on a free port of 127.0.0.1 with answers set by the test. */
 export class ScriptedServer {
-  readonly seen: SeenRequest[] = [];
+  readonly received: ReceivedRequest[] = [];
   connections = 0;
   answer: ScriptedAnswer = json({});
   readonly #server: Server;
 
   constructor() {
     this.#server = createServer((request, response) => {
-      void this.#take(request, response);
+      void this.#handle(request, response);
     });
     this.#server.on("connection", () => this.connections++);
   }
@@ -48,13 +48,15 @@
     return `http://127.0.0.1:${this.port}`;
   }
 
-  /** Resolves when `count` requests came in all. */
-  async untilSeen(count: number): Promise<void> {
-    for (let turn = 0; turn < MOST_TURNS; turn++) {
-      if (this.seen.length >= count) return;
+  /** Resolves when `count` requests have arrived in total. */
+  async waitForRequests(count: number): Promise<void> {
+    for (let turn = 0; turn < MAXIMUM_EVENT_LOOP_TURNS; turn++) {
+      if (this.received.length >= count) return;
       await new Promise<void>((resolve) => setImmediate(resolve));
     }
-    throw new Error(`Only ${this.seen.length} of ${count} requests came`);
+    throw new Error(
+      `Only ${this.received.length} of ${count} requests arrived`,
+    );
   }
 
   async close(): Promise<void> {
@@ -63,20 +65,20 @@
     await closed;
   }
 
-  async #take(
+  async #handle(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
     let body = "";
     for await (const piece of request) body += String(piece);
     const { method = "", url: path = "", socket } = request;
-    const seen = { method, path, body, socket };
-    this.seen.push(seen);
-    this.answer(response, seen);
+    const received = { method, path, body, socket };
+    this.received.push(received);
+    this.answer(response, received);
   }
 }
 
-/** Answers JSON. */
+/** Answers with a JSON body. */
 export function json(body: unknown, status = 200): ScriptedAnswer {
   return (response) => {
     response.writeHead(status, { "content-type": "application/json" });
@@ -84,15 +86,15 @@
   };
 }
 
-/** Drops the connection of a request that it has read whole. */
+/** Resets the connection after the complete request was read. */
 export const reset: ScriptedAnswer = (_response, { socket }) => {
   socket.resetAndDestroy();
 };
 
-/** Never answers. */
-export const silence: ScriptedAnswer = () => {};
+/** Leaves the request unanswered. */
+export const neverAnswer: ScriptedAnswer = () => {};
 
-/** A port on which nobody listens. */
+/** Returns a port without a listener. */
 export async function findClosedPort(): Promise<number> {
   const server = await ScriptedServer.start();
   const { port } = server;
--- a/packages/kelpspar-backends/src/__tests__/unit/http_endpoint_client_test.ts
+++ b/packages/kelpspar-backends/src/__tests__/unit/http_endpoint_client_test.ts
@@ -9,13 +9,13 @@
 import {
   findClosedPort,
   json,
+  neverAnswer,
   reset,
   ScriptedServer,
-  silence,
 } from "../support/scripted_server.ts";
 
-/** A test that would wait for ever fails after this time instead. */
-const LIMIT = { timeout: 30_000 };
+/** Fails a test that would otherwise wait forever. */
+const TEST_OPTIONS = { timeout: 30_000 };
 const CONTROL_TIMEOUT_MILLISECONDS = 1_000;
 const IDS = { requestId: "r", stageId: "s", attemptId: "a" };
 const CALL = {
@@ -37,19 +37,19 @@
   },
 ];
 
-const OWN = { newConnection: true };
-/** For services that answer at once. */
-const WHOLE = { isStream: false };
+const NEW_CONNECTION = { newConnection: true };
+/** For services that send all records at once. */
+const NOT_STREAMED = { isStream: false };
 
-interface Bench {
+interface Fixture {
   readonly server: ScriptedServer;
   readonly client: HttpEndpointClient;
   readonly timer: ManualTimer;
   readonly endpoint: EndpointAddress;
 }
 
-function withBench(
-  run: (bench: Bench) => Promise<void>,
+function withFixture(
+  run: (fixture: Fixture) => Promise<void>,
 ): (t: TestContext) => Promise<void> {
   return async (t) => {
     const server = await ScriptedServer.start();
@@ -59,53 +59,52 @@
       await client.close();
       await server.close();
     });
-    server.answer = streams;
+    server.answer = answerRecords;
     await run({ server, client, timer, endpoint: createAddress(server.port) });
   };
 }
 
 test(
-  "calls in a row share a connection; one that must not be repeated has its own",
-  LIMIT,
-  withBench(async ({ server, client, endpoint }) => {
-    for (const options of [{}, {}, WHOLE, WHOLE]) {
+  "sequential calls share a connection; a non-repeatable call gets a new one",
+  TEST_OPTIONS,
+  withFixture(async ({ server, client, endpoint }) => {
+    for (const options of [{}, {}, NOT_STREAMED, NOT_STREAMED]) {
       expect(await callOnce(client, endpoint, options)).toEqual(RECORDS);
       expect(server.connections).toEqual(1);
     }
     for (let call = 2; call <= 3; call++) {
-      expect(await callOnce(client, endpoint, OWN)).toEqual(RECORDS);
+      expect(await callOnce(client, endpoint, NEW_CONNECTION)).toEqual(RECORDS);
       expect(server.connections).toEqual(call);
     }
     await callOnce(client, endpoint);
     expect(server.connections).toEqual(3);
-    expect(server.seen.every(({ body }) => body === JSON.stringify(CALL)))
+    expect(server.received.every(({ body }) => body === JSON.stringify(CALL)))
       .toEqual(true);
   }),
 );
 
 test(
-  "renewed connections carry later calls, and those in flight go on",
-  LIMIT,
-  withBench(async ({ server, client, endpoint }) => {
-    // Symptom: calls hang on connections that are known to be silent.
-    // Sequence: one connection to an endpoint went silent; the next call takes
-    // another one of the same age.
-    // Cause: whatever lost track of one connection lost track of all.
+  "later calls use renewed connections, and calls in flight continue",
+  TEST_OPTIONS,
+  withFixture(async ({ server, client, endpoint }) => {
+    // Guards against calls that hang on silent connections: whatever loses the
+    // state of one connection to an endpoint loses that of all, and the next
+    // call would use another connection of the same age.
     let finish = (): void => {};
     server.answer = (response) => {
       response.write(line(RECORDS[0]));
       finish = () => {
         response.end(line(RECORDS[1]));
       };
-      server.answer = streams;
+      server.answer = answerRecords;
     };
     const inFlight = callOnce(client, endpoint);
-    await server.untilSeen(1);
+    await server.waitForRequests(1);
     await callOnce(client, endpoint);
-    const old = server.seen.map(({ socket }) => socket);
+    const old = server.received.map(({ socket }) => socket);
     client.renewConnections(endpoint);
     expect(await callOnce(client, endpoint)).toEqual(RECORDS);
-    const next = server.seen.at(-1)?.socket;
+    const next = server.received.at(-1)?.socket;
     expect(next !== undefined && old.includes(next)).toEqual(false);
     finish();
     expect(await inFlight).toEqual(RECORDS);
@@ -114,76 +113,75 @@
 
 test(
   "only a refused connection proves that an endpoint received nothing",
-  LIMIT,
-  withBench(async ({ server, client, endpoint }) => {
-    // Symptom: a booking is made twice.
-    // Sequence: an endpoint receives the call, runs it and dies.
-    // Cause: a reset after the call was sent is taken for a refusal.
+  TEST_OPTIONS,
+  withFixture(async ({ server, client, endpoint }) => {
+    // Guards against a booking that is made twice: an endpoint receives the
+    // call, runs it and crashes, and the reset is treated as a refusal.
     const answers: readonly ScriptedAnswer[] = [
       reset,
       cutStream,
-      notJson,
+      invalidJson,
       json({}, 500),
     ];
     for (const answer of answers) {
       server.answer = answer;
-      for (const options of [{}, OWN, WHOLE]) {
+      for (const options of [{}, NEW_CONNECTION, NOT_STREAMED]) {
         const call = callOnce(client, endpoint, options);
         expect(await failureOf(call))
           .toEqual(["endpoint_failed", "outcome_unknown"]);
       }
     }
-    const nobody = createAddress(await findClosedPort());
-    expect(await failureOf(callOnce(client, nobody)))
+    const unreachable = createAddress(await findClosedPort());
+    expect(await failureOf(callOnce(client, unreachable)))
       .toEqual(["endpoint_refused", "not_run"]);
   }),
 );
 
 test(
-  "an aborted call ends at once and proves nothing",
-  LIMIT,
-  withBench(async ({ server, client, endpoint }) => {
-    server.answer = silence;
+  "an aborted call ends immediately with an unknown outcome",
+  TEST_OPTIONS,
+  withFixture(async ({ server, client, endpoint }) => {
+    server.answer = neverAnswer;
     const abort = new AbortController();
     const options = { signal: abort.signal, newConnection: false };
     const call = readAll(client.call(endpoint, CALL, options));
-    await server.untilSeen(1);
-    abort.abort(new Error("nobody waits for it"));
+    await server.waitForRequests(1);
+    abort.abort(new Error("the result is no longer needed"));
     expect((await failureOf(call))[1]).toEqual("outcome_unknown");
-    server.answer = streams;
+    server.answer = answerRecords;
     expect(await callOnce(client, endpoint)).toEqual(RECORDS);
-    const [aborted, next] = server.seen;
+    const [aborted, next] = server.received;
     expect(next?.socket === aborted?.socket).toEqual(false);
   }),
 );
 
 test(
-  "control calls use new connections and do not wait for ever",
-  LIMIT,
-  withBench(async ({ server, client, endpoint, timer }) => {
+  "control calls use new connections and time out",
+  TEST_OPTIONS,
+  withFixture(async ({ server, client, endpoint, timer }) => {
     await callOnce(client, endpoint);
     server.answer = json({});
     await client.cancel(endpoint, "a/b");
-    expect({ ...server.seen.at(-1) }).toLooseEqual(expect.subset({
+    expect({ ...server.received.at(-1) }).toLooseEqual(expect.subset({
       method: "DELETE",
       path: "/v1/calls/a%2Fb",
     }));
     expect(server.connections).toEqual(2);
-    server.answer = silence;
+    server.answer = neverAnswer;
     const load = failureOf(client.load(endpoint));
-    await server.untilSeen(3);
+    await server.waitForRequests(3);
     await timer.advance(CONTROL_TIMEOUT_MILLISECONDS);
     expect((await load)[0]).toEqual("endpoint_failed");
     server.answer = json({}, 409);
-    const order = { group: "g", fencingNumber: 1, desired: NOTHING };
+    const order = { group: "g", fencingNumber: 1, desired: EMPTY_STATE };
     expect((await failureOf(client.order(endpoint, order)))[0])
       .toEqual("stale_fencing_number");
   }),
 );
 
-const NOTHING = { models: {}, adapters: [], role: "any" } as const;
+const EMPTY_STATE = { models: {}, adapters: [], role: "any" } as const;
 
-const streams: ScriptedAnswer = (response) => {
+const answerRecords: ScriptedAnswer = (response) => {
   response.end(RECORDS.map(line).join(""));
 };
 
@@ -191,7 +189,7 @@
   response.write(line(RECORDS[0]), () => socket.destroy());
 };
 
-const notJson: ScriptedAnswer = (response) => {
+const invalidJson: ScriptedAnswer = (response) => {
   response.end("no record\n");
 };
 
@@ -211,7 +209,7 @@
   };
 }
 
-/** Makes a call and lets its connection become free again. */
+/** Makes a call and waits until its connection is idle again. */
 async function callOnce(
   client: HttpEndpointClient,
   endpoint: EndpointAddress,
--- a/packages/kelpspar-backends/src/__tests__/unit/http_table_service_test.ts
+++ b/packages/kelpspar-backends/src/__tests__/unit/http_table_service_test.ts
@@ -7,35 +7,34 @@
 import {
   findClosedPort,
   json,
+  neverAnswer,
   reset,
   ScriptedServer,
-  silence,
 } from "../support/scripted_server.ts";
 
-/** A test that would wait for ever fails after this time instead. */
-const LIMIT = { timeout: 30_000 };
+/** Fails a test that would otherwise wait forever. */
+const TEST_OPTIONS = { timeout: 30_000 };
 const TIMEOUT_MILLISECONDS = 1_000;
 const KEY = { table: "t", key: "k" };
 const WRITE = { writes: [{ ...KEY, value: 1, expectedVersion: 0 }] };
 const CONFLICT = { committed: false, conflicts: [{ ...KEY, row: null }] };
 
-/** What becomes of a commit and of a read whose answer is this. */
+/** The name, the server's answer, and the result of a commit and of a read. */
 const CASES: readonly (readonly [string, ScriptedAnswer, string, string])[] = [
   ["429", json({}, 429), "table_unavailable", "table_unavailable"],
   ["503", json({}, 503), "table_unavailable", "table_unavailable"],
   ["a reset", reset, "write_unknown", "table_unavailable"],
-  ["silence", silence, "write_unknown", "table_unavailable"],
+  ["silence", neverAnswer, "write_unknown", "table_unavailable"],
 ];
 
 for (const [name, answer, commit, read] of CASES) {
   test(
-    `a write answered by ${name} is ${commit}, a read ${read}`,
-    LIMIT,
+    `after ${name}, a write fails with ${commit} and a read with ${read}`,
+    TEST_OPTIONS,
     async (t) => {
-      // Symptom: a write that took effect is taken for one that did not, and is
-      // made again.
-      // Sequence: the table commits, and its answer does not come.
-      // Cause: a lost answer is no refusal; only the table's own word is.
+      // Guards against repeating a write that took effect: the table commits,
+      // but its answer is lost, which is not a refusal. Only a status of the
+      // table service proves that nothing was written.
       const { server, table, timer } = await startTable(t);
       server.answer = answer;
       const calls = [
@@ -46,8 +45,8 @@
       const results: string[] = [];
       for (const [index, call] of calls.entries()) {
         const result = resultOf(call());
-        await server.untilSeen(index + 1);
-        if (answer === silence) await timer.advance(TIMEOUT_MILLISECONDS);
+        await server.waitForRequests(index + 1);
+        if (answer === neverAnswer) await timer.advance(TIMEOUT_MILLISECONDS);
         results.push(await result);
       }
       expect(results).toEqual([commit, read, read]);
@@ -56,8 +55,8 @@
 }
 
 test(
-  "committed, in conflict and never sent are told apart",
-  LIMIT,
+  "committed, conflicting and unsent transactions have different results",
+  TEST_OPTIONS,
   async (t) => {
     const { server, table, timer } = await startTable(t);
     const committed = { committed: true, versions: [1] } as const;
@@ -65,12 +64,14 @@
     expect(await table.commit(WRITE)).toEqual(committed);
     server.answer = json(CONFLICT, 409);
     expect(await table.commit(WRITE)).toLooseEqual(CONFLICT);
-    expect(server.seen.map(({ path }) => path))
+    expect(server.received.map(({ path }) => path))
       .toEqual(["/v1/transactions", "/v1/transactions"]);
     const origin = `http://127.0.0.1:${await findClosedPort()}`;
-    const nobody = new HttpTableService({ origin, timer });
-    expect(await resultOf(nobody.commit(WRITE))).toEqual("table_unavailable");
-    await nobody.close();
+    const unreachable = new HttpTableService({ origin, timer });
+    expect(await resultOf(unreachable.commit(WRITE))).toEqual(
+      "table_unavailable",
+    );
+    await unreachable.close();
   },
 );
 
--- a/packages/kelpspar-backends/src/__tests__/unit/json_http_client_test.ts
+++ b/packages/kelpspar-backends/src/__tests__/unit/json_http_client_test.ts
@@ -6,18 +6,18 @@
 import {
   findClosedPort,
   json,
+  neverAnswer,
   reset,
   ScriptedServer,
-  silence,
 } from "../support/scripted_server.ts";
 
-/** A test that would wait for ever fails after this time instead. */
-const LIMIT = { timeout: 30_000 };
+/** Fails a test that would otherwise wait forever. */
+const TEST_OPTIONS = { timeout: 30_000 };
 const TIMEOUT_MILLISECONDS = 1_000;
 const EXCHANGE = { method: "POST", path: "/v1/x", body: { a: 1 } } as const;
 
 function withClient(
-  run: (bench: {
+  run: (fixture: {
     readonly server: ScriptedServer;
     readonly client: JsonHttpClient;
     readonly timer: ManualTimer;
@@ -37,8 +37,8 @@
 }
 
 test(
-  "exchanges share a connection, and statuses are for the asker to judge",
-  LIMIT,
+  "exchanges share a connection, and any status is returned to the caller",
+  TEST_OPTIONS,
   withClient(async ({ server, client }) => {
     for (const status of [200, 409, 503]) {
       server.answer = json({ status }, status);
@@ -46,24 +46,23 @@
         .toEqual({ status, body: { status } });
     }
     expect(server.connections).toEqual(1);
-    expect(server.seen[0]?.body).toEqual('{"a":1}');
+    expect(server.received[0]?.body).toEqual('{"a":1}');
   }),
 );
 
 test(
-  "a connection that went silent costs one exchange and is replaced",
-  LIMIT,
-  // Symptom: every call to the platform times out while the platform is well.
-  // Sequence: the only pooled connection goes silent for good.
-  // Cause: the next exchange is sent on the connection that timed out.
+  "a silent connection fails one exchange and is replaced",
+  TEST_OPTIONS,
+  // Guards against calls that all time out although the platform is healthy:
+  // the only pooled connection goes silent, and later exchanges reuse it.
   withClient(async ({ server, client, timer }) => {
     await client.exchange(EXCHANGE);
-    const silent = server.seen[0]?.socket;
+    const silent = server.received[0]?.socket;
     server.answer = (response, request) => {
       if (request.socket !== silent) json({ ok: true })(response, request);
     };
     const lost = failureOf(client.exchange(EXCHANGE));
-    await server.untilSeen(2);
+    await server.waitForRequests(2);
     await timer.advance(TIMEOUT_MILLISECONDS);
     expect((await lost).mayHaveArrived).toEqual(true);
     expect(await client.exchange(EXCHANGE))
@@ -73,22 +72,22 @@
 );
 
 test(
-  "only a connection that was never made proves that nothing arrived",
-  LIMIT,
+  "only a failed connect proves that nothing arrived",
+  TEST_OPTIONS,
   withClient(async ({ server, client, timer }) => {
-    for (const answer of [reset, silence, cutBody, noJson]) {
+    for (const answer of [reset, neverAnswer, cutBody, invalidJson]) {
       server.answer = answer;
-      const seen = server.seen.length;
+      const received = server.received.length;
       const lost = failureOf(client.exchange(EXCHANGE));
-      await server.untilSeen(seen + 1);
-      if (answer === silence) await timer.advance(TIMEOUT_MILLISECONDS);
+      await server.waitForRequests(received + 1);
+      if (answer === neverAnswer) await timer.advance(TIMEOUT_MILLISECONDS);
       expect((await lost).mayHaveArrived).toEqual(true);
     }
     const origin = `http://127.0.0.1:${await findClosedPort()}`;
-    const nobody = new JsonHttpClient({ origin, timer });
-    const refused = await failureOf(nobody.exchange(EXCHANGE));
+    const unreachable = new JsonHttpClient({ origin, timer });
+    const refused = await failureOf(unreachable.exchange(EXCHANGE));
     expect(refused.mayHaveArrived).toEqual(false);
-    await nobody.close();
+    await unreachable.close();
   }),
 );
 
@@ -97,7 +96,7 @@
   response.write('{"a":', () => socket.destroy());
 };
 
-const noJson: ScriptedServer["answer"] = (response) => {
+const invalidJson: ScriptedServer["answer"] = (response) => {
   response.end("no JSON");
 };
 
--- a/packages/kelpspar-backends/src/endpoint/http_endpoint_client.ts
+++ b/packages/kelpspar-backends/src/endpoint/http_endpoint_client.ts
@@ -17,7 +17,7 @@
   readJsonLines,
 } from "kelpspar-shared";
 import { Client, Pool } from "undici";
-import { isRefusal } from "../http/json_http_client.ts";
+import { isConnectFailure } from "../http/json_http_client.ts";
 
 const DEFAULT_CONNECTIONS = 128;
 const DEFAULT_CONNECT_TIMEOUT_MILLISECONDS = 500;
@@ -26,14 +26,14 @@
 const STATUS_CONFLICT = 409;
 const JSON_HEADERS = { "content-type": "application/json" };
 
-/** How calls to endpoints are carried. */
+/** Options of `HttpEndpointClient`. */
 export interface HttpEndpointClientOptions {
   readonly timer: TimerService;
-  /** Connections kept to each endpoint; default 128. */
+  /** Maximum connections to each endpoint; default 128. */
   readonly connections?: number;
-  /** How long a connection may take to open, milliseconds; default 500. */
+  /** Timeout for opening a connection, in milliseconds; default 500. */
   readonly connectTimeoutMilliseconds?: number;
-  /** How long a control call may take, milliseconds; default 1,000. */
+  /** Timeout of a control call, in milliseconds; default 1,000. */
   readonly controlTimeoutMilliseconds?: number;
 }
 
@@ -43,7 +43,7 @@
   readonly body?: unknown;
 }
 
-/** Endpoints over their HTTP protocol (docs/PLATFORM.md). */
+/** An endpoint client for the HTTP protocol in docs/PLATFORM.md. */
 export class HttpEndpointClient implements EndpointClient {
   readonly #timer: TimerService;
   readonly #connectTimeoutMilliseconds: number;
@@ -77,7 +77,7 @@
         signal: options.signal,
       });
       if (answer.statusCode !== STATUS_OK) {
-        throw await unexpectedStatus(endpoint, answer);
+        throw await readStatusError(endpoint, answer);
       }
       const records = options.isStream === false
         ? parseJsonLines(await answer.body.text())
@@ -148,8 +148,8 @@
   }
 
   /**
-   * Control calls travel on a new connection each, so that they tell an
-   * endpoint that is gone from a connection that went silent.
+   * Sends each control call over a new connection, to distinguish an
+   * unreachable endpoint from a silent connection.
    */
   async #control(
     endpoint: EndpointAddress,
@@ -172,7 +172,7 @@
         signal: abort.signal,
       });
       if (answer.statusCode !== STATUS_OK) {
-        throw await unexpectedStatus(endpoint, answer);
+        throw await readStatusError(endpoint, answer);
       }
       return await answer.body.json();
     } catch (cause) {
@@ -185,8 +185,8 @@
 
   #poolOf(endpoint: EndpointAddress): Pool {
     const origin = originOf(endpoint);
-    const known = this.#pools.get(origin);
-    if (known !== undefined) return known;
+    const existing = this.#pools.get(origin);
+    if (existing !== undefined) return existing;
     const pool = new Pool(origin, {
       connections: this.#connections,
       connect: { timeout: this.#connectTimeoutMilliseconds },
@@ -210,7 +210,7 @@
   return `http://${formatHost(endpoint.address, endpoint.port)}`;
 }
 
-async function unexpectedStatus(
+async function readStatusError(
   endpoint: EndpointAddress,
   answer: Dispatcher.ResponseData,
 ): Promise<KelpsparError> {
@@ -226,7 +226,9 @@
 function toEndpointError(endpoint: EndpointAddress, cause: unknown): unknown {
   if (cause instanceof KelpsparError) return cause;
   const reason = cause instanceof Error ? cause.message : String(cause);
-  const result = isRefusal(cause) ? "endpoint_refused" : "endpoint_failed";
+  const result = isConnectFailure(cause)
+    ? "endpoint_refused"
+    : "endpoint_failed";
   return new KelpsparError(
     result,
     `Call to endpoint "${endpoint.endpointId}" failed: ${reason}`,
--- a/packages/kelpspar-backends/src/http/json_http_client.ts
+++ b/packages/kelpspar-backends/src/http/json_http_client.ts
@@ -5,22 +5,22 @@
 const DEFAULT_TIMEOUT_MILLISECONDS = 1_000;
 const DEFAULT_CONNECTIONS = 4;
 
-/** One exchange of JSON. */
+/** A request with an optional JSON body. */
 export interface JsonExchange {
   readonly method: "GET" | "POST" | "PUT" | "DELETE";
   readonly path: string;
   readonly body?: unknown;
 }
 
-/** An answer whose body was read whole. */
+/** A response with its complete JSON body. */
 export interface JsonAnswer {
   readonly status: number;
   readonly body: unknown;
 }
 
-/** Why an exchange gave no answer. */
+/** Thrown when an exchange got no complete response. */
 export class ExchangeError extends Error {
-  /** True when the other side may have received the exchange. */
+  /** True if the server may have received the request. */
   readonly mayHaveArrived: boolean;
 
   constructor(message: string, options: {
@@ -33,17 +33,18 @@
 }
 
 /**
- * Exchanges JSON with one origin. What goes wrong: a connection goes silent
- * for good while new ones work. It shows as calls that time out one after the
- * other. So after a timeout later calls use new connections; those in flight
- * end by themselves.
+ * Exchanges JSON with one origin. A connection may go silent permanently while
+ * new ones work, which would make every call on it time out. So after a timeout
+ * later calls use new connections, and calls in flight finish on the old ones.
  */
 export class JsonHttpClient {
   readonly #origin: string;
   readonly #timer: TimerService;
   readonly #timeoutMilliseconds: number;
   readonly #connections: number;
-  /** Exchanges under way on each agent that has some. */
+  /**
+   * The number of exchanges in flight, by agent; agents without any are absent.
+   */
   readonly #inFlight = new Map<Agent, number>();
   #agent: Agent;
 
@@ -56,7 +57,9 @@
     this.#agent = this.#createAgent();
   }
 
-  /** Throws ExchangeError when no whole answer came in time. */
+  /**
+   * Throws ExchangeError if no complete response arrives before the timeout.
+   */
   async exchange(exchange: JsonExchange): Promise<JsonAnswer> {
     const agent = this.#agent;
     this.#inFlight.set(agent, (this.#inFlight.get(agent) ?? 0) + 1);
@@ -85,7 +88,7 @@
       throw this.#toExchangeError(exchange, cause);
     } finally {
       stopTimer();
-      this.#leave(agent);
+      this.#releaseAgent(agent);
     }
   }
 
@@ -103,13 +106,13 @@
   }
 
   /**
-   * Ends an agent that was replaced, once nothing is in flight on it: other
-   * exchanges may be well, and each has a timeout of its own.
+   * Destroys a replaced agent once nothing is in flight on it. Its other
+   * exchanges may still succeed, and each has its own timeout.
    */
-  #leave(agent: Agent): void {
-    const left = (this.#inFlight.get(agent) ?? 1) - 1;
-    if (left > 0) {
-      this.#inFlight.set(agent, left);
+  #releaseAgent(agent: Agent): void {
+    const remaining = (this.#inFlight.get(agent) ?? 1) - 1;
+    if (remaining > 0) {
+      this.#inFlight.set(agent, remaining);
       return;
     }
     this.#inFlight.delete(agent);
@@ -120,17 +123,17 @@
     const reason = cause instanceof Error ? cause.message : String(cause);
     return new ExchangeError(
       `Exchange "${exchange.method} ${exchange.path}" with ${this.#origin} failed: ${reason}`,
-      { mayHaveArrived: !isRefusal(cause), cause },
+      { mayHaveArrived: !isConnectFailure(cause), cause },
     );
   }
 }
 
 /**
- * True only where no connection was made, so that nothing can have arrived. A
- * reset or a timeout is no proof, and neither is an unreachable host on a
- * connection that was open: only a failed system call `connect` is.
+ * True only if no connection was established, so that the server cannot have
+ * received anything. A reset, a timeout or an unreachable host on an open
+ * connection does not prove this; only a failed `connect` does.
  */
-export function isRefusal(cause: unknown): boolean {
+export function isConnectFailure(cause: unknown): boolean {
   if (!(cause instanceof Error)) return false;
   const { code, syscall } = cause as {
     readonly code?: unknown;
--- a/packages/kelpspar-backends/src/http/platform_client_options.ts
+++ b/packages/kelpspar-backends/src/http/platform_client_options.ts
@@ -1,12 +1,12 @@
 import type { TimerService } from "kelpspar-shared";
 
-/** Where a part of the platform is and how long to wait for it. */
+/** Options of the clients for the platform's services. */
 export interface PlatformClientOptions {
-  /** `http://address:port`, by IP number. */
+  /** `http://address:port`, with an IP address. */
   readonly origin: string;
   readonly timer: TimerService;
-  /** How long a call may take, milliseconds; default 1,000. */
+  /** Timeout of a call, in milliseconds; default 1,000. */
   readonly timeoutMilliseconds?: number;
-  /** How many connections to keep; default 4. */
+  /** Maximum connections; default 4. */
   readonly connections?: number;
 }
--- a/packages/kelpspar-backends/src/mod.ts
+++ b/packages/kelpspar-backends/src/mod.ts
@@ -20,7 +20,7 @@
 export { HttpEndpointClient } from "./endpoint/http_endpoint_client.ts";
 export {
   ExchangeError,
-  isRefusal,
+  isConnectFailure,
   JsonHttpClient,
 } from "./http/json_http_client.ts";
 export { HttpObjectStore } from "./object/http_object_store.ts";
--- a/packages/kelpspar-backends/src/object/http_object_store.ts
+++ b/packages/kelpspar-backends/src/object/http_object_store.ts
@@ -6,7 +6,7 @@
 const STATUS_OK = 200;
 const STATUS_NOT_FOUND = 404;
 
-/** The object store over its HTTP protocol (docs/PLATFORM.md). */
+/** An object store client for the HTTP protocol in docs/PLATFORM.md. */
 export class HttpObjectStore implements ObjectStore {
   readonly #client: JsonHttpClient;
 
--- a/packages/kelpspar-backends/src/object/object_store.ts
+++ b/packages/kelpspar-backends/src/object/object_store.ts
@@ -1,6 +1,6 @@
-/** The platform's object store. Throws `object_unavailable`. */
+/** The platform's object store. Its methods throw `object_unavailable`. */
 export interface ObjectStore {
   put(name: string, content: string): Promise<void>;
-  /** Null when there is no such object. */
+  /** Returns null if the object does not exist. */
   get(name: string): Promise<string | null>;
 }
--- a/packages/kelpspar-backends/src/table/http_table_service.ts
+++ b/packages/kelpspar-backends/src/table/http_table_service.ts
@@ -13,7 +13,7 @@
 const STATUS_OK = 200;
 const STATUS_CONFLICT = 409;
 
-/** The table service over its HTTP protocol (docs/PLATFORM.md). */
+/** A table service client for the HTTP protocol in docs/PLATFORM.md. */
 export class HttpTableService implements TableService {
   readonly #client: JsonHttpClient;
 
@@ -45,12 +45,12 @@
   async read(
     keys: readonly TableKey[],
   ): Promise<readonly (TableRow | null)[]> {
-    const body = await this.#ask("/v1/reads", { keys });
+    const body = await this.#query("/v1/reads", { keys });
     return (body as { readonly rows: readonly (TableRow | null)[] }).rows;
   }
 
   async scan(scan: TableScan): Promise<readonly TableRow[]> {
-    const body = await this.#ask("/v1/scans", scan);
+    const body = await this.#query("/v1/scans", scan);
     return (body as { readonly rows: readonly TableRow[] }).rows;
   }
 
@@ -59,7 +59,7 @@
     return this.#client.close();
   }
 
-  async #ask(path: string, body: unknown): Promise<unknown> {
+  async #query(path: string, body: unknown): Promise<unknown> {
     try {
       const answer = await this.#client.exchange({
         method: "POST",
@@ -67,14 +67,14 @@
         body,
       });
       if (answer.status === STATUS_OK) return answer.body;
-      throw refused(`ask "${path}"`, answer.status);
+      throw refused(`query "${path}"`, answer.status);
     } catch (error) {
       throw toTableError(error);
     }
   }
 }
 
-/** Any status but 200 and 409 says that nothing was written. */
+/** Any status except 200 and 409 means that nothing was written. */
 function refused(tried: string, status: number): KelpsparError {
   return new KelpsparError(
     "table_unavailable",
--- a/packages/kelpspar-backends/src/table/table_service.ts
+++ b/packages/kelpspar-backends/src/table/table_service.ts
@@ -2,13 +2,13 @@
 export interface TableRow {
   readonly table: string;
   readonly key: string;
-  /** JSON. */
+  /** A JSON value. */
   readonly value: unknown;
-  /** Grows with every write of the row; starts at 1. */
+  /** Increases with every write of the row; starts at 1. */
   readonly version: number;
 }
 
-/** Names a row. */
+/** Identifies a row. */
 export interface TableKey {
   readonly table: string;
   readonly key: string;
@@ -24,17 +24,17 @@
   readonly expectedVersion?: number;
 }
 
-/** All writes of a transaction take effect, or none. */
+/** Either all writes of a transaction take effect or none. */
 export interface TableTransaction {
   readonly writes: readonly TableWrite[];
 }
 
-/** What became of a transaction whose answer arrived. */
+/** The result of a transaction whose response arrived. */
 export type TransactionResult =
   | { readonly committed: true; readonly versions: readonly number[] }
   | {
     readonly committed: false;
-    /** The rows whose condition did not hold, as they stand; null if absent. */
+    /** The current rows whose condition failed; null for absent rows. */
     readonly conflicts: readonly {
       readonly table: string;
       readonly key: string;
@@ -42,19 +42,19 @@
     }[];
   };
 
-/** Which rows to list, in the order of their keys. */
+/** Selects the rows to list; rows are ordered by key. */
 export interface TableScan {
   readonly table: string;
   readonly prefix: string;
-  /** Lists keys after this one. */
+  /** Lists only keys after this one. */
   readonly after?: string;
   readonly limit: number;
 }
 
 /**
  * The platform's transactional table service. A call that fails before it was
- * sent throws `table_unavailable`; a write whose answer never came throws
- * `write_unknown`, and may have taken effect or take effect later.
+ * sent throws `table_unavailable`. A write without a response throws
+ * `write_unknown`: it may have taken effect, or may still take effect later.
  *
  * Source: the brief, "What the platform gives" and "What fails".
  */
--- a/packages/kelpspar-backends/src/vm/http_vm_list.ts
+++ b/packages/kelpspar-backends/src/vm/http_vm_list.ts
@@ -5,7 +5,7 @@
 
 const STATUS_OK = 200;
 
-/** The VM list over its HTTP protocol (docs/PLATFORM.md). */
+/** A VM list client for the HTTP protocol in docs/PLATFORM.md. */
 export class HttpVmList implements VmList {
   readonly #client: JsonHttpClient;
 
--- a/packages/kelpspar-backends/src/vm/vm_list.ts
+++ b/packages/kelpspar-backends/src/vm/vm_list.ts
@@ -1,7 +1,7 @@
-/** One VM of the platform's lagging list. */
+/** A VM of the platform's VM list. */
 export interface ListedVm {
   readonly id: string;
-  /** Changes when the VM is replaced, also under the same address. */
+  /** Changes when the VM is replaced, even under the same address. */
   readonly incarnation: string;
   readonly address: string;
   readonly port: number;
@@ -10,19 +10,21 @@
   /** The service in the configuration; empty for daemons. */
   readonly service: string;
   readonly state: "live" | "leaving";
-  /** True when the endpoint refuses orders with an old fencing number. */
+  /** True if the endpoint refuses orders with a stale fencing number. */
   readonly checksFencing: boolean;
 }
 
-/** The answer of `GET /v1/vms`. */
+/** The response body of `GET /v1/vms`. */
 export interface VmListAnswer {
-  /** Grows with every change of the list. */
+  /** Increases with every change of the list. */
   readonly sequence: number;
   readonly vms: readonly ListedVm[];
 }
 
-/** The platform's lagging list of VMs. Throws `platform_refused` and
- * `table_unavailable` like the table service. */
+/**
+ * The platform's list of VMs, which may lag behind. Throws `platform_refused`
+ * and, like the table service, `table_unavailable`.
+ */
 export interface VmList {
   list(): Promise<VmListAnswer>;
 }
--- a/packages/kelpspar-backends/src/weight/http_weight_store.ts
+++ b/packages/kelpspar-backends/src/weight/http_weight_store.ts
@@ -3,7 +3,7 @@
 import { toKelpsparError } from "kelpspar-shared";
 import { JsonHttpClient } from "../http/json_http_client.ts";
 
-/** The weight store over its HTTP protocol (docs/PLATFORM.md). */
+/** A weight store client for the HTTP protocol in docs/PLATFORM.md. */
 export class HttpWeightStore implements WeightStore {
   readonly #client: JsonHttpClient;
 
--- a/packages/kelpspar-backends/src/weight/weight_store.ts
+++ b/packages/kelpspar-backends/src/weight/weight_store.ts
@@ -1,11 +1,11 @@
-/** Leave to load the weights of one model version, given by the store. */
+/** The store's response to a request to load the weights of a model version. */
 export interface WeightGrant {
   readonly granted: boolean;
-  /** When to ask again, in milliseconds, if not granted. */
+  /** Delay before the next request, in milliseconds, if not granted. */
   readonly retryAfterMilliseconds: number;
 }
 
-/** The rate-limited weight store. Throws `object_unavailable`. */
+/** The rate-limited weight store. Its methods throw `object_unavailable`. */
 export interface WeightStore {
   requestLoad(model: string, version: string): Promise<WeightGrant>;
 }
--- a/packages/kelpspar-cli/src/operator/exchange_json.ts
+++ b/packages/kelpspar-cli/src/operator/exchange_json.ts
@@ -1,6 +1,6 @@
 import type { JsonAnswer, JsonExchange } from "kelpspar-backends";
 import type { TimerService } from "kelpspar-shared";
-import { ExchangeError, isRefusal } from "kelpspar-backends";
+import { ExchangeError, isConnectFailure } from "kelpspar-backends";
 import { Client } from "undici";
 
 /** How one exchange with one daemon is made. */
@@ -49,7 +49,10 @@
     const reason = cause instanceof Error ? cause.message : String(cause);
     throw new ExchangeError(
       `"${method} ${path}" at the daemon "${place}" failed: ${reason}`,
-      { mayHaveArrived: client !== undefined && !isRefusal(cause), cause },
+      {
+        mayHaveArrived: client !== undefined && !isConnectFailure(cause),
+        cause,
+      },
     );
   } finally {
     stopTimer();
--- a/packages/kelpspar-standins/src/experiments/caller/submit.ts
+++ b/packages/kelpspar-standins/src/experiments/caller/submit.ts
@@ -2,7 +2,7 @@
 import type { AnswerRecord, FailureRecord } from "kelpspar-shared";
 import type { Dispatcher } from "undici";
 import { AnswerAssembler } from "kelpspar-client";
-import { isRefusal } from "kelpspar-backends";
+import { isConnectFailure } from "kelpspar-backends";
 
 const STATUS_OK = 200;
 
@@ -44,7 +44,7 @@
     if (submission.signal.aborted) {
       return { type: "timed_out", text: assembler.text };
     }
-    if (isRefusal(thrown)) return { type: "unreachable" };
+    if (isConnectFailure(thrown)) return { type: "unreachable" };
     return { type: "cut", text: assembler.text, wasAccepted };
   }
 }
