--- a/packages/kelpspar-cli/src/commands/diff_command.ts
+++ b/packages/kelpspar-cli/src/commands/diff_command.ts
@@ -1,7 +1,7 @@
 import type { CliContext } from "../cli_context.ts";
 import type { CliCommand } from "./cli_command.ts";
 import { command } from "cmd-ts";
-import { differConfigurations } from "kelpspar-configuration";
+import { diffConfigurations } from "kelpspar-configuration";
 import { fileArguments } from "../arguments/file_arguments.ts";
 import { jsonFlag } from "../arguments/json_flag.ts";
 import { operatorArguments } from "../arguments/operator_arguments.ts";
@@ -24,7 +24,7 @@
         if (!parsed.ok) return describeProblems(parsed.errors);
         const client = await createOperatorClient(context, values);
         const current = await readCurrentConfiguration(client);
-        const changes = differConfigurations(
+        const changes = diffConfigurations(
           current.configuration,
           parsed.configuration,
         );
--- a/packages/kelpspar-cli/src/configuration/load_configuration.ts
+++ b/packages/kelpspar-cli/src/configuration/load_configuration.ts
@@ -1,6 +1,6 @@
 import type { ParsedConfiguration } from "kelpspar-configuration";
 import type { CliContext } from "../cli_context.ts";
-import { layOverlay, parseConfiguration } from "kelpspar-configuration";
+import { mergeOverlay, parseConfiguration } from "kelpspar-configuration";
 import { KelpsparError } from "kelpspar-shared";
 
 /** The files that make a configuration. */
@@ -20,7 +20,7 @@
   const base = await readJson(context, files.base);
   if (files.overlay === undefined) return parseConfiguration(base);
   const overlay = await readJson(context, files.overlay);
-  return parseConfiguration(layOverlay(base, overlay));
+  return parseConfiguration(mergeOverlay(base, overlay));
 }
 
 async function readJson(context: CliContext, path: string): Promise<unknown> {
--- a/packages/kelpspar-configuration/src/__tests__/unit/example_files.ts
+++ b/packages/kelpspar-configuration/src/__tests__/unit/example_files.ts
@@ -1,13 +1,15 @@
 import { readFileSync } from "node:fs";
-import { layOverlay } from "../../mod.ts";
+import { mergeOverlay } from "../../mod.ts";
 
-/** Reads a file of the repository's examples. */
+/** Reads a JSON file from the repository's examples folder. */
 export function readExample(name: string): unknown {
   const url = new URL(`../../../../../examples/${name}`, import.meta.url);
   return JSON.parse(readFileSync(url, "utf8"));
 }
 
-/** A site's example, its overlay laid on the base, not yet checked. */
+/**
+ * Returns a site's example: the base merged with its overlay, not validated.
+ */
 export function exampleSite(site: string): unknown {
-  return layOverlay(readExample("base.json"), readExample(`${site}.json`));
+  return mergeOverlay(readExample("base.json"), readExample(`${site}.json`));
 }
--- a/packages/kelpspar-configuration/src/__tests__/unit/examples_test.ts
+++ b/packages/kelpspar-configuration/src/__tests__/unit/examples_test.ts
@@ -8,13 +8,13 @@
 } from "../../mod.ts";
 import { exampleSite, readExample } from "./example_files.ts";
 
-test("the committed JSON Schema equals the code's", () => {
+test("the committed JSON Schema equals the generated one", () => {
   expect(readExample("configuration.schema.json"))
     .toEqual(JSON.parse(JSON.stringify(configurationJsonSchema())));
 });
 
 for (const site of ["tillbrook", "amecc"]) {
-  test(`the example of ${site} is valid and as large as the brief says`, () => {
+  test(`the example of ${site} is valid and has the size required by the brief`, () => {
     const parsed = parseConfiguration(exampleSite(site));
     expect(parsed).toLooseEqual({ ok: true, configuration: expect.a(Object) });
     if (!parsed.ok) return;
@@ -27,7 +27,7 @@
     }
   });
 
-  test(`the sample keys of ${site} find their holders`, () => {
+  test(`the sample keys of ${site} map to their accounts and operators`, () => {
     const parsed = parseConfiguration(exampleSite(site));
     if (!parsed.ok) throw new Error("The example is not valid");
     const index = indexConfiguration(parsed.configuration);
--- a/packages/kelpspar-configuration/src/__tests__/unit/overlay_and_difference_test.ts
+++ b/packages/kelpspar-configuration/src/__tests__/unit/overlay_and_difference_test.ts
@@ -2,9 +2,9 @@
 import { isDeepStrictEqual } from "node:util";
 import { expect } from "earl";
 import fc from "fast-check";
-import { differConfigurations, layOverlay } from "../../mod.ts";
+import { diffConfigurations, mergeOverlay } from "../../mod.ts";
 
-/** JSON in which lists of elements with ids are common. */
+/** Arbitrary JSON with many lists of elements that have ids. */
 const json = fc.letrec((tie) => ({
   node: fc.oneof(
     { depthSize: "small", withCrossShrink: true },
@@ -20,7 +20,7 @@
   ),
 })).node;
 
-test("objects merge as the examples of RFC 7396 say", () => {
+test("objects merge as in the examples of RFC 7396", () => {
   const examples: [unknown, unknown, unknown][] = [
     [{ a: "b" }, { a: "c" }, { a: "c" }],
     [{ a: "b" }, { b: "c" }, { a: "b", b: "c" }],
@@ -38,11 +38,11 @@
     [{}, { a: { bb: { ccc: null } } }, { a: { bb: {} } }],
   ];
   for (const [base, overlay, expected] of examples) {
-    expect(layOverlay(base, overlay)).toEqual(expected);
+    expect(mergeOverlay(base, overlay)).toEqual(expected);
   }
 });
 
-test("lists merge by id or account, in a list's form or an object's", () => {
+test("lists merge by id or account, from an overlay list or object", () => {
   const base = {
     list: [{ id: "x", n: 1 }, { id: "y", n: 2 }],
     by: [{ account: "p", n: 1 }],
@@ -51,44 +51,44 @@
     list: [{ id: "y", n: 3 }, { id: "z", n: 4, none: null }],
     by: { p: null, q: { n: 5 } },
   };
-  expect(layOverlay(base, overlay)).toEqual({
+  expect(mergeOverlay(base, overlay)).toEqual({
     list: [{ id: "x", n: 1 }, { id: "y", n: 3 }, { id: "z", n: 4 }],
     by: [{ account: "q", n: 5 }],
   });
-  expect(layOverlay(base, { list: { x: null } })).toEqual({
+  expect(mergeOverlay(base, { list: { x: null } })).toEqual({
     ...base,
     list: [{ id: "y", n: 2 }],
   });
 });
 
-test("laying an overlay twice is laying it once, and changes no input", () => {
+test("merging an overlay is idempotent and does not modify its inputs", () => {
   fc.assert(
     fc.property(json, json, (base, overlay) => {
       const inputs = JSON.stringify([base, overlay]);
-      const once = layOverlay(base, overlay);
-      expect(layOverlay(once, overlay)).toEqual(once);
+      const once = mergeOverlay(base, overlay);
+      expect(mergeOverlay(once, overlay)).toEqual(once);
       expect(JSON.stringify([base, overlay])).toEqual(inputs);
     }),
     { seed: 3, numRuns: 1_000 },
   );
 });
 
-test("there are no changes when and only when two values are equal", () => {
+test("there are no changes if and only if two values are equal", () => {
   fc.assert(
     fc.property(json, json, (before, after) => {
       const equal = isDeepStrictEqual(before, after);
-      expect(differConfigurations(before, after).length === 0).toEqual(equal);
-      expect(differConfigurations(before, JSON.parse(JSON.stringify(before))))
+      expect(diffConfigurations(before, after).length === 0).toEqual(equal);
+      expect(diffConfigurations(before, JSON.parse(JSON.stringify(before))))
         .toEqual([]);
     }),
     { seed: 4, numRuns: 2_000 },
   );
 });
 
-test("changes are named by id, and a new order of stages is a change", () => {
+test("paths of changes contain ids, and reordered stages are a change", () => {
   const before = { stages: [{ id: "a", n: 1 }, { id: "b" }], gone: 1 };
   const after = { stages: [{ id: "b" }, { id: "a", n: 2 }, { id: "c" }] };
-  expect(differConfigurations(before, after)).toEqual([
+  expect(diffConfigurations(before, after)).toEqual([
     {
       path: "stages",
       kind: "reordered",
--- a/packages/kelpspar-configuration/src/__tests__/unit/parse_configuration_test.ts
+++ b/packages/kelpspar-configuration/src/__tests__/unit/parse_configuration_test.ts
@@ -1,20 +1,20 @@
 import { test } from "node:test";
 import { expect } from "earl";
 import fc from "fast-check";
-import { layOverlay, parseConfiguration } from "../../mod.ts";
+import { mergeOverlay, parseConfiguration } from "../../mod.ts";
 import { exampleSite } from "./example_files.ts";
 
 const HASH = "a".repeat(64);
 
 function errorsOf(overlay: unknown): string[] {
   const parsed = parseConfiguration(
-    layOverlay(exampleSite("tillbrook"), overlay),
+    mergeOverlay(exampleSite("tillbrook"), overlay),
   );
   if (parsed.ok) return [];
   return parsed.errors.map(({ path, message }) => `${path}: ${message}`);
 }
 
-test("every error is reported at once, each with its path", () => {
+test("all errors are reported at once, each with its path", () => {
   const errors = errorsOf({
     accounts: {
       "tillbrook-growers": { share: 0.9, callerKeyHashes: ["short"] },
@@ -41,7 +41,7 @@
     "accounts[3].callerKeyHashes[0]: A key hash is a SHA-256 in 64 hexadecimal digits",
     'operators[0].role: Invalid option: expected one of "viewer"|"operator"|"administrator"',
     'services[4]["typed wrong"]: Unrecognized key',
-    'accounts[5].callerKeyHashes[1]: Stands at "accounts[5].callerKeyHashes[0]" too',
+    'accounts[5].callerKeyHashes[1]: Duplicate of "accounts[5].callerKeyHashes[0]"',
     'services[4].models[0]: No model has the id "absent"',
     'pipelines[1].stages[1].service: No service has the id "absent"',
     'pipelines[1].accounts[4].account: No account has the id "nobody"',
@@ -56,16 +56,16 @@
   ]);
 });
 
-test("an id listed twice in an overlay is a duplicate, not a merge", () => {
+test("an id listed twice in an overlay is reported as a duplicate, not merged", () => {
   for (const id of ["twice", "tillbrook-growers"]) {
     const account = { id, share: 0.01, callerKeyHashes: [HASH] };
     const errors = errorsOf({ accounts: [account, account] });
-    expect(errors.filter((error) => error.includes(".id: Stands at")).length)
+    expect(errors.filter((error) => error.includes(".id: Duplicate of")).length)
       .toEqual(1);
   }
 });
 
-test("what is unreadable raises no errors about its absence", () => {
+test("an unreadable list causes no errors about missing elements", () => {
   const errors = errorsOf({ services: "none", accounts: 7 });
   expect(errors.map((error) => error.split(":")[0])).toEqual([
     "accounts",
@@ -73,12 +73,11 @@
   ]);
 });
 
-test("a stage at a service that is not repeatable runs once", () => {
-  // Symptom: a booking is made twice when its stage is retried.
-  // Sequence: an operator adds a pipeline that ends at the booking desk and
-  // leaves the stage's effect at its default.
-  // Cause: the default says that repeating the stage does no harm.
-  const configuration = layOverlay(exampleSite("tillbrook"), {
+test("a stage at a service that is not repeatable has the effect once", () => {
+  // Guards against a booking that is made twice when its stage is retried: an
+  // operator adds a pipeline that ends at the booking service and leaves the
+  // stage's effect at its default, which allows repeating the stage.
+  const configuration = mergeOverlay(exampleSite("tillbrook"), {
     pipelines: {
       "booking-confirmation": { stages: [{ id: "book", effect: null }] },
     },
@@ -89,29 +88,31 @@
     .toEqual(["none", "none", "none", "none", "once"]);
 });
 
-test("no value makes the check throw", () => {
+test("parseConfiguration never throws, whatever the value", () => {
   const valid = exampleSite("amecc");
   fc.assert(
     fc.property(fc.anything(), fc.jsonValue(), (anything, overlay) => {
       parseConfiguration(anything);
-      parseConfiguration(layOverlay(valid, overlay));
+      parseConfiguration(mergeOverlay(valid, overlay));
     }),
     { seed: 1, numRuns: 300 },
   );
 });
 
-test("damage at any place of a valid file is reported, never thrown", () => {
-  const damage = fc.constantFrom<unknown>(null, 3, "x y", [], {}, [null], [7]);
+test("corruption anywhere in a valid file is reported, never thrown", () => {
+  const corruption = fc.constantFrom<unknown>(null, 3, "x y", [], {}, [null], [
+    7,
+  ]);
   const text = JSON.stringify(exampleSite("amecc"));
   const places = text.split(/(?=[{["0-9])/).length;
   fc.assert(
-    fc.property(fc.nat(places), damage, (place, value) => {
+    fc.property(fc.nat(places), corruption, (place, value) => {
       let visited = 0;
-      const damaged = JSON.parse(
+      const corrupted = JSON.parse(
         text,
         (_, old) => visited++ === place ? value : old,
       );
-      const parsed = parseConfiguration(damaged);
+      const parsed = parseConfiguration(corrupted);
       if (parsed.ok) return;
       for (const { path, message } of parsed.errors) {
         expect(typeof path).toEqual("string");
--- a/packages/kelpspar-configuration/src/checks/check_duplicates.ts
+++ b/packages/kelpspar-configuration/src/checks/check_duplicates.ts
@@ -1,36 +1,46 @@
 import type { ConfigurationProblem } from "../problems/configuration_problem.ts";
 import type { ConfigurationOutline } from "./configuration_outline.ts";
 import { formatPath } from "../problems/format_path.ts";
-import { listed } from "./readable_elements.ts";
+import { readableElements } from "./readable_elements.ts";
 
-interface Named {
+interface NamedEntry {
   readonly name: string | null;
   readonly path: readonly PropertyKey[];
 }
 
-/** Ids must differ within their list, and keys across all holders. */
+/**
+ * Checks that ids are unique in their list, and keys among all their holders.
+ */
 export function checkDuplicates(
   outline: ConfigurationOutline,
 ): ConfigurationProblem[] {
   return [
-    ...repeatedIds(outline.accounts, ["accounts"]),
-    ...repeatedIds(outline.operators, ["operators"]),
-    ...repeatedIds(outline.models, ["models"]),
-    ...repeatedIds(outline.services, ["services"]),
-    ...repeatedIds(outline.pipelines, ["pipelines"]),
-    ...repeatedNames(callerKeyHashes(outline)),
-    ...repeatedNames(operatorKeyHashes(outline)),
-    ...listed(outline.services, ["services"]).flatMap(({ element, path }) =>
-      repeatedNames(plainNames(element.models, [...path, "models"]))
+    ...findDuplicateIds(outline.accounts, ["accounts"]),
+    ...findDuplicateIds(outline.operators, ["operators"]),
+    ...findDuplicateIds(outline.models, ["models"]),
+    ...findDuplicateIds(outline.services, ["services"]),
+    ...findDuplicateIds(outline.pipelines, ["pipelines"]),
+    ...findDuplicateNames(callerKeyHashes(outline)),
+    ...findDuplicateNames(operatorKeyHashes(outline)),
+    ...readableElements(outline.services, ["services"]).flatMap((
+      { element, path },
+    ) =>
+      findDuplicateNames(toNamedEntries(element.models, [...path, "models"]))
     ),
-    ...listed(outline.models, ["models"]).flatMap(({ element, path }) =>
-      repeatedNames(plainNames(element.adapters, [...path, "adapters"]))
+    ...readableElements(outline.models, ["models"]).flatMap((
+      { element, path },
+    ) =>
+      findDuplicateNames(
+        toNamedEntries(element.adapters, [...path, "adapters"]),
+      )
     ),
-    ...listed(outline.pipelines, ["pipelines"]).flatMap(
+    ...readableElements(outline.pipelines, ["pipelines"]).flatMap(
       ({ element, path }) => [
-        ...repeatedIds(element.stages, [...path, "stages"]),
-        ...repeatedNames(
-          listed(element.accounts, [...path, "accounts"]).map((entry) => ({
+        ...findDuplicateIds(element.stages, [...path, "stages"]),
+        ...findDuplicateNames(
+          readableElements(element.accounts, [...path, "accounts"]).map((
+            entry,
+          ) => ({
             name: entry.element.account,
             path: [...entry.path, "account"],
           })),
@@ -40,12 +50,12 @@
   ];
 }
 
-function repeatedIds(
+function findDuplicateIds(
   list: readonly ({ readonly id: string | null } | null)[] | null,
   path: readonly PropertyKey[],
 ): ConfigurationProblem[] {
-  return repeatedNames(
-    listed(list, path).map((entry) => ({
+  return findDuplicateNames(
+    readableElements(list, path).map((entry) => ({
       name: entry.element.id,
       path: [...entry.path, "id"],
     })),
@@ -53,30 +63,32 @@
 }
 
 /**
- * What goes wrong: with one key in two client accounts, a caller would be
- * served as either, and see the other's results. So no key stands twice.
+ * Keys must be unique: with the same key in two client accounts, a caller could
+ * be served as either and see the other's results.
  */
-function callerKeyHashes(outline: ConfigurationOutline): Named[] {
-  return listed(outline.accounts, ["accounts"]).flatMap(({ element, path }) =>
-    plainNames(element.callerKeyHashes, [...path, "callerKeyHashes"])
-  );
+function callerKeyHashes(outline: ConfigurationOutline): NamedEntry[] {
+  return readableElements(outline.accounts, ["accounts"]).flatMap((
+    { element, path },
+  ) => toNamedEntries(element.callerKeyHashes, [...path, "callerKeyHashes"]));
 }
 
-function operatorKeyHashes(outline: ConfigurationOutline): Named[] {
-  return listed(outline.operators, ["operators"]).map((entry) => ({
+function operatorKeyHashes(outline: ConfigurationOutline): NamedEntry[] {
+  return readableElements(outline.operators, ["operators"]).map((entry) => ({
     name: entry.element.keyHash,
     path: [...entry.path, "keyHash"],
   }));
 }
 
-function plainNames(
+function toNamedEntries(
   names: readonly (string | null)[] | null,
   path: readonly PropertyKey[],
-): Named[] {
+): NamedEntry[] {
   return (names ?? []).map((name, index) => ({ name, path: [...path, index] }));
 }
 
-function repeatedNames(entries: readonly Named[]): ConfigurationProblem[] {
+function findDuplicateNames(
+  entries: readonly NamedEntry[],
+): ConfigurationProblem[] {
   const first = new Map<string, string>();
   const problems: ConfigurationProblem[] = [];
   for (const { name, path } of entries) {
@@ -84,7 +96,7 @@
     const place = formatPath(path);
     const earlier = first.get(name);
     if (earlier === undefined) first.set(name, place);
-    else problems.push({ path: place, message: `Stands at "${earlier}" too` });
+    else problems.push({ path: place, message: `Duplicate of "${earlier}"` });
   }
   return problems;
 }
--- a/packages/kelpspar-configuration/src/checks/check_models.ts
+++ b/packages/kelpspar-configuration/src/checks/check_models.ts
@@ -4,37 +4,41 @@
   OutlineElement,
   StageOutline,
 } from "./configuration_outline.ts";
-import type { Listed } from "./readable_elements.ts";
+import type { ListElement } from "./readable_elements.ts";
 import { formatPath } from "../problems/format_path.ts";
-import { listed } from "./readable_elements.ts";
+import { readableElements } from "./readable_elements.ts";
 
-interface KnownParts {
+interface ConfigurationLookup {
   readonly services: ReadonlyMap<string | null, OutlineElement<"services">>;
   readonly models: ReadonlyMap<string | null, OutlineElement<"models">>;
 }
 
-/** Stages, services and models must agree on what runs where. */
+/**
+ * Checks that stages, services and models are consistent about what runs where.
+ */
 export function checkModels(
   outline: ConfigurationOutline,
 ): ConfigurationProblem[] {
-  const known: KnownParts = {
-    services: byId(listed(outline.services, [])),
-    models: byId(listed(outline.models, [])),
+  const lookup: ConfigurationLookup = {
+    services: byId(readableElements(outline.services, [])),
+    models: byId(readableElements(outline.models, [])),
   };
   return [
     ...checkPlainServices(outline),
     ...checkMinimumReady(outline),
-    ...listed(outline.pipelines, ["pipelines"]).flatMap(({ element, path }) =>
-      listed(element.stages, [...path, "stages"]).flatMap((stage) => [
-        ...checkStageModel(stage, known),
-        ...checkStageAdapter(stage, known),
+    ...readableElements(outline.pipelines, ["pipelines"]).flatMap((
+      { element, path },
+    ) =>
+      readableElements(element.stages, [...path, "stages"]).flatMap((stage) => [
+        ...checkStageModel(stage, lookup),
+        ...checkStageAdapter(stage, lookup),
       ])
     ),
   ];
 }
 
 function byId<Part extends { readonly id: string | null }>(
-  parts: readonly Listed<Part>[],
+  parts: readonly ListElement<Part>[],
 ): ReadonlyMap<string | null, Part> {
   return new Map(parts.map(({ element }) => [element.id, element]));
 }
@@ -42,32 +46,38 @@
 function checkPlainServices(
   outline: ConfigurationOutline,
 ): ConfigurationProblem[] {
-  return listed(outline.services, ["services"]).flatMap(({ element, path }) => {
-    if (element.kind !== "plain" || !element.models?.length) return [];
-    const message = "A plain service runs no models";
-    return [{ path: formatPath([...path, "models"]), message }];
-  });
+  return readableElements(outline.services, ["services"]).flatMap(
+    ({ element, path }) => {
+      if (element.kind !== "plain" || !element.models?.length) return [];
+      const message = "A plain service runs no models";
+      return [{ path: formatPath([...path, "models"]), message }];
+    },
+  );
 }
 
 function checkMinimumReady(
   outline: ConfigurationOutline,
 ): ConfigurationProblem[] {
-  const services = listed(outline.services, []);
-  const run = new Set(services.flatMap(({ element }) => element.models ?? []));
+  const services = readableElements(outline.services, []);
+  const runModels = new Set(
+    services.flatMap(({ element }) => element.models ?? []),
+  );
   if (outline.services === null) return [];
-  return listed(outline.models, ["models"]).flatMap(({ element, path }) => {
-    if (element.id === null || run.has(element.id)) return [];
-    // Absent means the schema's default, which is 1.
-    if (element.minimumReady === 0) return [];
-    const message =
-      `No service runs the model "${element.id}", so none can stay ready`;
-    return [{ path: formatPath([...path, "minimumReady"]), message }];
-  });
+  return readableElements(outline.models, ["models"]).flatMap(
+    ({ element, path }) => {
+      if (element.id === null || runModels.has(element.id)) return [];
+      // If absent, the schema's default of 1 applies.
+      if (element.minimumReady === 0) return [];
+      const message =
+        `No service runs the model "${element.id}", so none can stay ready`;
+      return [{ path: formatPath([...path, "minimumReady"]), message }];
+    },
+  );
 }
 
 function checkStageModel(
-  { element, path }: Listed<StageOutline>,
-  { services }: KnownParts,
+  { element, path }: ListElement<StageOutline>,
+  { services }: ConfigurationLookup,
 ): ConfigurationProblem[] {
   const service = services.get(element.service);
   if (service === undefined || service.kind === null) return [];
@@ -84,8 +94,8 @@
 }
 
 function checkStageAdapter(
-  { element, path }: Listed<StageOutline>,
-  { models }: KnownParts,
+  { element, path }: ListElement<StageOutline>,
+  { models }: ConfigurationLookup,
 ): ConfigurationProblem[] {
   if (element.adapter === null) return [];
   const adapterPath = formatPath([...path, "adapter"]);
--- a/packages/kelpspar-configuration/src/checks/configuration_checks.ts
+++ b/packages/kelpspar-configuration/src/checks/configuration_checks.ts
@@ -4,7 +4,7 @@
 import { checkModels } from "./check_models.ts";
 import { checkReferences } from "./check_references.ts";
 
-/** Every cross-check, in the order its problems are reported. */
+/** All cross-checks, in the order in which their problems are reported. */
 export const CONFIGURATION_CHECKS: readonly ConfigurationCheck[] = [
   checkDuplicates,
   checkReferences,
--- a/packages/kelpspar-configuration/src/checks/configuration_outline.ts
+++ b/packages/kelpspar-configuration/src/checks/configuration_outline.ts
@@ -3,7 +3,7 @@
 const textOutline = z.string().nullable().catch(null);
 const numberOutline = z.number().nullable().catch(null);
 
-/** Null stands for an element that is not an object. */
+/** A list of objects; an element that is not an object becomes null. */
 function listOf<Shape extends z.ZodRawShape>(
   shape: Shape,
 ): z.ZodCatch<
@@ -50,9 +50,9 @@
 });
 
 /**
- * What the cross-checks read of a configuration that need not be valid: null
- * stands for whatever is missing or of the wrong type. Reading this much lets
- * one run report the schema's errors and the cross-checks' together.
+ * The parts of a possibly invalid configuration that the cross-checks read. A
+ * value that is missing or of the wrong type is null. This allows one run to
+ * report the errors of both the schema and the cross-checks.
  */
 export type ConfigurationOutline = z.infer<typeof outlineSchema>;
 
@@ -68,7 +68,7 @@
   NonNullable<List>[number]
 >;
 
-const NO_OUTLINE: ConfigurationOutline = {
+const EMPTY_OUTLINE: ConfigurationOutline = {
   accounts: null,
   operators: null,
   models: null,
@@ -79,5 +79,5 @@
 /** Reads the outline of any value; never throws. */
 export function outlineConfiguration(value: unknown): ConfigurationOutline {
   const parsed = outlineSchema.safeParse(value);
-  return parsed.success ? parsed.data : NO_OUTLINE;
+  return parsed.success ? parsed.data : EMPTY_OUTLINE;
 }
--- a/packages/kelpspar-configuration/src/difference/configuration_change.ts
+++ b/packages/kelpspar-configuration/src/difference/configuration_change.ts
@@ -1,14 +1,14 @@
 /** One difference between two configurations. */
 export interface ConfigurationChange {
   /**
-   * Where, such as `pipelines[spread-plan].stages[draft].model`: elements that
-   * have an id are named by it, since their place may differ.
+   * The path, such as `pipelines[spread-plan].stages[draft].model`. Elements
+   * that have an id are identified by it, since their index may differ.
    */
   readonly path: string;
-  /** `reordered` gives the ids of a list in their order. */
+  /** For `reordered`, `before` and `after` are the ids of the list in order. */
   readonly kind: "added" | "removed" | "changed" | "reordered";
-  /** Absent when added. */
+  /** Absent if `kind` is `added`. */
   readonly before?: unknown;
-  /** Absent when removed. */
+  /** Absent if `kind` is `removed`. */
   readonly after?: unknown;
 }
--- a/packages/kelpspar-configuration/src/difference/diff_configurations.ts
+++ b/packages/kelpspar-configuration/src/difference/diff_configurations.ts
@@ -3,46 +3,46 @@
 import { elementKey, isKeyedList, isObject } from "../overlay/element_key.ts";
 
 /**
- * Lists what differs, by path, in the order of `before` and then of what
- * `after` adds. Empty when and only when the two say the same; the order of
- * an object's keys says nothing, that of a list's elements does.
+ * Lists the differences by path: first in the order of `before`, then additions
+ * in the order of `after`. The list is empty if and only if both are equal. The
+ * order of a list's elements is significant, that of an object's keys is not.
  */
-export function differConfigurations(
+export function diffConfigurations(
   before: unknown,
   after: unknown,
 ): ConfigurationChange[] {
-  return differ("", { before, after });
+  return diffValues("", { before, after });
 }
 
-interface Sides {
+interface ValuePair {
   readonly before: unknown;
   readonly after: unknown;
 }
 
-function differ(path: string, sides: Sides): ConfigurationChange[] {
-  const { before, after } = sides;
+function diffValues(path: string, pair: ValuePair): ConfigurationChange[] {
+  const { before, after } = pair;
   if (before === undefined && after === undefined) return [];
   if (before === undefined) return [{ path, kind: "added", after }];
   if (after === undefined) return [{ path, kind: "removed", before }];
   if (isObject(before) && isObject(after)) {
-    return differEntries(
+    return diffEntries(
       new Map(Object.entries(before)),
       new Map(Object.entries(after)),
       (key) => joinKey(path, key),
     );
   }
-  const beforeById = byUniqueKey(before);
-  const afterById = byUniqueKey(after);
+  const beforeById = indexByUniqueKey(before);
+  const afterById = indexByUniqueKey(after);
   if (beforeById !== undefined && afterById !== undefined) {
     return [
-      ...differOrder(path, {
+      ...diffOrder(path, {
         before: [...beforeById.keys()],
         after: [...afterById.keys()],
       }),
-      ...differEntries(beforeById, afterById, (key) => `${path}[${key}]`),
+      ...diffEntries(beforeById, afterById, (key) => `${path}[${key}]`),
     ];
   }
-  if (sameValue(before, after)) return [];
+  if (isEqualValue(before, after)) return [];
   return [{ path, kind: "changed", before, after }];
 }
 
@@ -51,32 +51,34 @@
   return path === "" || step.startsWith("[") ? path + step : `${path}.${step}`;
 }
 
-function differEntries(
+function diffEntries(
   before: ReadonlyMap<string, unknown>,
   after: ReadonlyMap<string, unknown>,
   pathOf: (key: string) => string,
 ): ConfigurationChange[] {
   const keys = new Set([...before.keys(), ...after.keys()]);
   return [...keys].flatMap((key) =>
-    differ(pathOf(key), { before: before.get(key), after: after.get(key) })
+    diffValues(pathOf(key), { before: before.get(key), after: after.get(key) })
   );
 }
 
-function differOrder(
+function diffOrder(
   path: string,
   keys: { readonly before: string[]; readonly after: string[] },
 ): ConfigurationChange[] {
-  const known = new Set(keys.before);
-  const kept = new Set(keys.after);
-  const before = keys.before.filter((key) => kept.has(key));
-  const after = keys.after.filter((key) => known.has(key));
+  const beforeKeys = new Set(keys.before);
+  const afterKeys = new Set(keys.after);
+  const before = keys.before.filter((key) => afterKeys.has(key));
+  const after = keys.after.filter((key) => beforeKeys.has(key));
   if (before.every((key, index) => key === after[index])) return [];
   const { before: allBefore, after: allAfter } = keys;
   return [{ path, kind: "reordered", before: allBefore, after: allAfter }];
 }
 
-/** Undefined unless the value is a list whose elements have unique keys. */
-function byUniqueKey(
+/**
+ * Returns undefined unless the value is a list of elements with unique keys.
+ */
+function indexByUniqueKey(
   value: unknown,
 ): ReadonlyMap<string, unknown> | undefined {
   const elements = new Map<string, unknown>();
@@ -90,16 +92,16 @@
   return elements;
 }
 
-function sameValue(left: unknown, right: unknown): boolean {
+function isEqualValue(left: unknown, right: unknown): boolean {
   if (Array.isArray(left) && Array.isArray(right)) {
     return left.length === right.length &&
-      left.every((value, index) => sameValue(value, right[index]));
+      left.every((value, index) => isEqualValue(value, right[index]));
   }
   if (isObject(left) && isObject(right)) {
     const names = Object.keys(left);
     return names.length === Object.keys(right).length &&
       names.every((name) =>
-        Object.hasOwn(right, name) && sameValue(left[name], right[name])
+        Object.hasOwn(right, name) && isEqualValue(left[name], right[name])
       );
   }
   return left === right;
--- a/packages/kelpspar-configuration/src/index/configuration_index.ts
+++ b/packages/kelpspar-configuration/src/index/configuration_index.ts
@@ -5,13 +5,13 @@
 import type { PipelineConfiguration } from "../schema/pipeline_schema.ts";
 import type { ServiceConfiguration } from "../schema/service_schema.ts";
 
-/** A configuration with its lookups: an immutable snapshot. */
+/** An immutable snapshot of a configuration with its lookup maps. */
 export interface ConfigurationIndex {
   readonly configuration: Configuration;
   readonly accounts: ReadonlyMap<string, AccountConfiguration>;
   /**
-   * By the SHA-256 of a caller key, hexadecimal. Looking a hash up tells
-   * nothing of the key by its time, since nobody can choose a key's hash.
+   * By the SHA-256 of a caller key, hexadecimal. The time of a lookup reveals
+   * nothing about a key, since an attacker cannot choose a key's hash.
    */
   readonly accountsByCallerKeyHash: ReadonlyMap<string, AccountConfiguration>;
   readonly operators: ReadonlyMap<string, OperatorConfiguration>;
@@ -21,8 +21,8 @@
   readonly services: ReadonlyMap<string, ServiceConfiguration>;
   readonly pipelines: ReadonlyMap<string, PipelineConfiguration>;
   /**
-   * By pipeline, then by client account: the account's most urgent priority
-   * there. An account that is absent may not use the pipeline.
+   * The most urgent priority that an account may use, by pipeline and then by
+   * client account. An absent account may not use the pipeline.
    */
   readonly access: ReadonlyMap<string, ReadonlyMap<string, number>>;
 }
--- a/packages/kelpspar-configuration/src/index/deep_freeze.ts
+++ b/packages/kelpspar-configuration/src/index/deep_freeze.ts
@@ -1,4 +1,4 @@
-/** Freezes a tree of JSON objects and lists; returns it. */
+/** Freezes a JSON value recursively and returns it. */
 export function deepFreeze<Value>(value: Value): Value {
   if (typeof value !== "object" || value === null) return value;
   for (const part of Object.values(value)) deepFreeze(part);
--- a/packages/kelpspar-configuration/src/index/index_configuration.ts
+++ b/packages/kelpspar-configuration/src/index/index_configuration.ts
@@ -3,8 +3,9 @@
 import { deepFreeze } from "./deep_freeze.ts";
 
 /**
- * Builds the lookups of a checked configuration. Freezes the configuration
- * itself, so that no part can change what another part decides on.
+ * Builds the lookup maps of a validated configuration. Freezes the
+ * configuration itself, so that no component can modify the input of another's
+ * decisions.
  */
 export function indexConfiguration(
   configuration: Configuration,
--- a/packages/kelpspar-configuration/src/mod.ts
+++ b/packages/kelpspar-configuration/src/mod.ts
@@ -15,10 +15,10 @@
   StageConfiguration,
 } from "./schema/pipeline_schema.ts";
 export type { ServiceConfiguration } from "./schema/service_schema.ts";
-export { differConfigurations } from "./difference/diff_configurations.ts";
+export { diffConfigurations } from "./difference/diff_configurations.ts";
 export { indexConfiguration } from "./index/index_configuration.ts";
 export { normalizeConfiguration } from "./normalize_configuration.ts";
-export { layOverlay } from "./overlay/merge_overlay.ts";
+export { mergeOverlay } from "./overlay/merge_overlay.ts";
 export { parseConfiguration } from "./parse_configuration.ts";
 export { configurationJsonSchema } from "./schema/configuration_json_schema.ts";
 export { configurationSchema } from "./schema/configuration_schema.ts";
--- a/packages/kelpspar-configuration/src/normalize_configuration.ts
+++ b/packages/kelpspar-configuration/src/normalize_configuration.ts
@@ -1,10 +1,10 @@
 import type { Configuration } from "./schema/configuration_schema.ts";
 
 /**
- * Marks every stage at a service that is not repeatable as `once`, whatever
- * its file says. What goes wrong without it: a booking whose stage somebody
- * forgot to mark would be retried and made twice. Giving the stage its effect
- * here, before anything decides on it, leaves nothing to remember.
+ * Sets the effect of every stage at a service that is not repeatable to `once`,
+ * whatever the file says. Otherwise a booking whose stage an operator forgot to
+ * mark would be retried and made twice. The effect is set here, before any
+ * decision depends on it, so that operators need not remember it.
  */
 export function normalizeConfiguration(
   configuration: Configuration,
--- a/packages/kelpspar-configuration/src/overlay/element_key.ts
+++ b/packages/kelpspar-configuration/src/overlay/element_key.ts
@@ -1,13 +1,13 @@
 const KEY_FIELDS = ["id", "account"] as const;
 
-/** True for a JSON object, as against a list, a scalar or null. */
+/** True for a JSON object, false for a list, a scalar or null. */
 export function isObject(
   value: unknown,
 ): value is Readonly<Record<string, unknown>> {
   return typeof value === "object" && value !== null && !Array.isArray(value);
 }
 
-/** The field that an element of a list is known by. */
+/** Returns the field that identifies an element of a list. */
 export function keyField(
   element: unknown,
 ): typeof KEY_FIELDS[number] | undefined {
@@ -17,14 +17,14 @@
   );
 }
 
-/** What an element of a list is known by: its `id`, else its `account`. */
+/** Returns the key of an element of a list: its `id`, else its `account`. */
 export function elementKey(element: unknown): string | undefined {
   const field = keyField(element);
   if (field === undefined || !isObject(element)) return undefined;
   return String(element[field]);
 }
 
-/** True for a list, not empty, whose every element has a key. */
+/** True for a non-empty list in which every element has a key. */
 export function isKeyedList(value: unknown): value is readonly unknown[] {
   if (!Array.isArray(value) || value.length === 0) return false;
   return value.every((element) => elementKey(element) !== undefined);
--- a/packages/kelpspar-configuration/src/overlay/merge_overlay.ts
+++ b/packages/kelpspar-configuration/src/overlay/merge_overlay.ts
@@ -1,38 +1,38 @@
 import { elementKey, isKeyedList, isObject, keyField } from "./element_key.ts";
 
 /**
- * Lays a site's overlay over the base and gives the site's configuration, not
- * yet checked. Objects merge and `null` removes, as in JSON Merge Patch. Lists
- * whose elements have an `id` (or `account`) merge by it: known elements merge
- * in place, new ones follow in the overlay's order. Such a list may also be
- * written as an object by id, in which `null` removes the element. All else is
- * replaced whole.
+ * Merges a site's overlay into the base and returns the site's configuration,
+ * not yet validated. Objects merge and `null` removes, as in JSON Merge Patch.
+ * Lists whose elements have an `id` (or `account`) merge by it: existing
+ * elements merge in place, new ones are appended in the overlay's order. Such a
+ * list may also be written as an object by id, in which `null` removes the
+ * element. All other values are replaced.
  *
  * Source: RFC 7396 (JSON Merge Patch) for objects; the brief, "The product":
  * one base configuration file with an overlay for each site.
  */
-export function layOverlay(base: unknown, overlay: unknown): unknown {
+export function mergeOverlay(base: unknown, overlay: unknown): unknown {
   if (isObject(overlay)) {
-    if (isKeyedListOrEmpty(base) && isWrittenById(overlay)) {
-      return layById(base, overlay);
+    if (isKeyedListOrEmpty(base) && isListById(overlay)) {
+      return mergeListById(base, overlay);
     }
-    return layObject(isObject(base) ? base : {}, overlay);
+    return mergeObject(isObject(base) ? base : {}, overlay);
   }
   if (isKeyedList(overlay)) {
-    return layList(isKeyedList(base) ? base : [], overlay);
+    return mergeList(isKeyedList(base) ? base : [], overlay);
   }
   return overlay;
 }
 
-/** Entries are built with `fromEntries`, which gives `__proto__` no power. */
-function layObject(
+/** Uses `Object.fromEntries`, which treats `__proto__` as an ordinary key. */
+function mergeObject(
   base: Readonly<Record<string, unknown>>,
   overlay: Readonly<Record<string, unknown>>,
 ): unknown {
   const merged = new Map(Object.entries(base));
   for (const [key, value] of Object.entries(overlay)) {
     if (value === null) merged.delete(key);
-    else merged.set(key, layOverlay(merged.get(key), value));
+    else merged.set(key, mergeOverlay(merged.get(key), value));
   }
   return Object.fromEntries(merged);
 }
@@ -41,48 +41,48 @@
   return isKeyedList(value) || (Array.isArray(value) && value.length === 0);
 }
 
-function isWrittenById(overlay: Readonly<Record<string, unknown>>): boolean {
+function isListById(overlay: Readonly<Record<string, unknown>>): boolean {
   return Object.values(overlay).every((value) =>
     value === null || isObject(value)
   );
 }
 
-function layById(
+function mergeListById(
   base: readonly unknown[],
   overlay: Readonly<Record<string, unknown>>,
 ): unknown {
   const field = keyField(base[0]) ?? "id";
-  const known = new Set(base.map(elementKey));
+  const baseKeys = new Set(base.map(elementKey));
   const kept = base.flatMap((element) => {
     const key = elementKey(element);
     if (key === undefined || !Object.hasOwn(overlay, key)) return [element];
     const change = overlay[key];
     if (!isObject(change)) return [];
-    return [layOverlay(element, { ...change, [field]: key })];
+    return [mergeOverlay(element, { ...change, [field]: key })];
   });
   const added = Object.entries(overlay).flatMap(([key, value]) => {
-    if (!isObject(value) || known.has(key)) return [];
-    return [layOverlay(undefined, { ...value, [field]: key })];
+    if (!isObject(value) || baseKeys.has(key)) return [];
+    return [mergeOverlay(undefined, { ...value, [field]: key })];
   });
   return [...kept, ...added];
 }
 
 /**
- * An id that the overlay lists twice is kept twice, so that the check for
- * duplicate ids finds the mistake, which merging both would hide.
+ * Keeps both elements if the overlay lists an id twice, so that the check for
+ * duplicate ids reports the mistake, which merging them would hide.
  */
-function layList(
+function mergeList(
   base: readonly unknown[],
   overlay: readonly unknown[],
 ): unknown {
-  const merged = [...base];
-  const laid = new Set<string | undefined>();
+  const list = [...base];
+  const seen = new Set<string | undefined>();
   for (const element of overlay) {
     const key = elementKey(element);
     const place = base.findIndex((candidate) => elementKey(candidate) === key);
-    if (place < 0 || laid.has(key)) merged.push(layOverlay(undefined, element));
-    else merged[place] = layOverlay(base[place], element);
-    laid.add(key);
+    if (place < 0 || seen.has(key)) list.push(mergeOverlay(undefined, element));
+    else list[place] = mergeOverlay(base[place], element);
+    seen.add(key);
   }
-  return merged;
+  return list;
 }
--- a/packages/kelpspar-configuration/src/parse_configuration.ts
+++ b/packages/kelpspar-configuration/src/parse_configuration.ts
@@ -6,15 +6,15 @@
 import { toProblems } from "./problems/to_problems.ts";
 import { configurationSchema } from "./schema/configuration_schema.ts";
 
-/** A checked configuration, or everything that is wrong with it. */
+/** A valid configuration, or all of its problems. */
 export type ParsedConfiguration =
   | { readonly ok: true; readonly configuration: Configuration }
   | { readonly ok: false; readonly errors: readonly ConfigurationProblem[] };
 
 /**
- * Checks a whole configuration, after its overlay was laid on. Reports every
- * error at once, those of the schema and those between parts, and fills in
- * defaults. Never throws.
+ * Validates a complete configuration, after its overlay was merged, and fills
+ * in defaults. Reports all errors at once, both of the schema and of the
+ * cross-checks. Never throws.
  */
 export function parseConfiguration(value: unknown): ParsedConfiguration {
   const parsed = configurationSchema.safeParse(value);
--- a/packages/kelpspar-configuration/src/problems/configuration_problem.ts
+++ b/packages/kelpspar-configuration/src/problems/configuration_problem.ts
@@ -1,7 +1,7 @@
-/** One thing that is wrong in a configuration. */
+/** A problem in a configuration. */
 export interface ConfigurationProblem {
-  /** Where, such as `pipelines[1].stages[2].service`; empty for the whole. */
+  /** The path, such as `pipelines[1].stages[2].service`; empty for the root. */
   readonly path: string;
-  /** What is wrong there, one sentence without a full stop. */
+  /** A description of the problem, one sentence without a full stop. */
   readonly message: string;
 }
--- a/packages/kelpspar-configuration/src/problems/format_path.ts
+++ b/packages/kelpspar-configuration/src/problems/format_path.ts
@@ -1,6 +1,6 @@
 const PLAIN_KEY = /^[A-Za-z_$][A-Za-z0-9_$]*$/;
 
-/** Writes a path such as `pipelines[1].stages[2].service`. */
+/** Formats a path such as `pipelines[1].stages[2].service`. */
 export function formatPath(path: readonly PropertyKey[]): string {
   let text = "";
   for (const key of path) text += formatKey(key, text === "");
--- a/packages/kelpspar-configuration/src/problems/to_problems.ts
+++ b/packages/kelpspar-configuration/src/problems/to_problems.ts
@@ -2,7 +2,7 @@
 import type { ConfigurationProblem } from "./configuration_problem.ts";
 import { formatPath } from "./format_path.ts";
 
-/** Turns the schema's issues into problems, one for each unknown key. */
+/** Converts the schema's issues to problems, with one for each unknown key. */
 export function toProblems(
   issues: readonly core.$ZodIssue[],
 ): ConfigurationProblem[] {
--- a/packages/kelpspar-configuration/src/schema/account_schema.ts
+++ b/packages/kelpspar-configuration/src/schema/account_schema.ts
@@ -4,13 +4,15 @@
 /** A client account and its share of the fleet. */
 export const accountSchema = z.strictObject({
   id: identifierSchema,
-  /** Share of the fleet's runner time when all accounts want more, 0 to 1. */
+  /**
+   * Share of the fleet's runner time when all accounts have a backlog, 0 to 1.
+   */
   share: z.number().gt(0).lte(1),
   /** SHA-256 of each caller key, hexadecimal. */
   callerKeyHashes: z.array(keyHashSchema).min(1),
-  /** Requests that may wait at one daemon. */
+  /** Maximum number of requests queued at one daemon. */
   maximumQueuedRequests: z.number().int().min(1).default(256),
-  /** Bytes of input that may wait at one daemon. */
+  /** Maximum input of the requests queued at one daemon, in bytes. */
   maximumQueuedBytes: z.number().int().min(1_024).default(16 * 1024 * 1024),
 });
 
--- a/packages/kelpspar-configuration/src/schema/common_schemas.ts
+++ b/packages/kelpspar-configuration/src/schema/common_schemas.ts
@@ -6,7 +6,7 @@
   "Ids are letters, digits, dots, dashes and underscores",
 );
 
-/** A SHA-256 in hexadecimal. */
+/** A SHA-256 hash in hexadecimal. */
 export const keyHashSchema = z.string().regex(
   /^[0-9a-f]{64}$/,
   "A key hash is a SHA-256 in 64 hexadecimal digits",
--- a/packages/kelpspar-configuration/src/schema/configuration_schema.ts
+++ b/packages/kelpspar-configuration/src/schema/configuration_schema.ts
@@ -7,7 +7,7 @@
 import { pipelineSchema } from "./pipeline_schema.ts";
 import { serviceSchema } from "./service_schema.ts";
 
-/** The whole configuration of a site, after its overlay was laid on the base. */
+/** The complete configuration of a site: the base merged with its overlay. */
 export const configurationSchema = z.strictObject({
   $schema: z.string().optional(),
   site: identifierSchema,
@@ -19,5 +19,5 @@
   limits: limitsSchema.prefault({}),
 });
 
-/** A configuration as checked, with every default filled in. */
+/** A valid configuration with all defaults filled in. */
 export type Configuration = z.infer<typeof configurationSchema>;
--- a/packages/kelpspar-configuration/src/schema/model_schema.ts
+++ b/packages/kelpspar-configuration/src/schema/model_schema.ts
@@ -1,12 +1,14 @@
 import { z } from "zod";
 import { identifierSchema } from "./common_schemas.ts";
 
-/** A model, the version wanted and where it runs. */
+/** A model with its desired version and its adapters. */
 export const modelSchema = z.strictObject({
   id: identifierSchema,
   version: identifierSchema,
   adapters: z.array(identifierSchema).default([]),
-  /** Engines that must stay ready for this model during changes. */
+  /**
+   * Minimum number of engines that stay ready for this model during changes.
+   */
   minimumReady: z.number().int().min(0).default(1),
 });
 
--- a/packages/kelpspar-configuration/src/schema/operator_schema.ts
+++ b/packages/kelpspar-configuration/src/schema/operator_schema.ts
@@ -1,10 +1,10 @@
 import { z } from "zod";
 import { identifierSchema, keyHashSchema } from "./common_schemas.ts";
 
-/** An operator and what the key allows. */
+/** An operator with the role of the operator's key. */
 export const operatorSchema = z.strictObject({
   id: identifierSchema,
-  /** `viewer` reads; `operator` also drains; `administrator` also applies. */
+  /** `viewer` may read, `operator` also drain, `administrator` also apply. */
   role: z.enum(["viewer", "operator", "administrator"]),
   keyHash: keyHashSchema,
 });
@@ -12,5 +12,5 @@
 /** An operator of the configuration. */
 export type OperatorConfiguration = z.infer<typeof operatorSchema>;
 
-/** What an operator's key allows. */
+/** The role of an operator's key. */
 export type OperatorRole = OperatorConfiguration["role"];
--- a/packages/kelpspar-configuration/src/schema/pipeline_schema.ts
+++ b/packages/kelpspar-configuration/src/schema/pipeline_schema.ts
@@ -2,9 +2,9 @@
 import { MAXIMUM_DEADLINE_MILLISECONDS } from "kelpspar-shared";
 import { identifierSchema } from "./common_schemas.ts";
 
-const MOST_STAGES = 16;
+const MAXIMUM_STAGES = 16;
 
-/** One stage of a pipeline; stages run in their order. */
+/** A stage of a pipeline; stages run in the listed order. */
 export const stageSchema = z.strictObject({
   id: identifierSchema,
   /** The service that runs the stage. */
@@ -12,25 +12,30 @@
   model: identifierSchema.optional(),
   adapter: identifierSchema.optional(),
   /**
-   * `once` for a stage that acts on the world: it runs at most once. Stages
-   * at services that are not repeatable are always `once`.
+   * `once` for a stage with external side effects, which runs at most once.
+   * Stages at services that are not repeatable are always `once`.
    */
   effect: z.enum(["none", "once"]).default("none"),
-  /** Characters of the input that requests share, for prefix caches. */
+  /** Characters of the input prefix that requests share, for prefix caches. */
   sharedPrefixCharacters: z.number().int().min(0).default(0),
 });
 
-/** A chain of stages and the accounts it serves. */
+/** A chain of stages and the accounts that may use it. */
 export const pipelineSchema = z.strictObject({
   id: identifierSchema,
-  stages: z.array(stageSchema).min(1).max(MOST_STAGES),
-  /** The longest deadline a caller may ask for, milliseconds. */
+  stages: z.array(stageSchema).min(1).max(MAXIMUM_STAGES),
+  /** The longest deadline that a caller may request, in milliseconds. */
   maximumDeadlineMilliseconds: z.number().int().min(1)
     .max(MAXIMUM_DEADLINE_MILLISECONDS).default(60_000),
-  /** Who may use the pipeline, and how urgent their requests are at best. */
+  /**
+   * The accounts that may use the pipeline, with their most urgent priority.
+   */
   accounts: z.array(z.strictObject({
     account: identifierSchema,
-    /** 0 is the most urgent; a caller's own priority is never more urgent. */
+    /**
+     * 0 is the most urgent; a caller's priority cannot be more urgent than
+     * this.
+     */
     priority: z.number().int().min(0).max(9).default(0),
   })).min(1),
 });
--- a/packages/kelpspar-configuration/src/schema/service_schema.ts
+++ b/packages/kelpspar-configuration/src/schema/service_schema.ts
@@ -7,11 +7,14 @@
   kind: z.enum(["engine", "plain"]),
   /** False for a service whose calls may not be repeated. */
   repeatable: z.boolean().default(true),
-  /** Models an engine pool runs; empty for plain services. */
+  /** Models that an engine pool runs; empty for plain services. */
   models: z.array(identifierSchema).default([]),
-  /** Calls an endpoint runs at a time until its own report says better. */
+  /**
+   * Calls that an endpoint runs at a time, until its load report gives the
+   * number.
+   */
   concurrency: z.number().int().min(1).default(8),
-  /** How long a call may go without progress, milliseconds. */
+  /** Timeout of a call without progress, in milliseconds. */
   progressTimeoutMilliseconds: z.number().int().min(10).default(2_000),
 });
 
--- a/packages/kelpspar-standins/src/demo/read_example.ts
+++ b/packages/kelpspar-standins/src/demo/read_example.ts
@@ -1,6 +1,6 @@
 import type { Configuration } from "kelpspar-configuration";
 import { readFileSync } from "node:fs";
-import { layOverlay, parseConfiguration } from "kelpspar-configuration";
+import { mergeOverlay, parseConfiguration } from "kelpspar-configuration";
 
 const EXAMPLES = new URL("../../../../examples/", import.meta.url);
 
@@ -12,7 +12,7 @@
 
 /** Reads the base and an overlay of examples/. Throws when they are wrong. */
 export function readExample(overlay: string): ExampleConfiguration {
-  const written = layOverlay(readJson("base.json"), readJson(overlay));
+  const written = mergeOverlay(readJson("base.json"), readJson(overlay));
   const parsed = parseConfiguration(written);
   if (parsed.ok) return { written, checked: parsed.configuration };
   throw new Error(`Example "${overlay}" is wrong: ${JSON.stringify(parsed)}`);
