--- a/packages/kelpspar-daemon/src/actors/endpoints_role.ts
+++ b/packages/kelpspar-daemon/src/actors/endpoints_role.ts
@@ -1,4 +1,4 @@
-import type { EndpointWatch } from "../endpoints/endpoint_watch.ts";
+import type { EndpointWatch } from "../endpoints/endpoint_monitor.ts";
 import type { RoleOptions } from "./role_options.ts";
 import { mergeTeardowns } from "../state/merge_teardowns.ts";
 import { registerJitteredInterval } from "./register_jittered_interval.ts";
--- a/packages/kelpspar-daemon/src/create_core.ts
+++ b/packages/kelpspar-daemon/src/create_core.ts
@@ -7,7 +7,7 @@
 import { ConfigurationKeeper } from "./configuration/configuration_keeper.ts";
 import { ConfigurationStore } from "./configuration/configuration_store.ts";
 import { createRequestParts } from "./create_request_parts.ts";
-import { EndpointWatch } from "./endpoints/endpoint_watch.ts";
+import { EndpointWatch } from "./endpoints/endpoint_monitor.ts";
 import { Fleet } from "./fleet/fleet.ts";
 import { DaemonMetrics } from "./metrics/daemon_metrics.ts";
 import { RequestMetrics } from "./metrics/request_metrics.ts";
--- a/packages/kelpspar-daemon/src/fleet/fleet_options.ts
+++ b/packages/kelpspar-daemon/src/fleet/fleet_options.ts
@@ -1,5 +1,5 @@
 import type { RandomSource, TimerService } from "kelpspar-shared";
-import type { EndpointWatch } from "../endpoints/endpoint_watch.ts";
+import type { EndpointWatch } from "../endpoints/endpoint_monitor.ts";
 import type { DecisionParts } from "../scheduling/decision_parts.ts";
 import type { FairScheduler } from "../scheduling/fair_scheduler.ts";
 import type { DaemonState } from "../state/daemon_state.ts";
--- a/packages/kelpspar-daemon/src/requests/hedged_call.ts
+++ b/packages/kelpspar-daemon/src/requests/hedged_call.ts
@@ -1,9 +1,9 @@
 import type { PermitRequest } from "../scheduling/permit_request.ts";
-import type { AttemptEnd } from "./attempt_caller.ts";
+import type { AttemptEnd } from "./call_attempt.ts";
 import type { AttemptPlan } from "./attempt_plan.ts";
 import type { StageServices } from "./stage_services.ts";
 import type { StageTask } from "./stage_task.ts";
-import { callAttempt, settleAttempt } from "./attempt_caller.ts";
+import { callAttempt, settleAttempt } from "./call_attempt.ts";
 import { StageProgress } from "./stage_progress.ts";
 
 /** An attempt and the plan it was made by. */
--- a/packages/kelpspar-daemon/src/requests/key_lookup.ts
+++ b/packages/kelpspar-daemon/src/requests/key_lookup.ts
@@ -4,14 +4,14 @@
 import type { RequestContext } from "./request_context.ts";
 import type { RequestKeys } from "./request_keys.ts";
 import type { RequestRegistry } from "./request_registry.ts";
-import type { AskHolder } from "./settlement_outcome.ts";
+import type { AskHolder } from "./resolve_settlement.ts";
 import {
   claimKey,
   CLAIMS_TABLE,
   parseClaimContent,
 } from "kelpspar-decisions/claims";
 import { KelpsparError, parseBoundKey } from "kelpspar-shared";
-import { answerSettlement } from "./settlement_outcome.ts";
+import { answerSettlement } from "./resolve_settlement.ts";
 
 /** What keys are looked up in. */
 export interface KeyLookupOptions {
--- a/packages/kelpspar-daemon/src/requests/request_service.ts
+++ b/packages/kelpspar-daemon/src/requests/request_service.ts
@@ -3,13 +3,13 @@
 import type { ClaimService } from "../claims/claim_service.ts";
 import type { ConfigurationIndexReader } from "../state/configuration_reader.ts";
 import type { FinalRecord } from "./answer_log.ts";
-import type { ArrivalCheck } from "./arrival_check.ts";
+import type { ArrivalCheck } from "./request_admission.ts";
 import type { OnceGuard } from "./once_guard.ts";
 import type { PipelineRunner } from "./pipeline_runner.ts";
 import type { RequestContext } from "./request_context.ts";
 import type { RequestKeys } from "./request_keys.ts";
 import type { RequestRegistry } from "./request_registry.ts";
-import type { AskHolder } from "./settlement_outcome.ts";
+import type { AskHolder } from "./resolve_settlement.ts";
 import type { LedgerDecision, StoredResult } from "kelpspar-decisions/claims";
 import type {
   KelpsparError,
@@ -27,14 +27,14 @@
   createStoredResult,
 } from "./final_records.ts";
 import { FREE_ONCE_GUARD } from "./once_guard.ts";
-import { onceStages } from "./once_stages.ts";
+import { onceStages } from "./select_once_stages.ts";
 import {
   outcomeHere,
   withoutProof,
   withProvedOutcome,
 } from "./request_outcome.ts";
 import { fillFromStored } from "./stored_answer.ts";
-import { answerSettlement } from "./settlement_outcome.ts";
+import { answerSettlement } from "./resolve_settlement.ts";
 
 /** What requests run on. */
 export interface RequestServiceOptions {
--- a/packages/kelpspar-daemon/src/requests/stage_run.ts
+++ b/packages/kelpspar-daemon/src/requests/stage_run.ts
@@ -2,13 +2,13 @@
 import type { KelpsparError, StageEndRecord } from "kelpspar-shared";
 import type { Permit } from "../scheduling/permit.ts";
 import type { PermitRequest } from "../scheduling/permit_request.ts";
-import type { AttemptEnd } from "./attempt_caller.ts";
+import type { AttemptEnd } from "./call_attempt.ts";
 import type { AttemptPlan } from "./attempt_plan.ts";
 import type { StageServices } from "./stage_services.ts";
 import type { StageTask } from "./stage_task.ts";
 import { decideRetry } from "kelpspar-decisions/retries";
 import { KelpsparError as ResultError } from "kelpspar-shared";
-import { settleAttempt } from "./attempt_caller.ts";
+import { settleAttempt } from "./call_attempt.ts";
 import { HedgedCall } from "./hedged_call.ts";
 import { StageProgress } from "./stage_progress.ts";
 
--- a/packages/kelpspar-daemon/src/scheduling/ready_endpoints.ts
+++ b/packages/kelpspar-daemon/src/scheduling/endpoint_selector.ts
@@ -5,7 +5,7 @@
   TimerService,
 } from "kelpspar-shared";
 import type { PermitRequest } from "./permit_request.ts";
-import type { NoEndpointReason } from "./service_gate.ts";
+import type { NoEndpointReason } from "./service_dispatcher.ts";
 import { chooseEndpoint } from "kelpspar-decisions/routing";
 
 /** What endpoints are chosen from and by. */
--- a/packages/kelpspar-daemon/src/scheduling/fair_scheduler.ts
+++ b/packages/kelpspar-daemon/src/scheduling/fair_scheduler.ts
@@ -9,7 +9,7 @@
 import type { Permit } from "./permit.ts";
 import type { PermitRequest } from "./permit_request.ts";
 import type { ExpectedCallName, Scheduler, ServiceLoad } from "./scheduler.ts";
-import type { WaitingCall } from "./service_gate.ts";
+import type { WaitingCall } from "./service_dispatcher.ts";
 import {
   computeFleetShares,
   EMPTY_DEMAND,
@@ -20,9 +20,9 @@
 import { KelpsparError } from "kelpspar-shared";
 import { createPermit } from "./create_permit.ts";
 import { DemandMeter } from "./demand_meter.ts";
-import { ReadyEndpoints } from "./ready_endpoints.ts";
+import { ReadyEndpoints } from "./endpoint_selector.ts";
 import { WaitEstimator } from "./wait_estimator.ts";
-import { ServiceGate } from "./service_gate.ts";
+import { ServiceGate } from "./service_dispatcher.ts";
 
 const TICK_MILLISECONDS = 20;
 const SHARES_EVERY_TICKS = 10;
--- a/packages/kelpspar-daemon/src/scheduling/wait_estimator.ts
+++ b/packages/kelpspar-daemon/src/scheduling/wait_estimator.ts
@@ -2,7 +2,7 @@
 import type { CostEstimator } from "kelpspar-decisions/fairness";
 import type { ConfigurationIndexReader } from "../state/configuration_reader.ts";
 import type { ExpectedCallName } from "./scheduler.ts";
-import type { ServiceGate } from "./service_gate.ts";
+import type { ServiceGate } from "./service_dispatcher.ts";
 
 const SMALLEST_PART = 1e-3;
 
