--- a/packages/kelpspar-daemon/src/__tests__/support/core_bench.ts
+++ b/packages/kelpspar-daemon/src/__tests__/support/core_bench.ts
@@ -40,7 +40,7 @@
   const configuration = createConfiguration(options.configuration);
   core.keeper.offer(createRow(1, configuration), "table");
   core.state.update(() => ({ vms: ENDPOINT_VMS }));
-  core.watch.replaceList();
+  core.watch.applyVmList();
   return {
     timer,
     ports,
--- a/packages/kelpspar-daemon/src/__tests__/unit/answer_log_test.ts
+++ b/packages/kelpspar-daemon/src/__tests__/unit/answer_log_test.ts
@@ -24,18 +24,17 @@
         next += chunk.text.length;
       }
       expect([log.length, log.text()]).toEqual([whole.length, whole]);
-      // Reading cuts a copy; the log itself stays whole.
+      // Reading truncates a copy; the log itself is unchanged.
       expect(log.readFrom(0).map(({ text }) => text).join("")).toEqual(whole);
     }),
     RUNS,
   );
 });
 
-test("the checksum is that of the whole text, wherever its pieces part", () => {
-  // Symptom: a caller takes a whole answer for a damaged one and asks again.
-  // Sequence: an engine's stream, or a resume, parts a pair of surrogates.
-  // Cause: half a pair has no UTF-8 form, so each half is summed as another
-  // character.
+test("the checksum is that of the whole text, wherever its pieces are split", () => {
+  // Failure: a caller treats a complete answer as corrupt and retries. An
+  // engine's stream or a resume splits a surrogate pair. Half a pair has no
+  // UTF-8 encoding, so each half was summed as a different character.
   const split = fc.tuple(fc.string({ unit: "grapheme" }), fc.nat(20));
   fc.assert(
     fc.property(split, ([start, at]) => {
@@ -51,8 +50,8 @@
 
 test("only the first final record counts, and nothing follows it", () => {
   const log = new AnswerLog();
-  let heard = 0;
-  const stop = log.registerListener(() => heard++);
+  let notifications = 0;
+  const stop = log.registerListener(() => notifications++);
   const end = {
     type: "end",
     requestId: "r",
@@ -65,7 +64,7 @@
   log.finish(end);
   log.finish({ ...end, requestId: "other" });
   log.append("late");
-  expect([log.text(), log.final, heard]).toEqual(["lime", end, 2]);
+  expect([log.text(), log.final, notifications]).toEqual(["lime", end, 2]);
   stop();
   expect(log.readers).toEqual(0);
 });
--- a/packages/kelpspar-daemon/src/__tests__/unit/request_outcome_test.ts
+++ b/packages/kelpspar-daemon/src/__tests__/unit/request_outcome_test.ts
@@ -2,7 +2,7 @@
 import type { StageTrace } from "../../requests/stage_trace.ts";
 import { expect } from "earl";
 import { test } from "node:test";
-import { outcomeOf } from "../../requests/request_outcome.ts";
+import { outcomeForCaller } from "../../requests/request_outcome.ts";
 
 function contextOf(
   calls: Readonly<Record<string, StageTrace["dispatches"]>>,
@@ -19,16 +19,18 @@
   } as unknown as RequestContext;
 }
 
-test("a booking refused before its once-stage was not run", () => {
-  // Symptom: callers of 296 of 347 bookings refused in a store outage were
-  // told outcome_unknown, and could not send them again.
-  // Sequence: the first stage ran; the request was refused before its booking.
-  // Cause: only stages that had begun were judged, none of them effectful.
-  expect(outcomeOf(contextOf({ encode: ["unproved"] }))).toEqual("not_run");
+test("a booking refused before its at-most-once stage was not run", () => {
+  // Failure: 296 of 347 bookings refused during a store outage were reported as
+  // outcome_unknown, so callers could not resubmit them. The first stage ran,
+  // and the request was refused before its booking. Only stages that had begun
+  // were evaluated, and none of them had an effect.
+  expect(outcomeForCaller(contextOf({ encode: ["unproved"] }))).toEqual(
+    "not_run",
+  );
 });
 
-test("a call of the once-stage without proof, or a copy elsewhere, is unknown", () => {
+test("an unproved call of the at-most-once stage, or a run elsewhere, is unknown", () => {
   const called = { encode: ["unproved" as const], book: ["unproved" as const] };
-  expect(outcomeOf(contextOf(called))).toEqual("outcome_unknown");
-  expect(outcomeOf(contextOf({}, true))).toEqual("outcome_unknown");
+  expect(outcomeForCaller(contextOf(called))).toEqual("outcome_unknown");
+  expect(outcomeForCaller(contextOf({}, true))).toEqual("outcome_unknown");
 });
--- a/packages/kelpspar-daemon/src/__tests__/unit/request_service_test.ts
+++ b/packages/kelpspar-daemon/src/__tests__/unit/request_service_test.ts
@@ -29,16 +29,15 @@
 > = {
   deadline_exceeded: () => {},
   cancelled: ({ core }, context) => core.requests.cancel(context, "a test"),
-  abandoned: ({ core }, context) => core.requests.readerLeft(context),
+  abandoned: ({ core }, context) => core.requests.onReaderDisconnected(context),
 };
 
 for (const [name, end] of Object.entries(ENDINGS)) {
-  test(`a call whose request is ${name} lets go of its endpoint`, () => {
-    // Symptom: after some deadlines a service answers nobody any more.
-    // Sequence: a call is in flight as its request's deadline passes, its
-    // caller cancels it, or its caller goes away.
-    // Cause: the stage threw before it released its permit, and told the
-    // endpoint nothing.
+  test(`a call whose request is ${name} releases its endpoint`, () => {
+    // Failure: after several missed deadlines a service stops answering. A call
+    // is in flight when its request's deadline passes, or its caller cancels or
+    // disconnects. The stage threw before it released its permit, and didn't
+    // cancel the call at the endpoint.
     const settings = { limits: { abandonedGraceMilliseconds: 0 } };
     return withBench({ settings }, async (bench) => {
       const { core, ports, timer } = bench;
@@ -62,7 +61,7 @@
   });
 }
 
-test("a full queue refuses as overloaded, not run, with a time to return", () => {
+test("a full queue refuses as overloaded, not run, with a retry delay", () => {
   const accounts = [
     createAccount("large", 0.6),
     { ...createAccount("small", 0.4), maximumQueuedRequests: 1 },
@@ -86,12 +85,11 @@
   });
 });
 
-test("a booking that outlives its deadline is found by its key, run once", () =>
-  // Symptom: a caller is told that the outcome is unknown and never learns
-  // that its booking was made, or books it a second time.
-  // Sequence: the booking's call is in flight at the deadline and answers
-  // after it; the caller looks its key up and then submits it again.
-  // Cause: a result that comes after the final record is dropped.
+test("a booking that completes after its deadline is found by its key and runs once", () =>
+  // Failure: a caller that got outcome_unknown never learns that its booking was
+  // made, or makes it twice. The booking's call is in flight at the deadline and
+  // answers later; the caller looks up its key and resubmits the request. A
+  // result after the final record was dropped.
   withBench({}, async (bench) => {
     const { core, ports, timer } = bench;
     ports.endpoints.onCall = (call) => {
@@ -122,11 +120,10 @@
     expect(core.claims.open).toEqual(0);
   }));
 
-test("a refusal of a resubmission never says that nothing was run", () =>
-  // Symptom: a caller that was told "not run" books anew, and two trucks come.
-  // Sequence: a booking's first submission got no answer; the second one is
-  // refused, for whatever reason.
-  // Cause: the daemon that refuses knows only of its own submission.
+test("a refusal of a resubmission never reports not_run", () =>
+  // Failure: a caller that got not_run books again, and two trucks arrive. A
+  // booking's first submission got no answer, and the second one is refused for
+  // any reason. The refusing daemon has no record of the first submission.
   withBench({ settings: { limits: { maximumRequests: 1 } } }, async (bench) => {
     const { core } = bench;
     const refusals: Partial<SubmitRequest>[] = [
@@ -157,19 +154,18 @@
     expect(check(BOOKING)).toEqual("draining");
   }));
 
-test("a hedge that runs is not given up when the first call fails", () =>
-  // Symptom: a request fails, or takes three calls, although one is under way.
-  // Sequence: a call is late, a second one is made elsewhere, and then the
-  // endpoint of the first one dies.
-  // Cause: the first call's failure ended the race, and the hedge with it.
+test("a running hedge is not abandoned when the first call fails", () =>
+  // Failure: a request fails, or makes three calls, although a call is still in
+  // flight. A call is late, a hedge is sent to another endpoint, and then the
+  // first endpoint dies. The first call's failure ended the hedge too.
   withBench({}, async (bench) => {
     const { ports, timer } = bench;
     await warmUp(bench);
-    const known = ports.endpoints.calls.length;
+    const callsBefore = ports.endpoints.calls.length;
     ports.endpoints.onCall = () => {};
     const context = bench.submit({ deadlineMilliseconds: 10_000 });
     await timer.advance(200);
-    const [first, hedge] = ports.endpoints.calls.slice(known);
+    const [first, hedge] = ports.endpoints.calls.slice(callsBefore);
     expect(hedge?.endpoint.endpointId === first?.endpoint.endpointId)
       .toEqual(false);
     first?.fail(new Error("reset"));
@@ -178,11 +174,11 @@
     await timer.advance(10);
     expect([context.log.text(), context.log.final?.type])
       .toEqual(["hedged", "end"]);
-    expect(ports.endpoints.calls.length - known).toEqual(2);
+    expect(ports.endpoints.calls.length - callsBefore).toEqual(2);
     expect(inFlight(bench)).toEqual(0);
   }));
 
-/** Slow calls, so that later ones are in time; then enough to earn a hedge. */
+/** Slow calls to raise the hedge delay, then enough calls to allow a hedge. */
 async function warmUp(bench: CoreBench): Promise<void> {
   const { ports, timer } = bench;
   for (let round = 0; round < 100; round++) {
@@ -216,10 +212,10 @@
 }
 
 for (const reason of ["failed", "overloaded", "leaving", "wrong_model"]) {
-  test(`a booking that was started and failed as ${reason} is not sent again`, () =>
-    // Symptom: two trucks come to one quarter section.
-    // Sequence: an endpoint begins a booking, then fails it and says so.
-    // Cause: its reason, read as a refusal, is taken for proof of the contrary.
+  test(`a booking that was started and failed as ${reason} is not retried`, () =>
+    // Failure: two trucks arrive for one booking. An endpoint starts a booking,
+    // then fails it with a failure record. Its reason was read as a refusal,
+    // which would prove that the booking never started.
     withBench({}, async ({ ports, timer, submit }) => {
       ports.endpoints.onCall = (call) => {
         if (call.call.stageId === "encode") return call.answer("encoded");
--- a/packages/kelpspar-daemon/src/__tests__/unit/stage_attempt_test.ts
+++ b/packages/kelpspar-daemon/src/__tests__/unit/stage_attempt_test.ts
@@ -31,13 +31,13 @@
 };
 const END = { runnerMilliseconds: 1, tokensIn: 1, tokensOut: 1 };
 
-class Bench {
+class AttemptBench {
   readonly timer = new ManualTimer();
   readonly endpoints = new FakeEndpoints();
   readonly progress = new StageProgress();
   readonly foreign: StageRecord[] = [];
   readonly signal = new AbortController();
-  /** Undefined while the attempt runs; "whole" or its result after it. */
+  /** Undefined while the attempt runs; then "whole" or the error's result. */
   ending: string | undefined;
   outcome: string | undefined;
 
@@ -56,8 +56,8 @@
         progressTimeoutMilliseconds: TIMEOUT_MILLISECONDS,
         startedAt: 0,
       }),
-      gapMilliseconds: () => undefined,
-      judgeSilence: async () => ({
+      p99GapMilliseconds: () => undefined,
+      evaluateSilence: async () => ({
         connection: "destroy",
         endpoint: "keep",
         call: "resend_elsewhere",
@@ -84,7 +84,7 @@
   }
 }
 
-/** Pieces that cover the text, some twice, in any order, the end among them. */
+/** Chunks that cover the text, some duplicated, and the end, in any order. */
 const records = fc.tuple(
   fc.array(fc.nat(TEXT.length), { maxLength: 6 }),
   fc.array(
@@ -106,7 +106,7 @@
   });
 });
 
-/** Records that answer another request, stage or attempt. */
+/** Records of another request, stage or attempt. */
 const foreignRecords = fc.record({
   ids: fc.constantFrom(
     { requestId: "other" },
@@ -120,14 +120,14 @@
   ),
 }).map(({ ids, record }) => ({ ...record, ...ids }));
 
-test("late, repeated, reordered and foreign records never change a result", () =>
+test("late, duplicate, reordered and foreign records never change a result", () =>
   fc.assert(
     fc.asyncProperty(
       records,
       fc.array(foreignRecords, { maxLength: 4 }),
       fc.nat(8),
       async (own, foreign, at) => {
-        const bench = new Bench();
+        const bench = new AttemptBench();
         const sent = own.toSpliced(at, 0, ...foreign);
         for (const record of sent) bench.call.push(record);
         bench.call.close();
@@ -140,8 +140,8 @@
     { seed: 1, numRuns: 200 },
   ));
 
-test("a stream that ends before its result is whole is a failure", async () => {
-  const streams: ((call: Bench["call"]) => void)[] = [
+test("a stream that ends before its result is complete fails the call", async () => {
+  const streams: ((call: AttemptBench["call"]) => void)[] = [
     (call) => call.chunk(0, "li"),
     (call) => call.end(4),
     (call) => {
@@ -154,7 +154,7 @@
     },
   ];
   for (const send of streams) {
-    const bench = new Bench();
+    const bench = new AttemptBench();
     send(bench.call);
     bench.call.close();
     await bench.timer.settle();
@@ -163,25 +163,25 @@
   }
 });
 
-test("a whole result counts although its stream breaks or stays open", async () => {
-  const broken = new Bench();
+test("a complete result is accepted although its stream breaks or stays open", async () => {
+  const broken = new AttemptBench();
   broken.call.end(4);
   broken.call.chunk(0, "lime");
   broken.call.fail(new Error("reset"));
   await broken.timer.settle();
   expect(broken.ending).toEqual("whole");
-  const open = new Bench();
+  const open = new AttemptBench();
   open.call.chunk(0, "lime");
   open.call.end(4);
   await open.timer.advance(TIMEOUT_MILLISECONDS / 2);
   expect([open.ending, open.progress.text]).toEqual(["whole", "lime"]);
 });
 
-test("silence ends a call; records of the call, and no others, put it off", async () => {
-  // Symptom: a request hangs until its deadline at a connection that is dead.
-  // Sequence: a few records come, then nothing of this call any more.
-  // Cause: a connection without an error is taken for a working one.
-  const bench = new Bench();
+test("silence ends a call, and only records of that call reset the timeout", async () => {
+  // Failure: a request hangs until its deadline on a dead connection. After a
+  // few records the connection delivers nothing more of the call, and without
+  // an error it was treated as working.
+  const bench = new AttemptBench();
   const step = TIMEOUT_MILLISECONDS - 100;
   for (let offset = 0; offset < 3; offset++) {
     await bench.timer.advance(step);
@@ -196,8 +196,8 @@
   expect(bench.call.options.signal.aborted).toEqual(true);
 });
 
-test("a call that the probe excuses goes on, and may still become whole", async () => {
-  const bench = new Bench({ judgeSilence: async () => undefined });
+test("a call that the probe allows to continue may still complete", async () => {
+  const bench = new AttemptBench({ evaluateSilence: async () => undefined });
   await bench.timer.advance(10 * TIMEOUT_MILLISECONDS);
   expect(bench.ending).toEqual(undefined);
   bench.call.answer("lime");
@@ -205,9 +205,9 @@
   expect(bench.ending).toEqual("whole");
 });
 
-test("only the endpoint's own word proves that a call did not start", async () => {
+test("only the endpoint's failure record proves that a call did not start", async () => {
   for (const started of [true, false]) {
-    const bench = new Bench();
+    const bench = new AttemptBench();
     bench.call.push({ type: "failure", reason: "overloaded", started });
     await bench.timer.settle();
     expect([bench.ending, bench.outcome]).toEqual([
@@ -215,7 +215,7 @@
       started ? "outcome_unknown" : "not_run",
     ]);
   }
-  const aborted = new Bench();
+  const aborted = new AttemptBench();
   aborted.signal.abort(new Error("gone"));
   await aborted.timer.settle();
   expect(aborted.outcome).toEqual("outcome_unknown");
--- a/packages/kelpspar-daemon/src/actors/endpoints_role.ts
+++ b/packages/kelpspar-daemon/src/actors/endpoints_role.ts
@@ -1,4 +1,4 @@
-import type { EndpointWatch } from "../endpoints/endpoint_monitor.ts";
+import type { EndpointMonitor } from "../endpoints/endpoint_monitor.ts";
 import type { RoleOptions } from "./role_options.ts";
 import { mergeTeardowns } from "../state/merge_teardowns.ts";
 import { registerJitteredInterval } from "./register_jittered_interval.ts";
@@ -9,7 +9,7 @@
 
 /** What the role that follows endpoints works on. */
 export interface EndpointsRoleOptions extends RoleOptions {
-  readonly watch: EndpointWatch;
+  readonly watch: EndpointMonitor;
   readonly loadPollMilliseconds: number;
 }
 
@@ -26,7 +26,7 @@
     initialState: null,
     handlers: {
       list: () => {
-        watch.replaceList();
+        watch.applyVmList();
         watch.poll();
         return null;
       },
--- a/packages/kelpspar-daemon/src/answer_claim_inquiry.ts
+++ b/packages/kelpspar-daemon/src/answer_claim_inquiry.ts
@@ -23,5 +23,5 @@
   if (isSameRun && finding.state === "completed") {
     return { type: "completed", operationId, result: finding.result };
   }
-  return knowledge.claims.describe(operationId);
+  return knowledge.claims.describeOperation(operationId);
 }
--- a/packages/kelpspar-daemon/src/claims/claim_handle.ts
+++ b/packages/kelpspar-daemon/src/claims/claim_handle.ts
@@ -1,20 +1,20 @@
 import type { StoredResult } from "kelpspar-decisions/claims";
 
-/** What a running request does with its claim. */
+/** Operations of a running request on its claim. */
 export interface ClaimHandle {
   /**
-   * Says that a call is about to be handed to an endpoint. False when the
-   * claim is not confirmed or was given up; then the call must not be made.
+   * Records that a call is about to be sent to an endpoint. Returns false when
+   * the claim is not confirmed or was given up; the call must not be made then.
    */
-  dispatch(): boolean;
-  /** Says that a dispatched call is proved not to have started. */
-  notStarted(): void;
+  tryDispatch(): boolean;
+  /** Records that a dispatched call is proven not to have started. */
+  recordNotStarted(): void;
   complete(result: StoredResult): void;
   /** Ends the request without a result. */
   giveUp(): void;
   /**
-   * Says that no result will come any more. Without it every request whose
-   * outcome stays unknown is remembered for the life of the daemon.
+   * Discards the claim's state when no result will follow. Otherwise each
+   * request with an unknown outcome would occupy memory until the daemon exits.
    */
-  forget(): void;
+  discard(): void;
 }
--- a/packages/kelpspar-daemon/src/claims/claim_listener.ts
+++ b/packages/kelpspar-daemon/src/claims/claim_listener.ts
@@ -1,12 +1,12 @@
 import type { ClaimAttemptAction } from "kelpspar-decisions/claims";
 
-/** How another operation settles a claim. */
+/** Outcome of a claim whose key another operation holds. */
 export type ClaimSettlement = Extract<
   ClaimAttemptAction,
   { readonly type: "settle" }
 >["decision"];
 
-/** Told what becomes of a claim; each at most once. */
+/** Callbacks for the outcome of a claim; each is called at most once. */
 export interface ClaimListener {
   /** The claim is confirmed: the request may be dispatched. */
   readonly onRun: () => void;
--- a/packages/kelpspar-daemon/src/claims/claim_service.ts
+++ b/packages/kelpspar-daemon/src/claims/claim_service.ts
@@ -27,22 +27,22 @@
 import { errorDetails } from "../log/daemon_log.ts";
 import { StoreHealth } from "./store_health.ts";
 
-const RESEND_MILLISECONDS = 60;
-const RESEND_LIMIT_MILLISECONDS = 2_000;
-const PROBE_MILLISECONDS = 400;
+const RESEND_BASE_MILLISECONDS = 60;
+const RESEND_MAXIMUM_MILLISECONDS = 2_000;
+const PROBE_INTERVAL_MILLISECONDS = 400;
 
-/** What claims are kept in and how. */
+/** Options of `ClaimService`. */
 export interface ClaimServiceOptions {
   readonly table: TableService;
   readonly timer: TimerService;
   readonly random: RandomSource;
   readonly log: DaemonLog;
-  /** How long a claim waits for others to share its write, milliseconds. */
+  /** Linger time for batching claims into one write, milliseconds. */
   readonly lingerMilliseconds: number;
 }
 
-/** A claim to make. */
-export interface ClaimBeginning {
+/** A claim to write. */
+export interface NewClaim {
   readonly accountId: string;
   readonly idempotencyKey: string;
   readonly identity: ClaimIdentity;
@@ -62,8 +62,8 @@
 }
 
 /**
- * Makes and ends the claims of this daemon's requests, in batches. All
- * decisions are those of kelpspar-decisions; here they meet the table.
+ * Writes and ends the claims of this daemon's requests, in batches. The decision
+ * logic is in kelpspar-decisions; this class executes it against the table.
  */
 export class ClaimService {
   readonly #options: ClaimServiceOptions;
@@ -81,40 +81,40 @@
     });
   }
 
-  /** Claims whose last write is not settled yet. */
+  /** Number of claims whose last write is not settled. */
   get open(): number {
     return this.#entries.size;
   }
 
-  /** Writes no more; what is not written yet never is. */
+  /** Stops all writes and drops those still pending. */
   close(): void {
     this.#isClosed = true;
     this.#stopFlushTimer();
   }
 
-  /** False while the table fails; a claim made now would most likely fail. */
+  /** False while the table fails; a new claim would probably fail too. */
   isStoreUsable(): boolean {
     return this.#health.isUsable;
   }
 
-  /** Starts a claim. Its listener is told what becomes of it. */
-  begin(beginning: ClaimBeginning): ClaimHandle {
-    const { operationId } = beginning.identity;
-    const first = beginClaim(beginning.identity);
+  /** Starts a claim and reports its outcome to its listener. */
+  begin(claim: NewClaim): ClaimHandle {
+    const { operationId } = claim.identity;
+    const first = beginClaim(claim.identity);
     const entry: ClaimEntry = {
-      key: claimKey(beginning.accountId, beginning.idempotencyKey),
-      listener: beginning.listener,
+      key: claimKey(claim.accountId, claim.idempotencyKey),
+      listener: claim.listener,
       attempt: first.attempt,
       resends: 0,
     };
     this.#entries.set(operationId, entry);
-    this.#follow(entry, first);
+    this.#applyStep(entry, first);
     return {
-      dispatch: () => this.#dispatch(entry),
-      notStarted: () => this.#advance(entry, { type: "not_started" }),
+      tryDispatch: () => this.#dispatch(entry),
+      recordNotStarted: () => this.#advance(entry, { type: "not_started" }),
       complete: (result) => this.#advance(entry, { type: "complete", result }),
       giveUp: () => this.#advance(entry, { type: "give_up" }),
-      forget: () => {
+      discard: () => {
         if (entry.attempt.phase !== "unresolved") return;
         this.#entries.delete(operationId);
       },
@@ -122,15 +122,15 @@
   }
 
   /**
-   * Reads whether another operation holds a key or has completed it, before a
-   * claim is made; undefined when not.
+   * Reads whether another operation holds or has completed a key, before a
+   * claim is written; undefined when neither.
    */
-  async lookAhead(asked: {
+  async readSettlement(query: {
     readonly accountId: string;
     readonly idempotencyKey: string;
     readonly bodyHash: string;
   }): Promise<ClaimSettlement | "unavailable" | undefined> {
-    const key = claimKey(asked.accountId, asked.idempotencyKey);
+    const key = claimKey(query.accountId, query.idempotencyKey);
     try {
       const rows = await this.#options.table.read([{
         table: CLAIMS_TABLE,
@@ -143,7 +143,7 @@
         operationId: "",
         daemon: "",
         requestId: "",
-        bodyHash: asked.bodyHash,
+        bodyHash: query.bodyHash,
       });
       return isSettlement(decision) ? decision : undefined;
     } catch {
@@ -151,8 +151,8 @@
     }
   }
 
-  /** What this daemon says of an operation when another one asks. */
-  describe(operationId: string): OwnerAnswer {
+  /** Answers another daemon's query about an operation. */
+  describeOperation(operationId: string): OwnerAnswer {
     const phase = this.#entries.get(operationId)?.attempt.phase;
     const runs = phase === "owned" || phase === "dispatched" ||
       phase === "completing" || phase === "pending" || phase === "unknown";
@@ -167,10 +167,10 @@
   }
 
   #advance(entry: ClaimEntry, event: ClaimAttemptEvent): void {
-    this.#follow(entry, advanceClaim(entry.attempt, event));
+    this.#applyStep(entry, advanceClaim(entry.attempt, event));
   }
 
-  #follow(entry: ClaimEntry, step: ClaimAttemptStep): void {
+  #applyStep(entry: ClaimEntry, step: ClaimAttemptStep): void {
     entry.attempt = step.attempt;
     for (const action of step.actions) {
       this.#actions[action.type](entry, action as never);
@@ -193,8 +193,7 @@
     resend_later: (entry) => this.#resendLater(entry),
     run: (entry) => entry.listener.onRun(),
     settle: (entry, { decision }) => entry.listener.onSettled(decision),
-    // The caller is answered by the request itself, which gave up or was
-    // settled; the attempt only agrees with it.
+    // The request that gave up or was settled answers its caller itself.
     refuse: () => {},
     finish: (entry) => {
       this.#entries.delete(entry.attempt.identity.operationId);
@@ -205,11 +204,11 @@
     if (this.#isClosed) return;
     const { timer, random } = this.#options;
     const ceiling = Math.min(
-      RESEND_LIMIT_MILLISECONDS,
-      RESEND_MILLISECONDS * 2 ** Math.min(entry.resends++, 10),
+      RESEND_MAXIMUM_MILLISECONDS,
+      RESEND_BASE_MILLISECONDS * 2 ** Math.min(entry.resends++, 10),
     );
-    // Full jitter, so that a store that comes back does not meet every
-    // daemon's claims at one moment.
+    // Jitter, so that a recovering store doesn't receive the claims of all
+    // daemons at once.
     const wait = ceiling * (0.5 + random.next() / 2);
     timer.registerTimeout(
       () => this.#advance(entry, { type: "resend" }),
@@ -254,17 +253,17 @@
   }
 
   /**
-   * Asks the table by reads of the daemon's own while it is down. Were the
-   * next caller's request the probe, that caller would pay for it.
+   * Probes the table with dedicated reads while it is down, so that no
+   * caller's request serves as the probe and waits for its timeout.
    */
   #probeWhileDown(): void {
     if (this.#isClosed || this.#isProbing || this.#health.isUsable) return;
     this.#isProbing = true;
     const { table, timer, random } = this.#options;
-    const wait = PROBE_MILLISECONDS * (0.5 + random.next());
+    const wait = PROBE_INTERVAL_MILLISECONDS * (0.5 + random.next());
     timer.registerTimeout(() => {
       table.read([{ table: CLAIMS_TABLE, key: "probe" }]).then(
-        () => this.#health.succeed(),
+        () => this.#health.recordSuccess(),
         () => {},
       ).finally(() => {
         this.#isProbing = false;
@@ -276,14 +275,14 @@
   async #write(batch: ClaimBatch): Promise<ClaimTransactionOutcome> {
     try {
       const answer = await this.#options.table.commit(batch.transaction);
-      this.#health.succeed();
+      this.#health.recordSuccess();
       return answer;
     } catch (thrown) {
-      this.#health.fail();
+      this.#health.recordFailure();
       this.#probeWhileDown();
       const error = toKelpsparError(thrown, "write_unknown");
-      this.#options.log.warn("Claims not written", errorDetails(error));
-      // Only the table's own word proves that nothing was written.
+      this.#options.log.warn("failed to write claims", errorDetails(error));
+      // Only an explicit answer of the table proves that nothing was written.
       return error.result === "table_unavailable" ? "unavailable" : "unknown";
     }
   }
--- a/packages/kelpspar-daemon/src/claims/store_health.ts
+++ b/packages/kelpspar-daemon/src/claims/store_health.ts
@@ -1,10 +1,9 @@
 const FAILURES_UNTIL_DOWN = 3;
 
 /**
- * Tells whether the table is worth asking. What goes wrong otherwise: during
- * an outage every request that needs a claim waits for its own timeout before
- * it is refused. After a few failures in a row requests are refused at once,
- * until a read of the daemon's own is answered.
+ * Circuit breaker for the table. Without it every request that needs a claim
+ * would wait for its own timeout during an outage. After a few consecutive
+ * failures requests are refused at once, until a probe read succeeds.
  */
 export class StoreHealth {
   #failures = 0;
@@ -13,11 +12,11 @@
     return this.#failures < FAILURES_UNTIL_DOWN;
   }
 
-  succeed(): void {
+  recordSuccess(): void {
     this.#failures = 0;
   }
 
-  fail(): void {
+  recordFailure(): void {
     this.#failures++;
   }
 }
--- a/packages/kelpspar-daemon/src/create_core.ts
+++ b/packages/kelpspar-daemon/src/create_core.ts
@@ -7,7 +7,7 @@
 import { ConfigurationKeeper } from "./configuration/configuration_keeper.ts";
 import { ConfigurationStore } from "./configuration/configuration_store.ts";
 import { createRequestParts } from "./create_request_parts.ts";
-import { EndpointWatch } from "./endpoints/endpoint_monitor.ts";
+import { EndpointMonitor } from "./endpoints/endpoint_monitor.ts";
 import { Fleet } from "./fleet/fleet.ts";
 import { DaemonMetrics } from "./metrics/daemon_metrics.ts";
 import { RequestMetrics } from "./metrics/request_metrics.ts";
@@ -34,7 +34,7 @@
   readonly scheduler: FairScheduler;
   readonly registry: RequestRegistry;
   readonly ledger: KeyLedger;
-  readonly watch: EndpointWatch;
+  readonly watch: EndpointMonitor;
   readonly fleet: Fleet;
   readonly metrics: DaemonMetrics;
   readonly requestMetrics: RequestMetrics;
@@ -97,7 +97,7 @@
     onWait: (request, milliseconds) =>
       requestMetrics.onWait(request, milliseconds),
   });
-  const watch = new EndpointWatch({
+  const watch = new EndpointMonitor({
     daemonId,
     availabilityZone,
     state,
--- a/packages/kelpspar-daemon/src/create_request_parts.ts
+++ b/packages/kelpspar-daemon/src/create_request_parts.ts
@@ -2,7 +2,7 @@
 import type { ConfigurationKeeper } from "./configuration/configuration_keeper.ts";
 import type { Fleet } from "./fleet/fleet.ts";
 import type { RequestMetrics } from "./metrics/request_metrics.ts";
-import type { AskHolder } from "./requests/resolve_settlement.ts";
+import type { ClaimHolderQuery } from "./requests/resolve_settlement.ts";
 import type { DecisionParts } from "./scheduling/decision_parts.ts";
 import type { FairScheduler } from "./scheduling/fair_scheduler.ts";
 import type { Settings } from "./settings/settings_schema.ts";
@@ -10,10 +10,10 @@
 import type { KeyLedger } from "kelpspar-decisions/claims";
 import { ClaimService } from "./claims/claim_service.ts";
 import { errorDetails } from "./log/daemon_log.ts";
-import { ArrivalCheck } from "./requests/request_admission.ts";
+import { RequestAdmission } from "./requests/request_admission.ts";
 import { KeyLookup } from "./requests/key_lookup.ts";
 import { PipelineRunner } from "./requests/pipeline_runner.ts";
-import { RecordGaps } from "./requests/record_gap_estimator.ts";
+import { RecordGapEstimator } from "./requests/record_gap_estimator.ts";
 import { RequestKeys } from "./requests/request_keys.ts";
 import { RequestRegistry } from "./requests/request_registry.ts";
 import { RequestService } from "./requests/request_service.ts";
@@ -39,7 +39,7 @@
   readonly claims: ClaimService;
   readonly requests: RequestService;
   readonly lookup: KeyLookup;
-  readonly arrivals: ArrivalCheck;
+  readonly arrivals: RequestAdmission;
 }
 
 /** Creates the parts that run requests. */
@@ -57,7 +57,7 @@
     endpoints: ports.endpoints,
     scheduler: options.scheduler,
     parts: options.parts,
-    gaps: new RecordGaps(),
+    recordGaps: new RecordGapEstimator(),
     timer,
     random,
     observer: metrics,
@@ -65,9 +65,12 @@
       log.warn("Foreign record dropped", { requestId, attemptId }),
   });
   const keys = new RequestKeys({ ledger: options.ledger, timer });
-  const askHolder = (accountId: string, idempotencyKey: string): AskHolder =>
+  const askHolder = (
+    accountId: string,
+    idempotencyKey: string,
+  ): ClaimHolderQuery =>
     createAskHolder(options, { accountId, idempotencyKey });
-  const arrivals = new ArrivalCheck({
+  const arrivals = new RequestAdmission({
     admission: options.parts.admission,
     scheduler: options.scheduler,
     registry,
@@ -83,8 +86,8 @@
     registry,
     keys,
     claims,
-    arrivals,
-    askHolder: ({ account, request }) =>
+    admission: arrivals,
+    createHolderQuery: ({ account, request }) =>
       askHolder(account.id, request.idempotencyKey ?? ""),
     incarnation: options.incarnation,
     timer,
@@ -107,7 +110,7 @@
     keys,
     registry,
     table,
-    askHolder,
+    createHolderQuery: askHolder,
     incarnation: options.incarnation,
   });
   return { claims, requests, lookup, arrivals };
@@ -116,7 +119,7 @@
 function createAskHolder(
   options: RequestPartsOptions,
   name: { readonly accountId: string; readonly idempotencyKey: string },
-): AskHolder {
+): ClaimHolderQuery {
   return async ({ daemon, operationId }) => {
     const peer = options.fleet.findIncarnation(daemon);
     if (peer === undefined) return { type: "silent" };
--- a/packages/kelpspar-daemon/src/endpoints/endpoint_monitor.ts
+++ b/packages/kelpspar-daemon/src/endpoints/endpoint_monitor.ts
@@ -15,11 +15,11 @@
 import { KelpsparError } from "kelpspar-shared";
 import { toEndpointAddress } from "./to_endpoint_address.ts";
 
-const NEWS_MILLISECONDS = 2_000;
-const NEWS_AGAIN_MILLISECONDS = 20_000;
+const FULL_REPORT_MILLISECONDS = 2_000;
+const FULL_REPORT_INTERVAL_MILLISECONDS = 20_000;
 
-/** What the watch of endpoints works on. */
-export interface EndpointWatchOptions {
+/** Options of `EndpointMonitor`. */
+export interface EndpointMonitorOptions {
   readonly daemonId: string;
   readonly availabilityZone: string;
   readonly state: StateStore<DaemonState>;
@@ -27,53 +27,53 @@
   readonly parts: DecisionParts;
   readonly endpoints: EndpointClient;
   readonly timer: TimerService;
-  /** The other daemons that share the watch. */
+  /** The other daemons that share the polling. */
   readonly members: () => readonly Member[];
 }
 
-interface PublishedShape {
-  readonly shape: string;
+interface PublishedDescription {
+  readonly description: string;
   readonly since: number;
 }
 
-/** A report and when it was made. */
-export interface KnownReport {
+/** A load report and when it was made. */
+export interface TimestampedReport {
   readonly report: LoadReport;
   /** Monotonic milliseconds. */
   readonly at: number;
 }
 
-/** The part of a digest that is about endpoints. */
-export type PublishedLoads = Pick<
+/** The endpoint fields of a digest. */
+export type LoadDigest = Pick<
   PeerDigest["member"],
   "loads" | "changedReports" | "suspectEndpoints"
 >;
 
 /**
- * Follows the endpoints: who is there, how loaded they are, what their caches
- * hold. Beyond a few endpoints and daemons each is asked by two daemons only,
- * and the others learn of it by digests, so that what an endpoint is asked
- * does not grow with the fleet.
+ * Monitors the endpoints: which exist, their load, and the contents of their
+ * caches. Beyond a few endpoints and daemons only two daemons poll each
+ * endpoint and the others receive its reports in digests, so that the polling
+ * load of an endpoint doesn't grow with the fleet.
  */
-export class EndpointWatch {
-  readonly #options: EndpointWatchOptions;
-  readonly #reports = new Map<string, KnownReport>();
-  readonly #published = new Map<string, PublishedShape>();
-  #assignedTo = "";
-  readonly #busy = new Set<string>();
-  #watches: readonly WatchAssignment[] = [];
+export class EndpointMonitor {
+  readonly #options: EndpointMonitorOptions;
+  readonly #reports = new Map<string, TimestampedReport>();
+  readonly #published = new Map<string, PublishedDescription>();
+  #assignedMembers = "";
+  readonly #pollsInFlight = new Set<string>();
+  #pollAssignments: readonly WatchAssignment[] = [];
 
-  constructor(options: EndpointWatchOptions) {
+  constructor(options: EndpointMonitorOptions) {
     this.#options = options;
   }
 
-  /** An endpoint's last report and when it was made, if there is one. */
-  reportOf(endpointId: string): KnownReport | undefined {
+  /** An endpoint's last report; undefined without one. */
+  reportOf(endpointId: string): TimestampedReport | undefined {
     return this.#reports.get(endpointId);
   }
 
-  /** Takes in the VM list and the operators' drains. */
-  replaceList(): void {
+  /** Applies the VM list and the operators' drains. */
+  applyVmList(): void {
     const { state, parts, timer } = this.#options;
     const { vms, drains, takenOut } = state.read();
     const listed = vms.filter((vm) => vm.kind === "endpoint");
@@ -92,53 +92,58 @@
     this.#assign();
   }
 
-  /** Asks every endpoint that this daemon watches. */
+  /** Polls every endpoint assigned to this daemon. */
   poll(): void {
-    if (this.#liveMembers() !== this.#assignedTo) this.#assign();
-    for (const { endpointId } of this.#watches) {
+    if (this.#liveMemberIds() !== this.#assignedMembers) this.#assign();
+    for (const { endpointId } of this.#pollAssignments) {
       const entry = this.#options.parts.registry.entryOf(endpointId);
-      if (entry !== undefined) void this.#ask(entry.address);
+      if (entry !== undefined) void this.#pollEndpoint(entry.address);
     }
   }
 
-  /** Asks again those that are in doubt, and compares latencies. */
+  /** Polls the endpoints due for a probe and ejects latency outliers. */
   probe(): void {
     const { registry } = this.#options.parts;
     const now = this.#options.timer.now();
-    for (const address of registry.probesDue(now)) void this.#ask(address);
+    for (const address of registry.probesDue(now)) {
+      void this.#pollEndpoint(address);
+    }
     registry.ejectLatencyOutliers(now);
   }
 
-  /** Takes in what a peer says of the endpoints that it watches. */
-  heardLoads(
+  /** Applies a peer's reports of the endpoints that it polls. */
+  applyPeerLoads(
     digest: Pick<DaemonDigest, "loads" | "changedReports">,
   ): void {
     const now = this.#options.timer.now();
     for (
       const { endpointId, report, ageMilliseconds } of digest.changedReports
     ) {
-      this.#takeRelayed(endpointId, { report, at: now - ageMilliseconds });
+      this.#applyRelayedReport(endpointId, {
+        report,
+        at: now - ageMilliseconds,
+      });
     }
     const { loads } = digest;
     for (const [index, endpointId] of loads.endpointIds.entries()) {
-      const known = this.#reports.get(endpointId);
-      if (known === undefined) continue;
+      const timestamped = this.#reports.get(endpointId);
+      if (timestamped === undefined) continue;
       const report = {
-        ...known.report,
+        ...timestamped.report,
         sequence: loads.sequences[index] ?? 0,
         running: loads.running[index] ?? 0,
         waiting: loads.waiting[index] ?? 0,
         accepted: loads.accepted[index] ?? 0,
       };
       const at = now - (loads.agesMilliseconds[index] ?? 0);
-      this.#takeRelayed(endpointId, { report, at });
+      this.#applyRelayedReport(endpointId, { report, at });
     }
   }
 
-  /** What this daemon's digest says of endpoints. */
-  publishLoads(): PublishedLoads {
+  /** Creates the endpoint fields of this daemon's digest. */
+  createLoadDigest(): LoadDigest {
     const now = this.#options.timer.now();
-    const loads: PublishedLoads["loads"] = {
+    const loads: LoadDigest["loads"] = {
       endpointIds: [],
       sequences: [],
       running: [],
@@ -146,13 +151,13 @@
       accepted: [],
       agesMilliseconds: [],
     };
-    const changedReports: PublishedLoads["changedReports"] = [];
-    for (const { endpointId, publishes } of this.#watches) {
-      const known = this.#reports.get(endpointId);
-      if (!publishes || known === undefined) continue;
-      const { report, at } = known;
+    const changedReports: LoadDigest["changedReports"] = [];
+    for (const { endpointId, publishes } of this.#pollAssignments) {
+      const timestamped = this.#reports.get(endpointId);
+      if (!publishes || timestamped === undefined) continue;
+      const { report, at } = timestamped;
       const ageMilliseconds = Math.round(now - at);
-      if (this.#isNews(endpointId, report)) {
+      if (this.#needsFullReport(endpointId, report)) {
         changedReports.push({
           endpointId,
           report: copyReport(report),
@@ -171,65 +176,73 @@
   }
 
   /**
-   * True while a report must travel whole: for a while after it changed, since
-   * a digest may be lost, and now and then for peers that came later.
+   * True while a report must be sent in full: for some time after a change,
+   * because a digest may be lost, and periodically for peers that joined later.
    */
-  #isNews(endpointId: string, report: LoadReport): boolean {
+  #needsFullReport(endpointId: string, report: LoadReport): boolean {
     const now = this.#options.timer.now();
-    const shape = shapeOf(report);
-    const known = this.#published.get(endpointId);
-    if (known?.shape !== shape || now - known.since > NEWS_AGAIN_MILLISECONDS) {
-      this.#published.set(endpointId, { shape, since: now });
+    const description = descriptionOf(report);
+    const published = this.#published.get(endpointId);
+    if (
+      published?.description !== description ||
+      now - published.since > FULL_REPORT_INTERVAL_MILLISECONDS
+    ) {
+      this.#published.set(endpointId, { description, since: now });
       return true;
     }
-    return now - known.since < NEWS_MILLISECONDS;
+    return now - published.since < FULL_REPORT_MILLISECONDS;
   }
 
-  #takeRelayed(endpointId: string, known: KnownReport): void {
+  #applyRelayedReport(
+    endpointId: string,
+    timestamped: TimestampedReport,
+  ): void {
     const { parts, timer } = this.#options;
     const before = this.#reports.get(endpointId)?.report;
-    const isOld = before?.incarnation === known.report.incarnation &&
-      before.sequence >= known.report.sequence;
-    if (isOld) return;
-    this.#reports.set(endpointId, known);
+    const isStale = before?.incarnation === timestamped.report.incarnation &&
+      before.sequence >= timestamped.report.sequence;
+    if (isStale) return;
+    this.#reports.set(endpointId, timestamped);
     const now = timer.now();
     parts.registry.report({
       endpointId,
-      report: known.report,
+      report: timestamped.report,
       now,
-      relayedMilliseconds: now - known.at,
+      relayedMilliseconds: now - timestamped.at,
     });
   }
 
-  #liveMembers(): string {
-    return this.#options.members().filter((one) => one.state === "live")
-      .map((one) => one.daemonId).join();
+  #liveMemberIds(): string {
+    return this.#options.members().filter((member) => member.state === "live")
+      .map((member) => member.daemonId).join();
   }
 
   #assign(): void {
-    this.#assignedTo = this.#liveMembers();
+    this.#assignedMembers = this.#liveMemberIds();
     const { daemonId, availabilityZone, state, members } = this.#options;
-    this.#watches = assignWatches({
+    this.#pollAssignments = assignWatches({
       self: { id: daemonId, availabilityZone },
-      others: members().filter((one) => one.state === "live").map((one) => ({
-        id: one.daemonId,
-        availabilityZone: one.availabilityZone,
+      others: members().filter((member) => member.state === "live").map((
+        member,
+      ) => ({
+        id: member.daemonId,
+        availabilityZone: member.availabilityZone,
       })),
       endpoints: state.read().vms.filter((vm) => vm.kind === "endpoint"),
     });
   }
 
-  async #ask(address: EndpointAddress): Promise<void> {
+  async #pollEndpoint(address: EndpointAddress): Promise<void> {
     const { endpointId } = address;
-    if (this.#busy.has(endpointId)) return;
-    this.#busy.add(endpointId);
+    if (this.#pollsInFlight.has(endpointId)) return;
+    this.#pollsInFlight.add(endpointId);
     const { parts, endpoints, timer } = this.#options;
     try {
       const report = await endpoints.load(address);
       const now = timer.now();
       this.#reports.set(endpointId, { report, at: now });
       parts.registry.report({ endpointId, report, now, direct: true });
-      await this.#followCache(address);
+      await this.#updatePrefixIndex(address);
     } catch (thrown) {
       const isRefused = thrown instanceof KelpsparError &&
         thrown.result === "endpoint_refused";
@@ -239,12 +252,12 @@
         at: timer.now(),
       });
     } finally {
-      this.#busy.delete(endpointId);
+      this.#pollsInFlight.delete(endpointId);
     }
   }
 
-  /** A lost event costs only time, so that its failure is no probe's failure. */
-  async #followCache(address: EndpointAddress): Promise<void> {
+  /** A lost cache event only costs latency, so a failure isn't a failed probe. */
+  async #updatePrefixIndex(address: EndpointAddress): Promise<void> {
     const { parts, endpoints, configuration } = this.#options;
     const service = configuration.services().get(address.service);
     if (service?.kind !== "engine") return;
@@ -261,8 +274,8 @@
   }
 }
 
-/** What must travel whole when it changes. */
-function shapeOf(report: LoadReport): string {
+/** The fields of a report whose change requires sending it in full. */
+function descriptionOf(report: LoadReport): string {
   const { incarnation, state, concurrency, models, adapters, role } = report;
   return JSON.stringify([
     incarnation,
@@ -276,7 +289,7 @@
 
 function copyReport(
   report: LoadReport,
-): PublishedLoads["changedReports"][number]["report"] {
+): LoadDigest["changedReports"][number]["report"] {
   return {
     ...report,
     models: { ...report.models },
--- a/packages/kelpspar-daemon/src/endpoints/to_endpoint_address.ts
+++ b/packages/kelpspar-daemon/src/endpoints/to_endpoint_address.ts
@@ -1,7 +1,7 @@
 import type { ListedVm } from "kelpspar-backends";
 import type { EndpointAddress } from "kelpspar-shared";
 
-/** An endpoint's address as calls need it. */
+/** Converts a VM list entry to the address used for calls. */
 export function toEndpointAddress(vm: ListedVm): EndpointAddress {
   return {
     endpointId: vm.id,
--- a/packages/kelpspar-daemon/src/fleet/fleet.ts
+++ b/packages/kelpspar-daemon/src/fleet/fleet.ts
@@ -103,7 +103,7 @@
     } else {
       for (const demand of digest.demands) parts.fleet.accept(demand, now);
     }
-    watch.heardLoads(digest.member);
+    watch.applyPeerLoads(digest.member);
   }
 
   /** The digest of this interval; every peer gets the same one. */
@@ -135,7 +135,7 @@
         keyEpoch: options.keyEpoch(),
         revision: options.revision(),
         spareShare: options.spareShare(),
-        ...options.watch.publishLoads(),
+        ...options.watch.createLoadDigest(),
         usage: { accountIds: [], costs: [] },
       },
       drains: copyDrains(drains),
--- a/packages/kelpspar-daemon/src/fleet/fleet_options.ts
+++ b/packages/kelpspar-daemon/src/fleet/fleet_options.ts
@@ -1,5 +1,5 @@
 import type { RandomSource, TimerService } from "kelpspar-shared";
-import type { EndpointWatch } from "../endpoints/endpoint_monitor.ts";
+import type { EndpointMonitor } from "../endpoints/endpoint_monitor.ts";
 import type { DecisionParts } from "../scheduling/decision_parts.ts";
 import type { FairScheduler } from "../scheduling/fair_scheduler.ts";
 import type { DaemonState } from "../state/daemon_state.ts";
@@ -17,7 +17,7 @@
   readonly state: StateStore<DaemonState>;
   readonly parts: DecisionParts;
   readonly scheduler: FairScheduler;
-  readonly watch: EndpointWatch;
+  readonly watch: EndpointMonitor;
   readonly revision: () => number;
   readonly keyEpoch: () => number;
   /** Share of the requests it may run that are free, 0 to 1. */
--- a/packages/kelpspar-daemon/src/front/caller_routes.ts
+++ b/packages/kelpspar-daemon/src/front/caller_routes.ts
@@ -12,8 +12,8 @@
 import type { HttpExchange } from "./http_exchange.ts";
 import type { Route } from "./route.ts";
 import { KelpsparError, submitRequestSchema } from "kelpspar-shared";
-import { withoutProof } from "../requests/request_outcome.ts";
-import { toStoredAnswer } from "../requests/stored_answer.ts";
+import { withoutNotRun } from "../requests/request_outcome.ts";
+import { createStoredAnswer } from "../requests/stored_answer.ts";
 import { bearerKey } from "./bearer_key.ts";
 import { parseJsonBody, readBody } from "./read_json_body.ts";
 import { sendJson } from "./send_json.ts";
@@ -86,7 +86,7 @@
     // before can be, and the refusal must not deny it.
     const { resubmission } = await readSubmission(exchange, options);
     const error = noConfigurationError();
-    throw resubmission ? withoutProof(error) : error;
+    throw resubmission ? withoutNotRun(error) : error;
   }
   // Keys are checked by the revision that is on its way, not by the one before.
   await options.whenSettled();
@@ -153,7 +153,7 @@
     follow(exchange, options, { context: found.context, offset: 0 });
     return;
   }
-  const stored = toStoredAnswer(found.result);
+  const stored = createStoredAnswer(found.result);
   streamAnswer(stored.log, exchange.response, {
     accepted: {
       type: "accepted",
@@ -181,7 +181,7 @@
     offset,
     timer: options.timer,
   });
-  response.on("close", () => options.requests.readerLeft(context));
+  response.on("close", () => options.requests.onReaderDisconnected(context));
 }
 
 function authenticate(
--- a/packages/kelpspar-daemon/src/orders/engine_group_options.ts
+++ b/packages/kelpspar-daemon/src/orders/engine_group_options.ts
@@ -4,7 +4,7 @@
   WeightStore,
 } from "kelpspar-backends";
 import type { TimerService } from "kelpspar-shared";
-import type { EndpointWatch } from "../endpoints/endpoint_monitor.ts";
+import type { EndpointMonitor } from "../endpoints/endpoint_monitor.ts";
 import type { DaemonLog } from "../log/daemon_log.ts";
 import type { DrainStore } from "../operators/drain_store.ts";
 import type { Drains } from "../operators/drains.ts";
@@ -21,7 +21,7 @@
   readonly state: StateStore<DaemonState>;
   readonly configuration: ConfigurationIndexReader;
   readonly parts: DecisionParts;
-  readonly watch: EndpointWatch;
+  readonly watch: EndpointMonitor;
   readonly endpoints: EndpointClient;
   readonly table: TableService;
   readonly weightStore: WeightStore;
--- a/packages/kelpspar-daemon/src/requests/answer_log.ts
+++ b/packages/kelpspar-daemon/src/requests/answer_log.ts
@@ -7,15 +7,15 @@
 export type FinalRecord = EndRecord | FailureRecord;
 
 /**
- * The text of one answer as it grows, and its final record. Any number of
- * readers follow it from any offset, so a caller whose connection went silent
- * attaches again and misses nothing.
+ * Append-only log of one answer's text, with its final record. Any number of
+ * readers read it from any offset, so a caller can reattach after a broken
+ * connection without losing text.
  */
 export class AnswerLog {
   readonly #chunks: ChunkRecord[] = [];
   readonly #listeners = new Set<() => void>();
   #length = 0;
-  #heldBack = "";
+  #pendingSurrogate = "";
   #checksum = 0;
   #final: FinalRecord | undefined;
 
@@ -33,57 +33,61 @@
     return this.#final;
   }
 
-  /** How many readers follow the answer. */
+  /** Number of attached readers. */
   get readers(): number {
     return this.#listeners.size;
   }
 
   /**
-   * Adds text. What goes wrong otherwise: an endpoint splits a character that
-   * takes two units between two pieces; half of it has no UTF-8 form, so the
-   * checksum differs from the caller's. The first half waits for the second.
+   * Appends text. An endpoint may split a surrogate pair between two pieces.
+   * Half a pair has no UTF-8 encoding, so the checksum would differ from the
+   * caller's; a trailing high surrogate is held until the next piece arrives.
    */
   append(text: string): void {
     if (this.#final !== undefined) return;
-    const whole = this.#heldBack + text;
-    this.#heldBack = HIGH_SURROGATE_AT_END.test(whole) ? whole.slice(-1) : "";
-    this.#add(whole.slice(0, whole.length - this.#heldBack.length));
+    const pendingText = this.#pendingSurrogate + text;
+    this.#pendingSurrogate = HIGH_SURROGATE_AT_END.test(pendingText)
+      ? pendingText.slice(-1)
+      : "";
+    this.#appendChunk(
+      pendingText.slice(0, pendingText.length - this.#pendingSurrogate.length),
+    );
   }
 
-  /** Says that no more text comes. */
+  /** Appends a pending surrogate; no more text follows. */
   complete(): void {
-    const rest = this.#heldBack;
-    this.#heldBack = "";
-    this.#add(rest);
+    const rest = this.#pendingSurrogate;
+    this.#pendingSurrogate = "";
+    this.#appendChunk(rest);
   }
 
-  #add(text: string): void {
+  #appendChunk(text: string): void {
     if (text === "") return;
     this.#chunks.push({ type: "chunk", offset: this.#length, text });
     this.#length += text.length;
     this.#checksum = extendChecksum(this.#checksum, text);
-    this.#wake();
+    this.#notifyListeners();
   }
 
   /** Ends the answer; only the first final record counts. */
   finish(final: FinalRecord): void {
     if (this.#final !== undefined) return;
     this.#final = final;
-    this.#wake();
+    this.#notifyListeners();
   }
 
-  /** Tells `listener` of each change; returns the teardown. */
+  /** Calls `listener` on each change; returns the teardown. */
   registerListener(listener: () => void): () => void {
     this.#listeners.add(listener);
     return () => this.#listeners.delete(listener);
   }
 
-  /** The whole text so far. */
+  /** The text so far. */
   text(): string {
     return this.#chunks.map((chunk) => chunk.text).join("");
   }
 
-  /** The chunks from `offset` on; the first may be cut to start there. */
+  /** The chunks from `offset` on; the first is truncated to start there. */
   readFrom(offset: number): readonly ChunkRecord[] {
     const start = this.#findChunk(offset);
     const chunks = this.#chunks.slice(start);
@@ -109,7 +113,7 @@
     return low;
   }
 
-  #wake(): void {
+  #notifyListeners(): void {
     for (const listener of this.#listeners) listener();
   }
 }
--- a/packages/kelpspar-daemon/src/requests/call_attempt.ts
+++ b/packages/kelpspar-daemon/src/requests/call_attempt.ts
@@ -22,23 +22,23 @@
   endpoint_failed: "failed",
 };
 
-/** A call as made, and how it ended. */
-export interface AttemptEnd {
+/** Result of one call. */
+export interface AttemptResult {
   readonly attemptId: string;
   readonly end?: StageEndRecord;
   readonly error?: KelpsparError;
-  /** The first record came after so many milliseconds; absent without one. */
+  /** Time to the first record, milliseconds; absent without a record. */
   readonly firstRecordMilliseconds?: number;
   readonly milliseconds: number;
-  /** False when a probe said that the endpoint is not to be used. */
+  /** False when a probe decided against resuming at the endpoint. */
   readonly mayResume: boolean;
 }
 
 /**
- * Makes one call and writes down what it proves. The proof is noted as missing
- * before the first byte can leave, and put right only by the endpoint's word
- * or a refused connection, so that a request that fails in between is never
- * said not to have run.
+ * Makes one call and records what it proves. The proof is recorded as `unproved`
+ * before the first byte can be sent, and replaced only on the endpoint's own
+ * failure record or a refused connection, so that a request that fails in
+ * between is never reported as `not_run`.
  */
 export async function callAttempt(
   services: StageServices,
@@ -48,7 +48,7 @@
     /** Aborting it cancels this attempt alone. */
     readonly abort: AbortController;
   },
-): Promise<AttemptEnd> {
+): Promise<AttemptResult> {
   const { plan, abort } = options;
   const { timer } = services;
   const { trace } = task;
@@ -68,7 +68,7 @@
     progressTimeoutMilliseconds: task.service.progressTimeoutMilliseconds,
     startedAt,
   });
-  const describe = (): Omit<AttemptEnd, "end" | "error"> => ({
+  const describeAttempt = (): Omit<AttemptResult, "end" | "error"> => ({
     attemptId,
     mayResume,
     milliseconds: timer.now() - startedAt,
@@ -86,8 +86,9 @@
       progress: plan.progress,
       timer,
       watch,
-      gapMilliseconds: () => services.gaps.p99(task.service.id, timer.now()),
-      judgeSilence: () =>
+      p99GapMilliseconds: () =>
+        services.recordGaps.p99(task.service.id, timer.now()),
+      evaluateSilence: () =>
         probeSilence(services, { watch, endpoint: plan.permit.endpoint }),
       onSilent: (verdict) => {
         mayResume = verdict?.call === "resume_here";
@@ -100,34 +101,34 @@
         firstRecordAt ??= now;
         if (lastRecordAt !== undefined) {
           const milliseconds = now - lastRecordAt;
-          services.gaps.observe(task.service.id, { milliseconds, now });
+          services.recordGaps.observe(task.service.id, { milliseconds, now });
         }
         lastRecordAt = now;
         plan.permit.progress();
       },
     });
-    return { ...describe(), end };
+    return { ...describeAttempt(), end };
   } catch (thrown) {
     const error = toKelpsparError(thrown, "endpoint_failed");
     trace.dispatches[proof] = proofOf(error);
-    return { ...describe(), error };
+    return { ...describeAttempt(), error };
   }
 }
 
-/** Releases an attempt's permit and takes in what the attempt taught. */
+/** Releases an attempt's permit and records its outcome, latency and cost. */
 export function settleAttempt(
   services: StageServices,
   task: StageTask,
   settled: {
     readonly plan: AttemptPlan;
-    readonly attempt: AttemptEnd;
-    /** True when the result was not wanted any more. */
+    readonly attempt: AttemptResult;
+    /** True when the result was no longer needed. */
     readonly isCancelled: boolean;
   },
 ): void {
   const { plan, attempt } = settled;
   const { end } = attempt;
-  const outcome = outcomeOf(settled);
+  const outcome = callOutcomeOf(settled);
   const isStream = task.service.kind === "engine";
   const latency = isStream
     ? attempt.firstRecordMilliseconds ?? attempt.milliseconds
@@ -160,14 +161,14 @@
 }
 
 /**
- * An engine goes on with an attempt for a while after its connection broke;
- * one that is not wanted any more is told so, or it would cost runner time.
+ * An engine continues an attempt for a while after its connection broke.
+ * Cancelling an attempt that is no longer needed saves runner time.
  */
 function cancelAtEndpoint(
   services: StageServices,
   settled: {
     readonly plan: AttemptPlan;
-    readonly attempt: AttemptEnd;
+    readonly attempt: AttemptResult;
     readonly isCancelled: boolean;
   },
 ): void {
@@ -179,8 +180,8 @@
   );
 }
 
-function outcomeOf(settled: {
-  readonly attempt: AttemptEnd;
+function callOutcomeOf(settled: {
+  readonly attempt: AttemptResult;
   readonly isCancelled: boolean;
 }): CallOutcome {
   if (settled.isCancelled) return "cancelled";
--- a/packages/kelpspar-daemon/src/requests/check_request.ts
+++ b/packages/kelpspar-daemon/src/requests/check_request.ts
@@ -6,7 +6,7 @@
 import type { SubmitRequest } from "kelpspar-shared";
 import { KelpsparError } from "kelpspar-shared";
 
-/** A request that the configuration allows. */
+/** A request that passed the checks against the configuration in force. */
 export interface CheckedRequest {
   readonly account: AccountConfiguration;
   readonly pipeline: PipelineConfiguration;
--- a/packages/kelpspar-daemon/src/requests/claimed_once_guard.ts
+++ b/packages/kelpspar-daemon/src/requests/claimed_once_guard.ts
@@ -6,30 +6,30 @@
 import type { StoredResult } from "kelpspar-decisions/claims";
 import type { KelpsparError, TimerService } from "kelpspar-shared";
 
-const CONFIRM_LIMIT_MILLISECONDS = 800;
-const DOUBTFUL_LIMIT_MILLISECONDS = 150;
+const CONFIRM_TIMEOUT_MILLISECONDS = 800;
+const UNHEALTHY_STORE_TIMEOUT_MILLISECONDS = 150;
 
-/** What a claim is made for. */
+/** Options of `ClaimedOnceGuard`. */
 export interface ClaimedOnceGuardOptions {
   readonly claims: ClaimService;
   readonly context: RequestContext;
   readonly idempotencyKey: string;
   readonly daemon: string;
   readonly timer: TimerService;
-  /** The refusal of a request whose claim is not confirmed in time. */
+  /** Creates the error of a request whose claim is not confirmed in time. */
   readonly createStoreError: () => KelpsparError;
-  /** Told when another operation holds the key. */
+  /** Called when another operation holds the key. */
   readonly onSettled: (settlement: ClaimSettlement) => void;
 }
 
 /**
- * Guards a request by a claim in the table.
+ * Enforces at-most-once execution with a claim in the table.
  *
- * The claim is begun beside the stage before the first one that must run once:
- * late, because a daemon that dies holding a claim leaves its caller with
- * `outcome_unknown` although nothing ran; not later, because its round trip
- * then costs the request no time. A key that is claimed or done already is
- * noticed at the request's arrival by a read.
+ * The claim is written in parallel with the stage that precedes the first
+ * at-most-once stage. An earlier write would widen the window in which a dying
+ * daemon leaves its caller with `outcome_unknown` although nothing ran; a later
+ * one would add its round trip to the latency. A read on arrival detects a key
+ * that is already claimed or completed.
  */
 export class ClaimedOnceGuard implements OnceGuard {
   readonly #options: ClaimedOnceGuardOptions;
@@ -47,16 +47,16 @@
       this.#confirm = resolve;
       signal.addEventListener("abort", () => reject(signal.reason));
     });
-    // A request that fails before its first such stage never waits for it.
+    // A request that fails before its first at-most-once stage never awaits it.
     this.#confirmed.catch(() => {});
-    const isDoubtful = !options.claims.isStoreUsable();
-    const looked = this.#lookAhead(isDoubtful);
-    this.#ready = isDoubtful ? looked : Promise.resolve();
+    const isStoreUnhealthy = !options.claims.isStoreUsable();
+    const earlierClaimRead = this.#readEarlierClaim(isStoreUnhealthy);
+    this.#ready = isStoreUnhealthy ? earlierClaimRead : Promise.resolve();
   }
 
   /**
-   * While the store fails, nothing begins before it has answered: the stages
-   * before the claim would cost runner time for a request that is refused.
+   * While the store fails, no stage starts before the store has answered: the
+   * earlier stages would waste runner time on a request that is then refused.
    */
   async ready(): Promise<void> {
     await this.#ready;
@@ -66,7 +66,7 @@
   prepare(): void {
     if (this.#handle !== undefined || this.#isOver) return;
     const { claims, context, idempotencyKey, daemon } = this.#options;
-    const stopWaiting = this.#limitWaiting(CONFIRM_LIMIT_MILLISECONDS);
+    const stopTimeout = this.#startTimeout(CONFIRM_TIMEOUT_MILLISECONDS);
     this.#handle = claims.begin({
       accountId: context.account.id,
       idempotencyKey,
@@ -78,13 +78,13 @@
       },
       listener: {
         onRun: () => {
-          stopWaiting();
+          stopTimeout();
           this.#isConfirmed = true;
           this.#confirm();
         },
         onSettled: (settlement) => {
-          stopWaiting();
-          this.#settle(settlement);
+          stopTimeout();
+          this.#applySettlement(settlement);
         },
       },
     });
@@ -95,68 +95,70 @@
     return this.#confirmed;
   }
 
-  dispatch(): boolean {
-    return this.#handle?.dispatch() ?? false;
+  tryDispatch(): boolean {
+    return this.#handle?.tryDispatch() ?? false;
   }
 
-  notStarted(): void {
-    this.#handle?.notStarted();
+  recordNotStarted(): void {
+    this.#handle?.recordNotStarted();
   }
 
-  /** Keeps the result for retries. */
+  /** Stores the result for retries. */
   complete(result: StoredResult): void {
     this.#handle?.complete(result);
   }
 
-  /** Ends the request without a result: from here on it never dispatches. */
+  /** Ends the request without a result; no call is dispatched afterwards. */
   giveUp(): void {
     this.#isOver = true;
     this.#handle?.giveUp();
   }
 
-  /** Says that no result will come any more. */
-  forget(): void {
-    this.#handle?.forget();
+  /** Discards the claim's state; no result will follow. */
+  discard(): void {
+    this.#handle?.discard();
   }
 
   /**
-   * While the store fails, the look ahead decides: a store that does not
-   * answer it at once refuses the request, one that does goes on.
+   * While the store fails, this read decides: the request is refused unless the
+   * store answers within the timeout.
    */
-  async #lookAhead(isDoubtful: boolean): Promise<void> {
+  async #readEarlierClaim(isStoreUnhealthy: boolean): Promise<void> {
     const { claims, context, idempotencyKey, createStoreError } = this.#options;
-    const stopWaiting = isDoubtful
-      ? this.#limitWaiting(DOUBTFUL_LIMIT_MILLISECONDS)
+    const stopTimeout = isStoreUnhealthy
+      ? this.#startTimeout(UNHEALTHY_STORE_TIMEOUT_MILLISECONDS)
       : () => {};
-    const found = await claims.lookAhead({
+    const found = await claims.readSettlement({
       accountId: context.account.id,
       idempotencyKey,
       bodyHash: context.bodyHash,
     });
-    stopWaiting();
+    stopTimeout();
     if (found === "unavailable") {
-      const isRefused = isDoubtful && !this.#isConfirmed;
+      const isRefused = isStoreUnhealthy && !this.#isConfirmed;
       if (isRefused) context.abort.abort(createStoreError());
       return;
     }
-    if (found !== undefined && this.#handle === undefined) this.#settle(found);
+    if (found !== undefined && this.#handle === undefined) {
+      this.#applySettlement(found);
+    }
   }
 
-  #settle(settlement: ClaimSettlement): void {
+  #applySettlement(settlement: ClaimSettlement): void {
     if (this.#isOver) return;
     this.#isOver = true;
     this.#options.onSettled(settlement);
   }
 
   /**
-   * A store that does not answer would otherwise hold the request back until
-   * its deadline; it is told at once that it was not run, and when to return.
+   * Without this timeout an unresponsive store would block the request until
+   * its deadline. The error says that nothing ran and when to retry.
    */
-  #limitWaiting(milliseconds: number): () => void {
+  #startTimeout(milliseconds: number): () => void {
     const { context, timer, createStoreError } = this.#options;
     const { abort } = context;
     const stop = timer.registerTimeout(() => {
-      // A claim that was confirmed meanwhile needs no answer any more.
+      // A claim confirmed in the meantime needs no timeout.
       if (!this.#isConfirmed) abort.abort(createStoreError());
     }, milliseconds);
     abort.signal.addEventListener("abort", stop);
--- a/packages/kelpspar-daemon/src/requests/create_context.ts
+++ b/packages/kelpspar-daemon/src/requests/create_context.ts
@@ -3,7 +3,7 @@
 import { sha256 } from "kelpspar-shared";
 import { AnswerLog } from "./answer_log.ts";
 
-/** Creates the context of a request that arrived at `now`. */
+/** Creates the context of a request that arrived at `options.now`. */
 export function createContext(
   checked: CheckedRequest,
   options: {
@@ -28,7 +28,7 @@
     log: new AnswerLog(),
     mayRunElsewhere: request.resubmission,
     abort: new AbortController(),
-    expected: new Map(),
+    expectedCallTeardowns: new Map(),
     traces: new Map(),
   };
 }
--- a/packages/kelpspar-daemon/src/requests/final_records.ts
+++ b/packages/kelpspar-daemon/src/requests/final_records.ts
@@ -8,7 +8,7 @@
 } from "kelpspar-shared";
 import { costOf } from "./pipeline_runner.ts";
 
-/** The record that ends a whole answer. */
+/** Creates the record that ends a complete answer. */
 export function createEndRecord(
   context: RequestContext,
   now: number,
@@ -24,7 +24,7 @@
   };
 }
 
-/** The record that ends a request without a whole answer. */
+/** Creates the record that ends a request without a complete answer. */
 export function createFailureRecord(
   context: RequestContext,
   error: KelpsparError,
@@ -32,12 +32,12 @@
   return toFailureRecord(error, { requestId: context.requestId });
 }
 
-/** What is kept of an answer for a retry. */
+/** Creates the stored form of an answer, for retries with the same key. */
 export function createStoredResult(
   context: RequestContext,
-  kept: { readonly text: string; readonly limit: number },
+  options: { readonly text: string; readonly limit: number },
 ): StoredResult {
-  const { text, limit } = kept;
+  const { text, limit } = options;
   const checksum = formatChecksum(extendChecksum(0, text));
   const length = text.length;
   if (text.length > limit) return { tooLarge: true, checksum, length };
--- a/packages/kelpspar-daemon/src/requests/hedged_call.ts
+++ b/packages/kelpspar-daemon/src/requests/hedged_call.ts
@@ -1,41 +1,41 @@
 import type { PermitRequest } from "../scheduling/permit_request.ts";
-import type { AttemptEnd } from "./call_attempt.ts";
+import type { AttemptResult } from "./call_attempt.ts";
 import type { AttemptPlan } from "./attempt_plan.ts";
 import type { StageServices } from "./stage_services.ts";
 import type { StageTask } from "./stage_task.ts";
 import { callAttempt, settleAttempt } from "./call_attempt.ts";
 import { StageProgress } from "./stage_progress.ts";
 
-/** An attempt and the plan it was made by. */
+/** An attempt and its plan. */
 export interface PlannedAttempt {
   readonly plan: AttemptPlan;
-  readonly attempt: AttemptEnd;
+  readonly attempt: AttemptResult;
 }
 
-/** The first attempt, and what a second one would be permitted by. */
+/** The first attempt, and the permit request for a hedge. */
 export interface HedgedCallOptions {
   readonly plan: AttemptPlan;
   readonly permitRequest: PermitRequest;
 }
 
-interface HedgeStart {
-  /** The hedge once it began; undefined when the race ended without one. */
-  readonly started: Promise<Racer | undefined>;
-  /** The hedge if it has begun by now. */
-  readonly current: () => Racer | undefined;
+interface PendingHedge {
+  /** Resolves to the hedge, or to undefined when none was started. */
+  readonly started: Promise<RunningAttempt | undefined>;
+  /** The hedge if it has started. */
+  readonly current: () => RunningAttempt | undefined;
   readonly stop: () => void;
 }
 
-interface Racer {
+interface RunningAttempt {
   readonly plan: AttemptPlan;
   readonly abort: AbortController;
   readonly done: Promise<PlannedAttempt>;
 }
 
 /**
- * Makes a call, and a second one elsewhere when the first is later than the
- * policy says. The first to be whole wins; the other is cancelled, at once and
- * at its endpoint.
+ * Makes a call, and a hedge at another endpoint when the first exceeds the
+ * policy's hedge delay. The first complete attempt wins; the other is cancelled
+ * at once, locally and at its endpoint.
  */
 export class HedgedCall {
   readonly #services: StageServices;
@@ -52,15 +52,15 @@
     this.#options = options;
   }
 
-  /** Resolves to the attempt that counts; its permit is not yet released. */
+  /** Resolves to the winning attempt; its permit is not released yet. */
   async run(): Promise<PlannedAttempt> {
     const { parts, timer } = this.#services;
     const serviceId = this.#task.service.id;
     const startedAt = timer.now();
     parts.hedges.recordCall(serviceId, startedAt);
     const first = this.#start(this.#options.plan);
-    const hedge = this.#startHedgeWhenLate(startedAt);
-    const winner = await this.#race(first, hedge);
+    const hedge = this.#scheduleHedge(startedAt);
+    const winner = await this.#awaitWinner(first, hedge);
     hedge.stop();
     const isFirst = winner.plan === first.plan;
     parts.hedges.recordLatency(serviceId, {
@@ -73,47 +73,47 @@
     return winner;
   }
 
-  #start(plan: AttemptPlan): Racer {
+  #start(plan: AttemptPlan): RunningAttempt {
     const abort = new AbortController();
     const done = callAttempt(this.#services, this.#task, { plan, abort })
       .then((attempt) => ({ plan, attempt }));
     return { plan, abort, done };
   }
 
-  #startHedgeWhenLate(startedAt: number): HedgeStart {
+  #scheduleHedge(startedAt: number): PendingHedge {
     const { parts, timer } = this.#services;
     const { trace, service } = this.#task;
-    const after = trace.once || service.kind === "engine"
+    const hedgeDelay = trace.once || service.kind === "engine"
       ? undefined
       : parts.hedges.hedgeDelay(service.id, startedAt);
-    if (after === undefined) {
+    if (hedgeDelay === undefined) {
       const none = Promise.resolve(undefined);
       return { started: none, current: () => undefined, stop: () => {} };
     }
-    let resolveStarted = (_racer: Racer | undefined): void => {};
-    const started = new Promise<Racer | undefined>((resolve) => {
+    let resolveStarted = (_hedge: RunningAttempt | undefined): void => {};
+    const started = new Promise<RunningAttempt | undefined>((resolve) => {
       resolveStarted = resolve;
     });
     let isOver = false;
-    let racer: Racer | undefined;
+    let runningHedge: RunningAttempt | undefined;
     const stopTimer = timer.registerTimeout(() => {
-      void this.#tryHedge(startedAt, () => isOver).then((begun) => {
-        racer = begun;
-        resolveStarted(begun);
+      void this.#tryHedge(startedAt, () => isOver).then((hedge) => {
+        runningHedge = hedge;
+        resolveStarted(hedge);
       });
-    }, after);
+    }, hedgeDelay);
     const stop = (): void => {
       isOver = true;
       stopTimer();
       resolveStarted(undefined);
     };
-    return { started, current: () => racer, stop };
+    return { started, current: () => runningHedge, stop };
   }
 
   async #tryHedge(
     startedAt: number,
     isOver: () => boolean,
-  ): Promise<Racer | undefined> {
+  ): Promise<RunningAttempt | undefined> {
     const { parts, timer, scheduler, observer } = this.#services;
     const { context, service } = this.#task;
     const now = timer.now();
@@ -147,39 +147,42 @@
         signal: this.#options.plan.signal,
       });
     } catch {
-      // A hedge that finds no place is simply not made.
+      // Without a permit the hedge is skipped.
       return undefined;
     }
   }
 
-  /** The first whole attempt; when none is, the first one's failure. */
-  async #race(first: Racer, hedge: HedgeStart): Promise<PlannedAttempt> {
-    const whole = (planned: PlannedAttempt): PlannedAttempt => {
+  /** Resolves to the first complete attempt, else to the first call's failure. */
+  async #awaitWinner(
+    first: RunningAttempt,
+    hedge: PendingHedge,
+  ): Promise<PlannedAttempt> {
+    const requireComplete = (planned: PlannedAttempt): PlannedAttempt => {
       if (planned.attempt.end === undefined) throw planned;
       return planned;
     };
-    const second = hedge.started.then((racer) => {
-      if (racer === undefined) throw undefined;
-      return racer.done.then(whole);
+    const second = hedge.started.then((attempt) => {
+      if (attempt === undefined) throw undefined;
+      return attempt.done.then(requireComplete);
     });
     second.catch(() => {});
-    const firstWhole = first.done.then(whole);
+    const firstComplete = first.done.then(requireComplete);
     const firstFailure = first.done.then((planned) => {
-      // A first call that fails before its hedge began waits for none; once
-      // the hedge is under way, that may still be whole.
+      // A first call that fails before a hedge has started doesn't wait for
+      // one; a hedge already in flight may still complete.
       const isAlone = hedge.current() === undefined;
       if (planned.attempt.end === undefined && isAlone) return planned;
       throw undefined;
     });
     try {
-      return await Promise.any([firstWhole, second, firstFailure]);
+      return await Promise.any([firstComplete, second, firstFailure]);
     } catch {
       return await first.done;
     }
   }
 
-  #cancel(loser: Racer, isFirstWinner: boolean): void {
-    loser.abort.abort(new Error("another attempt was faster"));
+  #cancel(loser: RunningAttempt, isFirstWinner: boolean): void {
+    loser.abort.abort(new Error("Another attempt completed first"));
     void loser.done.then(({ plan, attempt }) => {
       settleAttempt(this.#services, this.#task, {
         plan,
--- a/packages/kelpspar-daemon/src/requests/key_lookup.ts
+++ b/packages/kelpspar-daemon/src/requests/key_lookup.ts
@@ -4,33 +4,36 @@
 import type { RequestContext } from "./request_context.ts";
 import type { RequestKeys } from "./request_keys.ts";
 import type { RequestRegistry } from "./request_registry.ts";
-import type { AskHolder } from "./resolve_settlement.ts";
+import type { ClaimHolderQuery } from "./resolve_settlement.ts";
 import {
   claimKey,
   CLAIMS_TABLE,
   parseClaimContent,
 } from "kelpspar-decisions/claims";
 import { KelpsparError, parseBoundKey } from "kelpspar-shared";
-import { answerSettlement } from "./resolve_settlement.ts";
+import { resolveSettlement } from "./resolve_settlement.ts";
 
-/** What keys are looked up in. */
+/** Options of `KeyLookup`. */
 export interface KeyLookupOptions {
   readonly keys: RequestKeys;
   readonly registry: RequestRegistry;
   readonly table: TableService;
   /** This daemon's incarnation. */
   readonly incarnation: string;
-  readonly askHolder: (accountId: string, idempotencyKey: string) => AskHolder;
+  readonly createHolderQuery: (
+    accountId: string,
+    idempotencyKey: string,
+  ) => ClaimHolderQuery;
 }
 
-/** A request that runs here, or the result of one that completed. */
+/** A request that runs on this daemon, or the result of a completed one. */
 export type FoundRequest =
   | { readonly context: RequestContext }
   | { readonly result: StoredResult };
 
 /**
- * Finds the request of an idempotency key: here, in the table, or at the
- * daemon that holds its claim. Never starts anything.
+ * Finds the request of an idempotency key: on this daemon, in the table, or at
+ * the daemon that holds its claim. Never starts a request.
  */
 export class KeyLookup {
   readonly #options: KeyLookupOptions;
@@ -44,19 +47,19 @@
     account: AccountConfiguration,
     idempotencyKey: string,
   ): Promise<FoundRequest> {
-    const here = this.#findHere(account.id, idempotencyKey);
-    if (here !== undefined) return here;
+    const local = this.#findLocally(account.id, idempotencyKey);
+    if (local !== undefined) return local;
     const bound = parseBoundKey(idempotencyKey);
     if (bound?.incarnation === this.#options.incarnation) {
       throw new KelpsparError(
         "request_not_found",
-        "No request has this idempotency key, or it is no longer remembered",
+        "No request has this idempotency key, or its record has expired",
       );
     }
     if (bound !== undefined) {
       throw new KelpsparError(
         "wrong_daemon",
-        "The idempotency key is bound to a daemon, and this one knows nothing of it",
+        "The idempotency key is bound to another daemon, and this daemon has no record of it",
       );
     }
     const found = await this.#findInTable(account.id, idempotencyKey);
@@ -64,29 +67,28 @@
     throw found.error;
   }
 
-  #findHere(accountId: string, key: string): FoundRequest | undefined {
-    const finding = this.#options.keys.lookUp(accountId, key);
-    if (finding === undefined) return undefined;
-    if (finding.state === "completed") return { result: finding.result };
-    if (finding.state === "running") {
+  #findLocally(accountId: string, key: string): FoundRequest | undefined {
+    const entry = this.#options.keys.lookUp(accountId, key);
+    if (entry === undefined) return undefined;
+    if (entry.state === "completed") return { result: entry.result };
+    if (entry.state === "running") {
       const { registry } = this.#options;
-      const context = registry.find(finding.requestId, accountId);
+      const context = registry.find(entry.requestId, accountId);
       if (context !== undefined) {
-        // Who looks a key up has lost an answer, and may have asked elsewhere.
+        // A look-up means that an answer was lost; the caller may have
+        // resubmitted the request to another daemon.
         context.mayRunElsewhere = true;
         return { context };
       }
     }
-    const result = finding.state === "running"
-      ? "outcome_unknown"
-      : finding.state;
+    const result = entry.state === "running" ? "outcome_unknown" : entry.state;
     throw new KelpsparError(result, `The request's state is "${result}"`);
   }
 
   async #findInTable(
     accountId: string,
     key: string,
-  ): Promise<Awaited<ReturnType<typeof answerSettlement>>> {
+  ): Promise<Awaited<ReturnType<typeof resolveSettlement>>> {
     const [row] = await this.#options.table.read([
       { table: CLAIMS_TABLE, key: claimKey(accountId, key) },
     ]);
@@ -97,17 +99,17 @@
         "No request of this client account has this idempotency key",
       );
     }
-    const ask = this.#options.askHolder(accountId, key);
+    const queryHolder = this.#options.createHolderQuery(accountId, key);
     if (content.state === "claimed") {
       const held: HeldElsewhere = { type: "held_elsewhere", ...content };
-      return answerSettlement(held, ask);
+      return resolveSettlement(held, queryHolder);
     }
     const { result } = content;
-    return answerSettlement(
+    return resolveSettlement(
       result === undefined
         ? { type: "expired" }
         : { type: "completed", result },
-      ask,
+      queryHolder,
     );
   }
 }
--- a/packages/kelpspar-daemon/src/requests/once_guard.ts
+++ b/packages/kelpspar-daemon/src/requests/once_guard.ts
@@ -1,25 +1,25 @@
 /**
- * What a stage that must run at most once needs of its request. Requests
- * without a claim use one that always allows.
+ * Enforces that a stage runs at most once. Requests without a claim use
+ * `UNRESTRICTED_ONCE_GUARD`.
  */
 export interface OnceGuard {
   /** Resolves when the request's first stage may begin. */
   ready(): Promise<void>;
-  /** Called before the stage before the first one that must run once. */
+  /** Called before the stage that precedes the first at-most-once stage. */
   prepare(): void;
-  /** Resolves when the stage may be dispatched; rejects when it never may. */
+  /** Resolves when the stage may be dispatched; rejects when it never may be. */
   confirmed(): Promise<void>;
-  /** Called right before each call; false forbids it. */
-  dispatch(): boolean;
-  /** Called when a dispatched call is proved not to have started. */
-  notStarted(): void;
+  /** Called right before each call; false forbids the call. */
+  tryDispatch(): boolean;
+  /** Called when a dispatched call is proven not to have started. */
+  recordNotStarted(): void;
 }
 
-/** The guard of a request that only this daemon can ever run. */
-export const FREE_ONCE_GUARD: OnceGuard = {
+/** The guard of a request that no other daemon can run. */
+export const UNRESTRICTED_ONCE_GUARD: OnceGuard = {
   ready: () => Promise.resolve(),
   prepare: () => {},
   confirmed: () => Promise.resolve(),
-  dispatch: () => true,
-  notStarted: () => {},
+  tryDispatch: () => true,
+  recordNotStarted: () => {},
 };
--- a/packages/kelpspar-daemon/src/requests/pipeline_runner.ts
+++ b/packages/kelpspar-daemon/src/requests/pipeline_runner.ts
@@ -6,19 +6,19 @@
 import type { StageRunner } from "./stage_runner.ts";
 import type { StageTrace } from "./stage_trace.ts";
 import { invariant, KelpsparError, sha256 } from "kelpspar-shared";
-import { FREE_ONCE_GUARD } from "./once_guard.ts";
+import { UNRESTRICTED_ONCE_GUARD } from "./once_guard.ts";
 
 const PREFIX_HASH_DIGITS = 16;
 
-/** What a pipeline runs on. */
+/** Options of `PipelineRunner`. */
 export interface PipelineRunnerOptions {
   readonly stages: StageRunner;
   readonly configuration: ConfigurationIndexReader;
 }
 
 /**
- * Runs the stages of a request one after the other, each on the result of the
- * one before. The last stage's text streams into the request's answer log.
+ * Runs the stages of a request in sequence, each with the previous stage's
+ * result as input. The last stage's text streams into the answer log.
  */
 export class PipelineRunner {
   readonly #stages: StageRunner;
@@ -29,7 +29,7 @@
     this.#configuration = options.configuration;
   }
 
-  /** Returns the whole answer; throws KelpsparError. */
+  /** Returns the complete answer; throws KelpsparError. */
   async run(context: RequestContext, guard: OnceGuard): Promise<string> {
     const stages = context.pipeline.stages;
     const lastIndex = stages.length - 1;
@@ -47,7 +47,7 @@
         input,
         once: isOnce,
         isLast: stageIndex === lastIndex,
-        guard: isOnce ? guard : FREE_ONCE_GUARD,
+        guard: isOnce ? guard : UNRESTRICTED_ONCE_GUARD,
       });
     }
     return input;
@@ -66,10 +66,10 @@
     if (service === undefined) {
       throw new KelpsparError(
         "no_endpoint",
-        `Stage "${run.stage.id}" names service "${run.stage.service}", which the configuration in force lacks`,
+        `Stage "${run.stage.id}" names service "${run.stage.service}", which is not in the configuration in force`,
       );
     }
-    run.context.expected.get(run.stage.id)?.();
+    run.context.expectedCallTeardowns.get(run.stage.id)?.();
     const trace = createTrace(run.stage.id, run.once);
     run.context.traces.set(run.stage.id, trace);
     return await this.#stages.run({
@@ -87,8 +87,8 @@
 }
 
 /**
- * Names the part of the input that requests share, so that engines that hold
- * it in their prefix cache are found.
+ * Hashes the input prefix that requests share, so that calls are routed to
+ * engines that have it in their prefix cache.
  */
 function prefixHashOf(
   stage: StageConfiguration,
--- a/packages/kelpspar-daemon/src/requests/probe_silence.ts
+++ b/packages/kelpspar-daemon/src/requests/probe_silence.ts
@@ -5,19 +5,19 @@
 import type { EndpointAddress, LoadReport } from "kelpspar-shared";
 import type { StageServices } from "./stage_services.ts";
 
-const PROBE_MILLISECONDS = 300;
+const PROBE_TIMEOUT_MILLISECONDS = 300;
 
-/** A call without progress, and where it runs. */
+/** A call without progress, and its endpoint. */
 export interface SilentCall {
   readonly watch: ConnectionWatch;
   readonly endpoint: EndpointAddress;
 }
 
 /**
- * Asks the endpoint of a silent call over a new connection, and says what
- * becomes of the call; undefined when it may go on.
+ * Probes the endpoint of a silent call over a new connection and returns the
+ * verdict on the call; undefined when the call may continue.
  *
- * Source: the brief, "What fails": open connections go silent for good while
+ * Source: the brief, "What fails": open connections go silent permanently while
  * new ones work.
  */
 export async function probeSilence(
@@ -27,7 +27,10 @@
   const { timer, endpoints, parts } = services;
   const { endpointId } = call.endpoint;
   const suspectedAt = timer.now();
-  const report = await askInTime(services, () => endpoints.load(call.endpoint));
+  const report = await loadWithTimeout(
+    services,
+    () => endpoints.load(call.endpoint),
+  );
   if (report !== undefined) {
     parts.registry.report({
       endpointId,
@@ -49,19 +52,19 @@
   return verdict;
 }
 
-async function askInTime(
+async function loadWithTimeout(
   services: StageServices,
-  ask: () => Promise<LoadReport>,
+  load: () => Promise<LoadReport>,
 ): Promise<LoadReport | undefined> {
   return await new Promise((resolve) => {
     const stopTimer = services.timer.registerTimeout(
       () => resolve(undefined),
-      PROBE_MILLISECONDS,
+      PROBE_TIMEOUT_MILLISECONDS,
     );
     const settle = (report: LoadReport | undefined): void => {
       stopTimer();
       resolve(report);
     };
-    ask().then(settle, () => settle(undefined));
+    load().then(settle, () => settle(undefined));
   });
 }
--- a/packages/kelpspar-daemon/src/requests/record_gap_estimator.ts
+++ b/packages/kelpspar-daemon/src/requests/record_gap_estimator.ts
@@ -1,14 +1,14 @@
 import { TimeHistogram } from "kelpspar-decisions/admission";
 
-const SAMPLE_EVERY = 8;
-const FEWEST_SAMPLES = 50;
+const SAMPLE_INTERVAL = 8;
+const MINIMUM_SAMPLES = 50;
 
 /**
- * How far apart the records of each service's streams come, so that a silent
- * connection is told from a slow one. Every eighth gap is taken in, since a
- * daemon sees thousands a second.
+ * Estimates the time between the records of each service's streams, to
+ * distinguish a silent connection from a slow one. Samples every eighth gap,
+ * because a daemon receives thousands of records a second.
  */
-export class RecordGaps {
+export class RecordGapEstimator {
   readonly #histograms = new Map<string, TimeHistogram>();
   #skipped = 0;
 
@@ -16,7 +16,7 @@
     serviceId: string,
     gap: { readonly milliseconds: number; readonly now: number },
   ): void {
-    if (++this.#skipped < SAMPLE_EVERY) return;
+    if (++this.#skipped < SAMPLE_INTERVAL) return;
     this.#skipped = 0;
     let histogram = this.#histograms.get(serviceId);
     if (histogram === undefined) {
@@ -26,10 +26,12 @@
     histogram.observe(gap.milliseconds, gap.now);
   }
 
-  /** The p99 of a service's gaps; undefined while too few were seen. */
+  /** The p99 gap of a service, milliseconds; undefined with too few samples. */
   p99(serviceId: string, now: number): number | undefined {
     const times = this.#histograms.get(serviceId)?.times(now);
-    if (times === undefined || times.samples < FEWEST_SAMPLES) return undefined;
+    if (times === undefined || times.samples < MINIMUM_SAMPLES) {
+      return undefined;
+    }
     return times.p99;
   }
 }
--- a/packages/kelpspar-daemon/src/requests/request_admission.ts
+++ b/packages/kelpspar-daemon/src/requests/request_admission.ts
@@ -8,40 +8,39 @@
 import { retryDelayMilliseconds } from "kelpspar-decisions/retries";
 import { KelpsparError as ResultError } from "kelpspar-shared";
 
-const COMEBACK_MILLISECONDS = 500;
+const RETRY_AFTER_MILLISECONDS = 500;
 
-/** What arriving requests are checked against. */
-export interface ArrivalCheckOptions {
+/** Options of `RequestAdmission`. */
+export interface RequestAdmissionOptions {
   readonly admission: Admission;
   readonly scheduler: Scheduler;
   readonly registry: RequestRegistry;
   readonly maximumRequests: number;
   readonly isLeaving: () => boolean;
-  /** Why no request is taken by the configuration known here. */
+  /** The error to refuse with while the configuration here is unusable. */
   readonly configurationRefusal: () => KelpsparError | undefined;
   readonly timer: TimerService;
   readonly random: RandomSource;
 }
 
 /**
- * Refuses, at once, what cannot be served: on a daemon that is leaving, over
- * its limit of requests, or when the deadline cannot be met.
+ * Admission control for new requests. Refuses at once when the daemon is
+ * leaving, runs its maximum of requests, or cannot meet the deadline.
  */
-export class ArrivalCheck {
-  readonly #options: ArrivalCheckOptions;
+export class RequestAdmission {
+  readonly #options: RequestAdmissionOptions;
   #lastArrivalAt = Number.NEGATIVE_INFINITY;
 
-  constructor(options: ArrivalCheckOptions) {
+  constructor(options: RequestAdmissionOptions) {
     this.#options = options;
   }
 
-  /** When the last request arrived, taken or not, monotonic milliseconds. */
+  /** When the last request arrived, admitted or not, monotonic milliseconds. */
   get lastArrivalAt(): number {
     return this.#lastArrivalAt;
   }
 
-  /** Notes that a request arrived. */
-  noteArrival(): void {
+  recordArrival(): void {
     this.#lastArrivalAt = this.#options.timer.now();
   }
 
@@ -59,37 +58,37 @@
     if (registry.running >= maximumRequests) {
       throw new ResultError(
         "overloaded",
-        `The daemon runs ${maximumRequests} requests, as many as it may`,
-        { retryAfterMilliseconds: this.comeback() },
+        `The daemon already runs its maximum of ${maximumRequests} requests`,
+        { retryAfterMilliseconds: this.jitteredRetryAfter() },
       );
     }
     this.#admit(checked, options.repeatable);
   }
 
-  /** Counts the calls that an admitted request is going to make. */
-  expectCalls(context: RequestContext): void {
+  /** Registers the calls that an admitted request is expected to make. */
+  registerExpectedCalls(context: RequestContext): void {
     for (const stage of context.pipeline.stages) {
-      const takeBack = this.#options.scheduler.expect({
+      const teardown = this.#options.scheduler.expect({
         service: stage.service,
         accountId: context.account.id,
         pipelineId: context.pipeline.id,
         stageId: stage.id,
       });
-      context.expected.set(stage.id, takeBack);
+      context.expectedCallTeardowns.set(stage.id, teardown);
     }
   }
 
-  /** When a refused caller may come back, jittered, milliseconds. */
-  comeback(): number {
-    return retryDelayMilliseconds(COMEBACK_MILLISECONDS, this.#options);
+  /** Retry delay for a refused caller, jittered, milliseconds. */
+  jitteredRetryAfter(): number {
+    return retryDelayMilliseconds(RETRY_AFTER_MILLISECONDS, this.#options);
   }
 
-  /** The refusal of a request whose claim cannot be stored. */
-  storeError(): KelpsparError {
+  /** Creates the error of a request whose claim cannot be stored. */
+  createStoreError(): KelpsparError {
     return new ResultError(
       "store_unavailable",
-      "The claim that makes the request run once cannot be stored now",
-      { retryAfterMilliseconds: this.comeback() },
+      "The claim that guarantees at most one run of the request cannot be stored now",
+      { retryAfterMilliseconds: this.jitteredRetryAfter() },
     );
   }
 
@@ -112,7 +111,7 @@
     if (decision.run) return;
     throw new ResultError(
       decision.reason,
-      `Request through pipeline "${pipeline.id}" would not end within ${request.deadlineMilliseconds} ms`,
+      `Request through pipeline "${pipeline.id}" cannot complete within ${request.deadlineMilliseconds} ms`,
       { retryAfterMilliseconds: decision.retryAfterMilliseconds },
     );
   }
--- a/packages/kelpspar-daemon/src/requests/request_keys.ts
+++ b/packages/kelpspar-daemon/src/requests/request_keys.ts
@@ -7,14 +7,14 @@
 import type { TimerService } from "kelpspar-shared";
 import type { RequestContext } from "./request_context.ts";
 
-/** How a request's run ended, as its key's memory sees it. */
-export type RunEnding =
+/** How a request's run ended, as recorded for its idempotency key. */
+export type RunOutcome =
   | { readonly type: "completed"; readonly result: StoredResult }
-  /** Nothing ran, or what ran may run again: the key is free. */
+  /** Nothing ran, or all that ran is repeatable: the key is released. */
   | { readonly type: "repeatable" }
   | { readonly type: "outcome_unknown" };
 
-/** The idempotency keys of this daemon's requests. */
+/** Tracks the idempotency keys of this daemon's requests. */
 export class RequestKeys {
   readonly #ledger: KeyLedger;
   readonly #timer: TimerService;
@@ -27,9 +27,9 @@
     this.#timer = options.timer;
   }
 
-  /** Undefined for a request without a key. */
+  /** Registers a run of the request; undefined for one without a key. */
   begin(context: RequestContext): LedgerDecision | undefined {
-    const run = runOf(context);
+    const run = ledgerRunOf(context);
     if (run === undefined) return undefined;
     return this.#ledger.begin(
       { ...run, bodyHash: context.bodyHash },
@@ -38,14 +38,14 @@
   }
 
   /**
-   * What is known of a request's key already, without starting anything;
-   * undefined when nothing is. Asked before any refusal, so that a retry finds
-   * its result even at a daemon that takes no new requests.
+   * Returns the recorded state of a request's key without starting a run;
+   * undefined without a record. Runs before admission control, so that a retry
+   * finds its result even on a daemon that accepts no new requests.
    */
   find(
     context: RequestContext,
   ): Exclude<LedgerDecision, { readonly type: "run" }> | undefined {
-    const run = runOf(context);
+    const run = ledgerRunOf(context);
     if (run === undefined) return undefined;
     const now = this.#timer.now();
     if (this.#ledger.lookUp(run, now) === undefined) return undefined;
@@ -58,7 +58,7 @@
     return undefined;
   }
 
-  /** What is known of a key, for a look-up. */
+  /** Returns the recorded state of a key, for a look-up. */
   lookUp(
     accountId: string,
     key: string,
@@ -66,13 +66,13 @@
     return this.#ledger.lookUp({ account: accountId, key }, this.#timer.now());
   }
 
-  end(context: RequestContext, ending: RunEnding): void {
-    const run = runOf(context);
+  end(context: RequestContext, outcome: RunOutcome): void {
+    const run = ledgerRunOf(context);
     if (run === undefined) return;
     const now = this.#timer.now();
-    if (ending.type === "completed") {
-      this.#ledger.complete(run, { result: ending.result, now });
-    } else if (ending.type === "outcome_unknown") {
+    if (outcome.type === "completed") {
+      this.#ledger.complete(run, { result: outcome.result, now });
+    } else if (outcome.type === "outcome_unknown") {
       this.#ledger.fail(run, now);
     } else {
       this.#ledger.forget(run);
@@ -80,7 +80,7 @@
   }
 }
 
-function runOf(context: RequestContext): LedgerRun | undefined {
+function ledgerRunOf(context: RequestContext): LedgerRun | undefined {
   const key = context.request.idempotencyKey;
   if (key === undefined) return undefined;
   return { account: context.account.id, key, requestId: context.requestId };
--- a/packages/kelpspar-daemon/src/requests/request_outcome.ts
+++ b/packages/kelpspar-daemon/src/requests/request_outcome.ts
@@ -4,19 +4,19 @@
 import { judgeRefusal } from "kelpspar-decisions/claims";
 import { KelpsparError as ResultError } from "kelpspar-shared";
 
-/** What a caller may be told of a request that got no answer. */
-export function outcomeOf(
+/** The outcome to report to the caller of a request that got no answer. */
+export function outcomeForCaller(
   context: RequestContext,
 ): Exclude<Outcome, "completed"> {
-  return context.mayRunElsewhere ? "outcome_unknown" : outcomeHere(context);
+  return context.mayRunElsewhere ? "outcome_unknown" : localOutcome(context);
 }
 
 /**
- * What is proved of this daemon's own run, whatever others may do. A stage
- * that has not begun counts with no call: were it left out, a booking refused
- * before its once-stage would be judged as a request that ran.
+ * The outcome that the calls of this daemon's own run prove, regardless of runs
+ * elsewhere. A stage that has not begun counts with no call: if it were left
+ * out, a request refused before its at-most-once stage would count as run.
  */
-export function outcomeHere(
+export function localOutcome(
   context: RequestContext,
 ): Exclude<Outcome, "completed"> {
   const stages: StageFacts[] = context.pipeline.stages.map(({ id }) => ({
@@ -26,19 +26,20 @@
   return judgeRefusal({ stages });
 }
 
-/** The same failure with the outcome that the request's calls prove. */
-export function withProvedOutcome(
+/** Returns the failure with the outcome that the request's calls prove. */
+export function withProvenOutcome(
   error: KelpsparError,
   context: RequestContext,
 ): KelpsparError {
-  return withOutcome(error, outcomeOf(context));
+  return withOutcome(error, outcomeForCaller(context));
 }
 
 /**
- * The same failure for a request of which an earlier submission got no answer:
- * that nothing ran is then proved of this submission only.
+ * Returns the failure with `outcome_unknown` in place of `not_run`, for a
+ * request whose earlier submission got no answer: `not_run` would be proved for
+ * this submission only.
  */
-export function withoutProof(error: KelpsparError): KelpsparError {
+export function withoutNotRun(error: KelpsparError): KelpsparError {
   return error.outcome === "not_run"
     ? withOutcome(error, "outcome_unknown")
     : error;
--- a/packages/kelpspar-daemon/src/requests/request_service.ts
+++ b/packages/kelpspar-daemon/src/requests/request_service.ts
@@ -3,13 +3,13 @@
 import type { ClaimService } from "../claims/claim_service.ts";
 import type { ConfigurationIndexReader } from "../state/configuration_reader.ts";
 import type { FinalRecord } from "./answer_log.ts";
-import type { ArrivalCheck } from "./request_admission.ts";
+import type { RequestAdmission } from "./request_admission.ts";
 import type { OnceGuard } from "./once_guard.ts";
 import type { PipelineRunner } from "./pipeline_runner.ts";
 import type { RequestContext } from "./request_context.ts";
 import type { RequestKeys } from "./request_keys.ts";
 import type { RequestRegistry } from "./request_registry.ts";
-import type { AskHolder } from "./resolve_settlement.ts";
+import type { ClaimHolderQuery } from "./resolve_settlement.ts";
 import type { LedgerDecision, StoredResult } from "kelpspar-decisions/claims";
 import type {
   KelpsparError,
@@ -26,45 +26,45 @@
   createFailureRecord,
   createStoredResult,
 } from "./final_records.ts";
-import { FREE_ONCE_GUARD } from "./once_guard.ts";
-import { onceStages } from "./select_once_stages.ts";
+import { UNRESTRICTED_ONCE_GUARD } from "./once_guard.ts";
+import { selectOnceStages } from "./select_once_stages.ts";
 import {
-  outcomeHere,
-  withoutProof,
-  withProvedOutcome,
+  localOutcome,
+  withoutNotRun,
+  withProvenOutcome,
 } from "./request_outcome.ts";
-import { fillFromStored } from "./stored_answer.ts";
-import { answerSettlement } from "./resolve_settlement.ts";
+import { appendStoredResult } from "./stored_answer.ts";
+import { resolveSettlement } from "./resolve_settlement.ts";
 
-/** What requests run on. */
+/** Options of `RequestService`. */
 export interface RequestServiceOptions {
   readonly configuration: ConfigurationIndexReader;
   readonly pipelines: PipelineRunner;
   readonly registry: RequestRegistry;
   readonly keys: RequestKeys;
   readonly claims: ClaimService;
-  readonly arrivals: ArrivalCheck;
-  readonly askHolder: (
+  readonly admission: RequestAdmission;
+  readonly createHolderQuery: (
     context: RequestContext,
-  ) => AskHolder;
+  ) => ClaimHolderQuery;
   readonly incarnation: string;
   readonly timer: TimerService;
   readonly random: RandomSource;
-  /** How long a request goes on after its last reader left, milliseconds. */
+  /** How long a request runs on without readers, milliseconds. */
   readonly abandonedGraceMilliseconds: number;
   readonly onEnd: (context: RequestContext, final: FinalRecord) => void;
   readonly onRefused: (accountId: string, error: KelpsparError) => void;
 }
 
-interface Run {
+interface RequestRun {
   readonly guard: OnceGuard;
   readonly claim?: ClaimedOnceGuard;
   readonly hasOnceStage: boolean;
 }
 
 /**
- * Takes callers' requests and runs each to its one final record, which is
- * given the moment the request is given up on.
+ * Accepts callers' requests and runs each to exactly one final record, which is
+ * written as soon as the request fails or is aborted.
  */
 export class RequestService {
   readonly #options: RequestServiceOptions;
@@ -74,34 +74,34 @@
   }
 
   /**
-   * Starts a request, or finds the one that its key names. Throws the refusal
-   * of a request that was not started.
+   * Starts a request, or attaches to the one with the same idempotency key.
+   * Throws the error of a request that was refused.
    */
   submit(
     account: AccountConfiguration,
     request: SubmitRequest,
   ): RequestContext {
-    this.#options.arrivals.noteArrival();
+    this.#options.admission.recordArrival();
     try {
-      return this.#begin(account, request);
+      return this.#startOrAttach(account, request);
     } catch (thrown) {
       const error = toKelpsparError(thrown);
       this.#options.onRefused(account.id, error);
-      throw request.resubmission ? withoutProof(error) : error;
+      throw request.resubmission ? withoutNotRun(error) : error;
     }
   }
 
-  /** Says that a reader of an answer left. */
-  readerLeft(context: RequestContext): void {
+  /** Cancels a request that stays without readers for the grace period. */
+  onReaderDisconnected(context: RequestContext): void {
     const { timer, abandonedGraceMilliseconds } = this.#options;
     if (context.log.readers > 0 || context.log.final !== undefined) return;
     timer.registerTimeout(() => {
       if (context.log.readers > 0) return;
-      this.cancel(context, "its caller went away");
+      this.cancel(context, "its caller disconnected");
     }, abandonedGraceMilliseconds);
   }
 
-  /** Ends a request that nobody wants any more. */
+  /** Aborts a request whose result is no longer needed. */
   cancel(context: RequestContext, reason: string): void {
     context.abort.abort(
       new ResultError(
@@ -111,7 +111,7 @@
     );
   }
 
-  #begin(
+  #startOrAttach(
     account: AccountConfiguration,
     request: SubmitRequest,
   ): RequestContext {
@@ -122,24 +122,24 @@
     const checked = checkRequest(configuration, { account, request });
     const services = this.#options.configuration.services();
     const context = createContext(checked, {
-      onceStages: onceStages(checked, services),
+      onceStages: selectOnceStages(checked, services),
       requestId: this.#options.random.nextHexadecimal(12),
       now: this.#options.timer.now(),
     });
-    const known = this.#options.keys.find(context);
-    if (known !== undefined) return this.#follow(context, known);
+    const earlier = this.#options.keys.find(context);
+    if (earlier !== undefined) return this.#answerFromLedger(context, earlier);
     const hasOnceStage = context.onceStages.size > 0;
-    this.#options.arrivals.check(checked, { repeatable: !hasOnceStage });
+    this.#options.admission.check(checked, { repeatable: !hasOnceStage });
     const decision = this.#options.keys.begin(context);
     if (decision !== undefined && decision.type !== "run") {
-      return this.#follow(context, decision);
+      return this.#answerFromLedger(context, decision);
     }
     const needsClaim = hasOnceStage && decision?.bound === false;
-    this.#start(context, { hasOnceStage, needsClaim });
+    this.#startRun(context, { hasOnceStage, needsClaim });
     return context;
   }
 
-  #follow(
+  #answerFromLedger(
     context: RequestContext,
     decision: Exclude<LedgerDecision, { readonly type: "run" }>,
   ): RequestContext {
@@ -152,11 +152,11 @@
       }
       throw new ResultError(
         "outcome_unknown",
-        "The request's run is not found",
+        "The running request of this idempotency key is not found",
       );
     }
     if (decision.type === "completed") {
-      this.#answerStored(context, decision.result);
+      this.#answerFromStored(context, decision.result);
       return context;
     }
     if (decision.type === "reused") {
@@ -167,18 +167,18 @@
     }
     throw new ResultError(
       decision.result,
-      "The idempotency key cannot be run here",
-      { retryAfterMilliseconds: this.#options.arrivals.comeback() },
+      "This daemon cannot run a request with this idempotency key",
+      { retryAfterMilliseconds: this.#options.admission.jitteredRetryAfter() },
     );
   }
 
-  #start(
+  #startRun(
     context: RequestContext,
     options: { readonly hasOnceStage: boolean; readonly needsClaim: boolean },
   ): void {
     const { hasOnceStage } = options;
     if (!options.needsClaim) {
-      void this.#run(context, { guard: FREE_ONCE_GUARD, hasOnceStage });
+      void this.#run(context, { guard: UNRESTRICTED_ONCE_GUARD, hasOnceStage });
       return;
     }
     const claim = new ClaimedOnceGuard({
@@ -187,51 +187,52 @@
       idempotencyKey: context.request.idempotencyKey ?? "",
       daemon: this.#options.incarnation,
       timer: this.#options.timer,
-      createStoreError: () => this.#options.arrivals.storeError(),
-      onSettled: (settlement) => void this.#settle(context, settlement),
+      createStoreError: () => this.#options.admission.createStoreError(),
+      onSettled: (settlement) =>
+        void this.#applySettlement(context, settlement),
     });
     void this.#run(context, { guard: claim, claim, hasOnceStage });
   }
 
-  async #run(context: RequestContext, run: Run): Promise<void> {
-    const { timer, registry, pipelines, arrivals } = this.#options;
+  async #run(context: RequestContext, run: RequestRun): Promise<void> {
+    const { timer, registry, pipelines, admission } = this.#options;
     const unregister = registry.register(context);
-    arrivals.expectCalls(context);
+    admission.registerExpectedCalls(context);
     const stopDeadline = timer.registerTimeout(
-      () => context.abort.abort(deadlineError(context)),
+      () => context.abort.abort(createDeadlineError(context)),
       context.deadlineAt - timer.now(),
     );
     const work = run.guard.ready().then(() =>
       pipelines.run(context, run.guard)
     );
     try {
-      const text = await Promise.race([work, whenAborted(context)]);
+      const text = await Promise.race([work, rejectWhenAborted(context)]);
       this.#finish(context, createEndRecord(context, timer.now()));
-      this.#end(context, run, text);
+      this.#recordEnd(context, run, text);
     } catch (thrown) {
       this.#fail(context, { run, thrown });
-      // A stage that must run once goes on after its caller was answered; its
-      // result is kept for the caller's look-up.
+      // A stage that must run at most once continues after the final record;
+      // its result is stored for a later look-up.
       const text = await work.catch(() => undefined);
-      this.#end(context, run, text);
+      this.#recordEnd(context, run, text);
     } finally {
       stopDeadline();
-      for (const takeBack of context.expected.values()) takeBack();
+      for (const teardown of context.expectedCallTeardowns.values()) teardown();
       unregister();
     }
   }
 
   #fail(
     context: RequestContext,
-    failure: { readonly run: Run; readonly thrown: unknown },
+    failure: { readonly run: RequestRun; readonly thrown: unknown },
   ): void {
     if (context.log.final !== undefined) return;
     const error = toKelpsparError(failure.thrown);
-    if (outcomeHere(context) === "not_run") failure.run.claim?.giveUp();
-    const proved = KEEPS_OUTCOME.has(error.result)
+    if (localOutcome(context) === "not_run") failure.run.claim?.giveUp();
+    const reported = RESULTS_OF_OTHER_RUNS.has(error.result)
       ? error
-      : withProvedOutcome(error, context);
-    this.#finish(context, createFailureRecord(context, proved));
+      : withProvenOutcome(error, context);
+    this.#finish(context, createFailureRecord(context, reported));
   }
 
   #finish(context: RequestContext, final: FinalRecord): void {
@@ -240,7 +241,11 @@
     this.#options.onEnd(context, final);
   }
 
-  #end(context: RequestContext, run: Run, text: string | undefined): void {
+  #recordEnd(
+    context: RequestContext,
+    run: RequestRun,
+    text: string | undefined,
+  ): void {
     const { keys, configuration } = this.#options;
     if (text !== undefined) {
       const limit = configuration.current()?.limits.resultKeepBytes ?? 0;
@@ -250,22 +255,22 @@
       return;
     }
     run.claim?.giveUp();
-    run.claim?.forget();
-    const mayRepeat = !run.hasOnceStage || outcomeHere(context) === "not_run";
+    run.claim?.discard();
+    const mayRepeat = !run.hasOnceStage || localOutcome(context) === "not_run";
     keys.end(context, { type: mayRepeat ? "repeatable" : "outcome_unknown" });
   }
 
-  /** Another operation holds the key: its result or its state is the answer. */
-  async #settle(
+  /** Answers with the result or state of the operation that holds the key. */
+  async #applySettlement(
     context: RequestContext,
     settlement: ClaimSettlement,
   ): Promise<void> {
-    const answer = await answerSettlement(
+    const answer = await resolveSettlement(
       settlement,
-      this.#options.askHolder(context),
+      this.#options.createHolderQuery(context),
     );
     if ("result" in answer) {
-      this.#answerStored(context, answer.result);
+      this.#answerFromStored(context, answer.result);
       context.abort.abort(
         new ResultError("cancelled", "Answered from the store"),
       );
@@ -274,27 +279,27 @@
     context.abort.abort(answer.error);
   }
 
-  #answerStored(context: RequestContext, result: StoredResult): void {
-    fillFromStored(context, result);
+  #answerFromStored(context: RequestContext, result: StoredResult): void {
+    appendStoredResult(context, result);
   }
 }
 
-/** Failures that speak of another run of the key than this one. */
-const KEEPS_OUTCOME: ReadonlySet<string> = new Set([
+/** Results that describe another run of the same idempotency key. */
+const RESULTS_OF_OTHER_RUNS: ReadonlySet<string> = new Set([
   "in_progress",
   "outcome_unknown",
   "result_expired",
   "idempotency_key_reused",
 ]);
 
-function deadlineError(context: RequestContext): KelpsparError {
+function createDeadlineError(context: RequestContext): KelpsparError {
   return new ResultError(
     "deadline_exceeded",
     `Request "${context.requestId}" did not end within ${context.request.deadlineMilliseconds} ms`,
   );
 }
 
-function whenAborted(context: RequestContext): Promise<never> {
+function rejectWhenAborted(context: RequestContext): Promise<never> {
   const { signal } = context.abort;
   return new Promise((_resolve, reject) => {
     if (signal.aborted) return reject(signal.reason);
--- a/packages/kelpspar-daemon/src/requests/resolve_settlement.ts
+++ b/packages/kelpspar-daemon/src/requests/resolve_settlement.ts
@@ -7,24 +7,24 @@
 import { decideOwnerAnswer } from "kelpspar-decisions/claims";
 import { KelpsparError } from "kelpspar-shared";
 
-const COME_BACK_MILLISECONDS = 500;
+const RETRY_AFTER_MILLISECONDS = 500;
 
-/** What a caller gets whose key another operation holds. */
+/** Answer to a caller whose key another operation holds. */
 export type SettledAnswer =
   | { readonly result: StoredResult }
   | { readonly error: KelpsparError };
 
-/** Asks the holder of a claim about it; `silent` when it gives no answer. */
-export type AskHolder = (held: HeldElsewhere) => Promise<OwnerAnswer>;
+/** Queries the holder of a claim; `silent` when it doesn't answer. */
+export type ClaimHolderQuery = (held: HeldElsewhere) => Promise<OwnerAnswer>;
 
-/** Turns what is known of a key into its caller's answer. */
-export async function answerSettlement(
+/** Converts the settlement of a key into the caller's answer. */
+export async function resolveSettlement(
   settlement: ClaimSettlement,
-  askHolder: AskHolder,
+  queryHolder: ClaimHolderQuery,
 ): Promise<SettledAnswer> {
   if (settlement.type === "completed") return { result: settlement.result };
   if (settlement.type === "held_elsewhere") {
-    return answerHeld(settlement, await askHolder(settlement));
+    return resolveHeldClaim(settlement, await queryHolder(settlement));
   }
   return { error: SETTLEMENT_ERRORS[settlement.type]() };
 }
@@ -44,13 +44,13 @@
     ),
 };
 
-function answerHeld(
+function resolveHeldClaim(
   held: HeldElsewhere,
   answer: OwnerAnswer,
 ): SettledAnswer {
   const decision = decideOwnerAnswer(held, answer);
   if (decision.type === "completed") return { result: decision.result };
-  const retryAfterMilliseconds = COME_BACK_MILLISECONDS;
+  const retryAfterMilliseconds = RETRY_AFTER_MILLISECONDS;
   if (decision.type === "in_progress") {
     return {
       error: new KelpsparError(
@@ -63,7 +63,7 @@
   return {
     error: new KelpsparError(
       "outcome_unknown",
-      "Another daemon claimed the idempotency key and its outcome is not known",
+      "Another daemon claimed the idempotency key, and the outcome of its request is unknown",
       { retryAfterMilliseconds },
     ),
   };
--- a/packages/kelpspar-daemon/src/requests/retrying_stage_runner.ts
+++ b/packages/kelpspar-daemon/src/requests/retrying_stage_runner.ts
@@ -3,7 +3,7 @@
 import type { StageTask } from "./stage_task.ts";
 import { StageRun } from "./stage_run.ts";
 
-/** Runs stages, and takes in how long they took. */
+/** Runs stages with retries and records their durations. */
 export class RetryingStageRunner implements StageRunner {
   readonly #services: StageServices;
 
@@ -34,14 +34,14 @@
   }
 
   /**
-   * A stage that was given up for its deadline counts with the time it had
-   * taken; were only successes counted, a stage that hangs would look fast.
+   * Records the elapsed time of aborted stages too. With successes only, a
+   * hanging stage would appear fast.
    */
   #observeTime(task: StageTask): void {
     const { timer, parts } = this.#services;
     const { context, stage, trace } = task;
-    const isGivenUp = context.abort.signal.aborted;
-    if (trace.outcome !== "completed" && !isGivenUp) return;
+    const isAborted = context.abort.signal.aborted;
+    if (trace.outcome !== "completed" && !isAborted) return;
     if (trace.callStartedAt === undefined) return;
     parts.stageTimes.observe(context.pipeline.id, stage.id, {
       milliseconds: timer.now() - trace.callStartedAt,
--- a/packages/kelpspar-daemon/src/requests/select_once_stages.ts
+++ b/packages/kelpspar-daemon/src/requests/select_once_stages.ts
@@ -2,12 +2,12 @@
 import type { RequestContext } from "./request_context.ts";
 
 /**
- * The stages of a request that must run at most once: those marked so, and
- * those at services whose calls may not be repeated. A request marked
- * non-idempotent through a pipeline that has neither acts by its answer, so
- * its last stage counts.
+ * Returns the ids of a request's stages that must run at most once: stages with
+ * the effect `once`, and stages at services that are not repeatable. If a
+ * request marked non-idempotent has neither, its answer itself is the effect,
+ * so its last stage must run at most once.
  */
-export function onceStages(
+export function selectOnceStages(
   context: Pick<RequestContext, "pipeline" | "request">,
   services: ReadonlyMap<string, ServiceConfiguration>,
 ): ReadonlySet<string> {
--- a/packages/kelpspar-daemon/src/requests/stage_attempt.ts
+++ b/packages/kelpspar-daemon/src/requests/stage_attempt.ts
@@ -18,7 +18,7 @@
 import type { StageProgress } from "./stage_progress.ts";
 import { KelpsparError as ResultError, toKelpsparError } from "kelpspar-shared";
 
-/** One call of one stage at one endpoint. */
+/** Options of `runStageAttempt`. */
 export interface StageAttemptOptions {
   readonly endpoints: EndpointClient;
   readonly endpoint: EndpointAddress;
@@ -28,26 +28,26 @@
   readonly isStream?: boolean;
   readonly progress: StageProgress;
   readonly timer: TimerService;
-  /** Says when the call is suspect, and what becomes of it then. */
+  /** Decides when the call is suspect and what happens to it then. */
   readonly watch: ConnectionWatch;
-  /** The p99 between records of the service; undefined when not known. */
-  readonly gapMilliseconds: () => number | undefined;
-  /** Asks the endpoint; undefined when the call may go on. */
-  readonly judgeSilence: () => Promise<SilenceVerdict | undefined>;
-  /** The request's own signal. */
+  /** The p99 gap between the service's records; undefined when unknown. */
+  readonly p99GapMilliseconds: () => number | undefined;
+  /** Probes the endpoint; undefined when the call may continue. */
+  readonly evaluateSilence: () => Promise<SilenceVerdict | undefined>;
+  /** Abort signal of the request. */
   readonly signal: AbortSignal;
-  /** Aborting it ends this attempt alone. */
+  /** Aborts only this attempt. */
   readonly abort: AbortController;
-  /** Told of each record that answers another call and was dropped. */
+  /** Called with each dropped record that belongs to another call. */
   readonly onForeignRecord: (record: StageRecord) => void;
-  /** Told what was decided on a call that made no progress. */
+  /** Called with the verdict on a call that made no progress. */
   readonly onSilent?: (verdict: SilenceVerdict | undefined) => void;
-  /** Told of each record that answers this call. */
+  /** Called for each record that belongs to this call. */
   readonly onRecord?: () => void;
 }
 
-const CLOSE_WAIT_MILLISECONDS = 20;
-const CHECK_MILLISECONDS = 50;
+const STREAM_CLOSE_TIMEOUT_MILLISECONDS = 20;
+const PROGRESS_CHECK_INTERVAL_MILLISECONDS = 50;
 
 const RESULT_BY_REASON: Readonly<Record<StageFailureReason, ResultName>> = {
   overloaded: "endpoint_overloaded",
@@ -59,10 +59,10 @@
 };
 
 /**
- * Makes one call and follows its records to the end. Throws `endpoint_silent`
- * when the connection makes no progress, else as the endpoint client and the
- * endpoint's own failure records say. An error whose outcome is `not_run`
- * proves that the endpoint did not start the call.
+ * Makes one call and reads its records to the end. Throws `endpoint_silent`
+ * when the connection makes no progress, and otherwise the errors of the
+ * endpoint client and of the endpoint's failure records. An error whose outcome
+ * is `not_run` proves that the endpoint did not start the call.
  */
 export async function runStageAttempt(
   options: StageAttemptOptions,
@@ -71,68 +71,68 @@
   const forwardAbort = (): void => abort.abort(options.signal.reason);
   if (options.signal.aborted) forwardAbort();
   options.signal.addEventListener("abort", forwardAbort);
-  const follow: RecordFollower = {
+  const stream: RecordStreamState = {
     signal: abort.signal,
     end: undefined,
     endedAt: undefined,
     isSilent: false,
   };
-  const stopWatch = watchProgress(options, follow, () => abort.abort());
+  const stopWatch = watchProgress(options, stream, () => abort.abort());
   try {
-    await followRecords(options, follow);
+    await readRecords(options, stream);
   } catch (error) {
-    if (isWhole(options.progress, follow.end)) return follow.end;
-    if (follow.isSilent) {
-      options.onSilent?.(follow.verdict);
-      throw silentError(options);
+    if (isComplete(options.progress, stream.end)) return stream.end;
+    if (stream.isSilent) {
+      options.onSilent?.(stream.verdict);
+      throw createSilentError(options);
     }
     throw toKelpsparError(error, "endpoint_failed");
   } finally {
     stopWatch();
     options.signal.removeEventListener("abort", forwardAbort);
   }
-  if (isWhole(options.progress, follow.end)) return follow.end;
+  if (isComplete(options.progress, stream.end)) return stream.end;
   throw new ResultError(
     "endpoint_failed",
-    `Endpoint "${options.endpoint.endpointId}" ended stage "${options.call.stageId}" before its result was whole`,
+    `Endpoint "${options.endpoint.endpointId}" ended stage "${options.call.stageId}" before its result was complete`,
   );
 }
 
-/** How far the records of a call were followed. */
-interface RecordFollower {
+/** State of reading a call's records. */
+interface RecordStreamState {
   readonly signal: AbortSignal;
   end: StageEndRecord | undefined;
-  /** When the result was whole, monotonic milliseconds. */
+  /** When the result became complete, monotonic milliseconds. */
   endedAt: number | undefined;
   isSilent: boolean;
   verdict?: SilenceVerdict;
 }
 
 /**
- * Follows the stream to its close, not only to the end record, since a
- * connection is kept for the next call only when its answer was read whole.
+ * Reads the stream to its close, not only to the end record: a connection is
+ * reused only when its response was read completely.
  */
-async function followRecords(
+async function readRecords(
   options: StageAttemptOptions,
-  follow: RecordFollower,
+  stream: RecordStreamState,
 ): Promise<void> {
   const records = options.endpoints.call(options.endpoint, options.call, {
-    signal: follow.signal,
+    signal: stream.signal,
     newConnection: options.newConnection,
     isStream: options.isStream ?? true,
   });
   for await (const record of records) {
-    if (!answersCall(record, options.call)) {
+    if (!belongsToCall(record, options.call)) {
       options.onForeignRecord(record);
       continue;
     }
     options.watch.progressed(options.timer.now());
     options.onRecord?.();
-    if (record.type === "failure") throw failureError(options, record);
-    if (record.type === "end") follow.end = record;
+    if (record.type === "failure") throw createFailureError(options, record);
+    if (record.type === "end") stream.end = record;
     else options.progress.push(toPiece(record));
-    if (isWhole(options.progress, follow.end)) {
-      follow.endedAt ??= options.timer.now();
+    if (isComplete(options.progress, stream.end)) {
+      stream.endedAt ??= options.timer.now();
     }
   }
 }
@@ -143,7 +143,7 @@
   return { offset: record.offset, text: record.text };
 }
 
-function isWhole(
+function isComplete(
   progress: StageProgress,
   end: StageEndRecord | undefined,
 ): end is StageEndRecord {
@@ -151,62 +151,67 @@
     progress.length === end.length;
 }
 
-function answersCall(record: StageRecord, call: StageCall): boolean {
+function belongsToCall(record: StageRecord, call: StageCall): boolean {
   return record.requestId === call.requestId &&
     record.stageId === call.stageId &&
     record.attemptId === call.attemptId;
 }
 
 /**
- * One timer follows a whole call rather than one a record, since a stream has
- * thousands of records. A result that is whole waits only a moment for its
- * stream to close.
+ * Watches a call with one timer rather than one per record, because a stream
+ * has thousands of records. After a complete result the stream has only
+ * `STREAM_CLOSE_TIMEOUT_MILLISECONDS` to close.
  */
 function watchProgress(
   options: StageAttemptOptions,
-  follow: RecordFollower,
+  stream: RecordStreamState,
   onSilent: () => void,
 ): () => void {
   const { timer } = options;
   let stop = (): void => {};
   let isStopped = false;
   const giveUp = (): void => {
-    follow.isSilent = true;
+    stream.isSilent = true;
     onSilent();
   };
   const schedule = (wait: number): void => {
     if (isStopped) return;
-    stop = timer.registerTimeout(check, Math.min(wait, CHECK_MILLISECONDS));
+    stop = timer.registerTimeout(
+      check,
+      Math.min(wait, PROGRESS_CHECK_INTERVAL_MILLISECONDS),
+    );
   };
   const check = (): void => {
     const now = timer.now();
-    const dueAt = follow.endedAt === undefined
-      ? options.watch.suspectAt(options.gapMilliseconds())
-      : follow.endedAt + CLOSE_WAIT_MILLISECONDS;
+    const dueAt = stream.endedAt === undefined
+      ? options.watch.suspectAt(options.p99GapMilliseconds())
+      : stream.endedAt + STREAM_CLOSE_TIMEOUT_MILLISECONDS;
     if (now < dueAt) return schedule(dueAt - now);
-    if (follow.endedAt !== undefined) return giveUp();
-    void options.judgeSilence().then((verdict) => {
+    if (stream.endedAt !== undefined) return giveUp();
+    void options.evaluateSilence().then((verdict) => {
       if (isStopped) return;
-      if (verdict === undefined) return schedule(CHECK_MILLISECONDS);
-      follow.verdict = verdict;
+      if (verdict === undefined) {
+        return schedule(PROGRESS_CHECK_INTERVAL_MILLISECONDS);
+      }
+      stream.verdict = verdict;
       giveUp();
     });
   };
-  schedule(CHECK_MILLISECONDS);
+  schedule(PROGRESS_CHECK_INTERVAL_MILLISECONDS);
   return () => {
     isStopped = true;
     stop();
   };
 }
 
-function silentError(options: StageAttemptOptions): KelpsparError {
+function createSilentError(options: StageAttemptOptions): KelpsparError {
   return new ResultError(
     "endpoint_silent",
     `Endpoint "${options.endpoint.endpointId}" made no progress on stage "${options.call.stageId}"`,
   );
 }
 
-function failureError(
+function createFailureError(
   options: StageAttemptOptions,
   record: StageFailureRecord,
 ): KelpsparError {
--- a/packages/kelpspar-daemon/src/requests/stage_observer.ts
+++ b/packages/kelpspar-daemon/src/requests/stage_observer.ts
@@ -1,6 +1,6 @@
 import type { StageTask } from "./stage_task.ts";
 
-/** Told what stages do, for metrics. */
+/** Receives the events of stages, for metrics. */
 export interface StageObserver {
   onAttempt(task: StageTask, attempt: {
     readonly outcome: string;
--- a/packages/kelpspar-daemon/src/requests/stage_progress.ts
+++ b/packages/kelpspar-daemon/src/requests/stage_progress.ts
@@ -2,11 +2,11 @@
 import { OffsetAssembler } from "kelpspar-shared";
 
 /**
- * The text of one stage as its records arrive. A model engine's text goes on
- * to the caller piece by piece, and a later attempt continues it. What goes
- * wrong with plain services: one that is called again may answer in other
- * words, and halves of two answers would be joined. So each attempt at a plain
- * service has a progress of its own, which is used only once it is whole.
+ * Assembles the text of one stage from its records. A model engine's text is
+ * forwarded piece by piece, and a later attempt continues it. A plain service
+ * may answer a second call with different text, so continuing its answer would
+ * join parts of two answers. Each attempt at a plain service therefore has its
+ * own progress, which is used only when complete.
  */
 export class StageProgress {
   readonly #onText: (text: string) => void;
@@ -17,7 +17,7 @@
     this.#onText = options.onText ?? (() => {});
   }
 
-  /** Length of the text without gaps, in UTF-16 units. */
+  /** Length of the gapless text, in UTF-16 units. */
   get length(): number {
     return this.#assembler.length;
   }
@@ -26,7 +26,7 @@
     return this.#assembler.hasGap;
   }
 
-  /** The whole text so far. */
+  /** The gapless text received so far. */
   get text(): string {
     return this.#pieces.join("");
   }
@@ -38,8 +38,8 @@
     this.#onText(text);
   }
 
-  /** Drops pieces beyond a gap, before another attempt fills it. */
-  dropGap(): void {
+  /** Drops the pieces after a gap; the next attempt sends them again. */
+  dropPiecesBeyondGap(): void {
     this.#assembler = new OffsetAssembler({ startOffset: this.length });
   }
 }
--- a/packages/kelpspar-daemon/src/requests/stage_run.ts
+++ b/packages/kelpspar-daemon/src/requests/stage_run.ts
@@ -2,7 +2,7 @@
 import type { KelpsparError, StageEndRecord } from "kelpspar-shared";
 import type { Permit } from "../scheduling/permit.ts";
 import type { PermitRequest } from "../scheduling/permit_request.ts";
-import type { AttemptEnd } from "./call_attempt.ts";
+import type { AttemptResult } from "./call_attempt.ts";
 import type { AttemptPlan } from "./attempt_plan.ts";
 import type { StageServices } from "./stage_services.ts";
 import type { StageTask } from "./stage_task.ts";
@@ -12,21 +12,21 @@
 import { HedgedCall } from "./hedged_call.ts";
 import { StageProgress } from "./stage_progress.ts";
 
-/** A whole result of a stage. */
+/** The complete result of a stage. */
 export interface StageResult {
   readonly text: string;
   readonly end: StageEndRecord;
 }
 
 /**
- * One stage of one request on its way to a whole result: attempts, resumes,
- * continuations and retries, as kelpspar-decisions says.
+ * Runs one stage of one request to its complete result: attempts, resumes,
+ * continuations and retries. kelpspar-decisions decides between them.
  */
 export class StageRun {
   readonly #services: StageServices;
   readonly #task: StageTask;
   readonly #isEngine: boolean;
-  readonly #tried = new Set<string>();
+  readonly #triedEndpointIds = new Set<string>();
   #progress: StageProgress;
   #attempts = 0;
   #resumes = 0;
@@ -39,49 +39,51 @@
     this.#progress = this.#createProgress();
   }
 
-  /** Throws KelpsparError when the stage cannot be brought to its result. */
+  /** Throws KelpsparError when the stage cannot produce a complete result. */
   async execute(): Promise<StageResult> {
-    // A call that waits for its claim must not hold a slot meanwhile.
+    // The claim is awaited first, so that the wait occupies no slot.
     await this.#task.guard.confirmed();
     let permit = await this.#acquire();
     let resumeAttemptId: string | undefined;
     for (;;) {
-      this.#allowDispatch(permit);
+      this.#ensureDispatchAllowed(permit);
       const plan = this.#createPlan(permit, resumeAttemptId);
       const call = await this.#call(plan);
       if (call.result !== undefined) return call.result;
       const { attempt, error } = call;
-      this.#noteFailure(error);
+      this.#recordFailure(error);
       this.#throwIfAborted(plan, attempt);
-      const decision = this.#decide(error, attempt.mayResume);
+      const decision = this.#decideNextAction(error, attempt.mayResume);
       if (decision.action === "resume") {
         this.#resumes++;
         resumeAttemptId = attempt.attemptId;
-        this.#progress.dropGap();
+        this.#progress.dropPiecesBeyondGap();
         continue;
       }
       this.#settle(plan, attempt);
-      if (decision.action === "fail") throw this.#failure(decision, error);
-      permit = await this.#moveElsewhere(permit);
+      if (decision.action === "fail") {
+        throw this.#createFailure(decision, error);
+      }
+      permit = await this.#acquireForRetry(permit);
       resumeAttemptId = undefined;
     }
   }
 
   /**
-   * Once-stages are not cut by the request's deadline or by its caller's
-   * going: a result that comes late still answers the caller's look-up.
+   * Neither the deadline nor a disconnected caller aborts a stage that must
+   * run at most once: a late result still answers a look-up by key.
    */
-  #signal(): AbortSignal {
+  #attemptSignal(): AbortSignal {
     return this.#task.trace.once
       ? new AbortController().signal
       : this.#task.context.abort.signal;
   }
 
   #acquire(): Promise<Permit> {
-    return this.#services.scheduler.acquire(this.#permitRequest());
+    return this.#services.scheduler.acquire(this.#createPermitRequest());
   }
 
-  #permitRequest(): PermitRequest {
+  #createPermitRequest(): PermitRequest {
     const { context, stage, stageIndex, prefixHash } = this.#task;
     return {
       service: stage.service,
@@ -95,21 +97,21 @@
       deadlineAt: context.deadlineAt,
       bytes: this.#task.input.length,
       prefixHash,
-      exclude: this.#tried,
+      exclude: this.#triedEndpointIds,
       signal: context.abort.signal,
     };
   }
 
-  /** Asked right before each call; nothing may come between. */
-  #allowDispatch(permit: Permit): void {
+  /** Runs right before each call, with no `await` between this and the call. */
+  #ensureDispatchAllowed(permit: Permit): void {
     const { guard, context } = this.#task;
     const { signal } = context.abort;
-    if (!signal.aborted && guard.dispatch()) return;
+    if (!signal.aborted && guard.tryDispatch()) return;
     permit.release({ outcome: "cancelled", latencyMilliseconds: 0 });
     signal.throwIfAborted();
     throw new ResultError(
       "store_unavailable",
-      `Stage "${this.#task.stage.id}" may not run: its claim was given up`,
+      `Stage "${this.#task.stage.id}" cannot run: its claim is not confirmed or was given up`,
     );
   }
 
@@ -122,7 +124,7 @@
     return {
       permit,
       progress: this.#progress,
-      signal: this.#signal(),
+      signal: this.#attemptSignal(),
       ...(resumeAttemptId === undefined ? {} : { resumeAttemptId }),
     };
   }
@@ -136,13 +138,13 @@
     | { readonly result: StageResult }
     | {
       readonly result: undefined;
-      readonly attempt: AttemptEnd;
+      readonly attempt: AttemptResult;
       readonly error: KelpsparError;
     }
   > {
     const hedged = new HedgedCall(this.#services, this.#task, {
       plan,
-      permitRequest: this.#permitRequest(),
+      permitRequest: this.#createPermitRequest(),
     });
     const winner = await hedged.run();
     const { end, error } = winner.attempt;
@@ -150,7 +152,11 @@
       return {
         result: undefined,
         attempt: winner.attempt,
-        error: error ?? new ResultError("endpoint_failed", "No end record"),
+        error: error ??
+          new ResultError(
+            "endpoint_failed",
+            "The stream ended without an end record",
+          ),
       };
     }
     settleAttempt(this.#services, this.#task, {
@@ -163,12 +169,12 @@
     return { result: { text, end } };
   }
 
-  #noteFailure(error: KelpsparError): void {
-    if (error.outcome === "not_run") this.#task.guard.notStarted();
+  #recordFailure(error: KelpsparError): void {
+    if (error.outcome === "not_run") this.#task.guard.recordNotStarted();
     else this.#mayHaveRun = true;
   }
 
-  #decide(error: KelpsparError, mayResume: boolean): RetryDecision {
+  #decideNextAction(error: KelpsparError, mayResume: boolean): RetryDecision {
     const { context, service, stage, trace } = this.#task;
     const { parts, timer, scheduler } = this.#services;
     const now = timer.now();
@@ -177,7 +183,7 @@
     const key = { accountId: context.account.id, serviceId: service.id };
     const times = parts.stageTimes.remainingTimes(
       context.pipeline.id,
-      this.#permitRequest().stageIds,
+      this.#createPermitRequest().stageIds,
       now,
     );
     return decideRetry({
@@ -197,7 +203,7 @@
       otherEndpoints: scheduler.loadOf({
         service: service.id,
         model: stage.model,
-        exclude: new Set([...this.#tried, trace.endpointId ?? ""]),
+        exclude: new Set([...this.#triedEndpointIds, trace.endpointId ?? ""]),
       }).otherEndpoints,
       canResume: this.#isEngine && mayResume,
       canContinue: this.#isEngine,
@@ -205,8 +211,8 @@
     });
   }
 
-  /** A request that was given up lets go of its endpoint, and says so there. */
-  #throwIfAborted(plan: AttemptPlan, attempt: AttemptEnd): void {
+  /** An aborted request releases its permit and cancels the endpoint's work. */
+  #throwIfAborted(plan: AttemptPlan, attempt: AttemptResult): void {
     const { signal } = this.#task.context.abort;
     if (!signal.aborted) return;
     settleAttempt(this.#services, this.#task, {
@@ -221,7 +227,7 @@
     return this.#task.context.pipeline.stages.at(-1)?.id === stageId;
   }
 
-  #settle(plan: AttemptPlan, attempt: AttemptEnd): void {
+  #settle(plan: AttemptPlan, attempt: AttemptResult): void {
     settleAttempt(this.#services, this.#task, {
       plan,
       attempt,
@@ -229,11 +235,11 @@
     });
   }
 
-  async #moveElsewhere(permit: Permit): Promise<Permit> {
+  async #acquireForRetry(permit: Permit): Promise<Permit> {
     const { parts, timer, observer } = this.#services;
-    this.#tried.add(permit.endpoint.endpointId);
+    this.#triedEndpointIds.add(permit.endpoint.endpointId);
     this.#resumes = 0;
-    this.#progress.dropGap();
+    this.#progress.dropPiecesBeyondGap();
     parts.retries.trySpend({
       accountId: this.#task.context.account.id,
       serviceId: this.#task.service.id,
@@ -242,7 +248,7 @@
     return await this.#acquire();
   }
 
-  #failure(
+  #createFailure(
     decision: Extract<RetryDecision, { readonly action: "fail" }>,
     cause: KelpsparError,
   ): KelpsparError {
--- a/packages/kelpspar-daemon/src/requests/stage_services.ts
+++ b/packages/kelpspar-daemon/src/requests/stage_services.ts
@@ -2,15 +2,15 @@
 import type { RandomSource, StageRecord, TimerService } from "kelpspar-shared";
 import type { DecisionParts } from "../scheduling/decision_parts.ts";
 import type { Scheduler } from "../scheduling/scheduler.ts";
-import type { RecordGaps } from "./record_gap_estimator.ts";
+import type { RecordGapEstimator } from "./record_gap_estimator.ts";
 import type { StageObserver } from "./stage_observer.ts";
 
-/** What stages run on. */
+/** Dependencies of running stages. */
 export interface StageServices {
   readonly endpoints: EndpointClient;
   readonly scheduler: Scheduler;
   readonly parts: DecisionParts;
-  readonly gaps: RecordGaps;
+  readonly recordGaps: RecordGapEstimator;
   readonly timer: TimerService;
   readonly random: RandomSource;
   readonly observer: StageObserver;
--- a/packages/kelpspar-daemon/src/requests/stage_trace.ts
+++ b/packages/kelpspar-daemon/src/requests/stage_trace.ts
@@ -1,12 +1,12 @@
 import type { CallProof } from "kelpspar-decisions/claims";
 
-/** What one stage of one request did so far. */
+/** Progress and cost of one stage of one request. */
 export interface StageTrace {
   readonly stageId: string;
   /** True for a stage that must run at most once. */
   readonly once: boolean;
   startedAt: number;
-  /** When the first call was sent; undefined before. */
+  /** When the first call was sent; undefined until then. */
   callStartedAt: number | undefined;
   endpointId: string | undefined;
   attempts: number;
@@ -15,6 +15,6 @@
   tokensIn: number;
   tokensOut: number;
   outcome: "running" | "completed" | "failed";
-  /** One for each call sent; the proof behind a `not_run`. */
+  /** One entry for each call sent; they prove a `not_run` outcome. */
   readonly dispatches: CallProof[];
 }
--- a/packages/kelpspar-daemon/src/requests/stored_answer.ts
+++ b/packages/kelpspar-daemon/src/requests/stored_answer.ts
@@ -2,8 +2,8 @@
 import { KelpsparError, toFailureRecord } from "kelpspar-shared";
 import { AnswerLog } from "./answer_log.ts";
 
-/** Fills an answer with the kept result of an earlier run of its key. */
-export function fillFromStored(
+/** Completes an answer with the stored result of an earlier run of its key. */
+export function appendStoredResult(
   answer: { readonly log: AnswerLog; readonly requestId: string },
   result: StoredResult,
 ): void {
@@ -28,11 +28,11 @@
   });
 }
 
-/** Creates the answer of a look-up that found a kept result. */
-export function toStoredAnswer(
+/** Creates the answer of a look-up that found a stored result. */
+export function createStoredAnswer(
   result: StoredResult,
 ): { readonly log: AnswerLog; readonly requestId: string } {
   const answer = { log: new AnswerLog(), requestId: "stored" };
-  fillFromStored(answer, result);
+  appendStoredResult(answer, result);
   return answer;
 }
--- a/packages/kelpspar-daemon/src/scheduling/create_permit.ts
+++ b/packages/kelpspar-daemon/src/scheduling/create_permit.ts
@@ -4,22 +4,22 @@
 import type { PermitRequest } from "./permit_request.ts";
 import { CallCharge } from "kelpspar-decisions/fairness";
 
-/** What a permit is made of. */
+/** Options of `createPermit`. */
 export interface CreatePermitOptions {
   readonly parts: DecisionParts;
   readonly timer: TimerService;
   readonly request: PermitRequest;
   readonly endpoint: EndpointAddress;
-  /** What the account was charged beforehand, runner-milliseconds. */
+  /** Estimated cost already charged to the account, runner-milliseconds. */
   readonly chargedCost: number;
   readonly charge: (difference: number) => void;
-  /** Told once what the call cost, and how long it held its slot. */
+  /** Called once with the call's cost and how long it occupied its slot. */
   readonly onEnd: (
     call: { readonly cost: number; readonly heldMilliseconds: number },
   ) => void;
 }
 
-/** Counts a call as started and gives the permit that ends it. */
+/** Records a call as started and returns the permit that ends it. */
 export function createPermit(options: CreatePermitOptions): Permit {
   const { parts, timer, request, endpoint } = options;
   const { endpointId } = endpoint;
--- a/packages/kelpspar-daemon/src/scheduling/decision_parts.ts
+++ b/packages/kelpspar-daemon/src/scheduling/decision_parts.ts
@@ -13,17 +13,17 @@
 const DEFAULT_RETRY_SHARE = 0.1;
 const DEFAULT_HEDGE_SHARE = 0.03;
 
-/** Who the daemon is, and the limits in force. */
+/** Options of `createDecisionParts`. */
 export interface DecisionPartsOptions {
   readonly incarnation: string;
   readonly availabilityZone: string;
   readonly random: RandomSource;
   readonly assumedConcurrency: (service: string) => number;
-  /** Limits of the configuration in force; read anew at each decision. */
+  /** Limits of the configuration in force; read at each decision. */
   readonly limits: () => LimitsConfiguration | undefined;
 }
 
-/** The decision logic of one daemon, shared by the parts that ask it. */
+/** The decision logic of one daemon, shared by its components. */
 export interface DecisionParts {
   readonly registry: EndpointRegistry;
   readonly prefixes: PrefixIndex;
--- a/packages/kelpspar-daemon/src/scheduling/demand_meter.ts
+++ b/packages/kelpspar-daemon/src/scheduling/demand_meter.ts
@@ -3,36 +3,36 @@
   AccountDemand,
 } from "kelpspar-decisions/fairness";
 
-const RATE_SECONDS = 5;
+const RATE_TIME_CONSTANT_SECONDS = 5;
 
-interface AccountUse {
+interface AccountUsage {
   running: number;
-  /** Cost charged of late, decaying; runner-milliseconds. */
+  /** Exponentially decaying cost, runner-milliseconds. */
   recentCost: number;
   updatedAt: number;
 }
 
-/** Counts what each client account asks of each service here. */
+/** Measures each client account's demand for each service on this daemon. */
 export class DemandMeter {
-  readonly #uses = new Map<string, Map<string, AccountUse>>();
+  readonly #usages = new Map<string, Map<string, AccountUsage>>();
 
   started(serviceId: string, accountId: string): void {
-    this.#open(serviceId, accountId).running++;
+    this.#usageOf(serviceId, accountId).running++;
   }
 
   ended(
     serviceId: string,
     call: { readonly accountId: string; readonly cost: number },
   ): void {
-    const use = this.#open(serviceId, call.accountId);
-    use.running--;
-    use.recentCost += call.cost;
+    const usage = this.#usageOf(serviceId, call.accountId);
+    usage.running--;
+    usage.recentCost += call.cost;
   }
 
-  /** The demand of every account that has some, sorted by account. */
+  /** The demand of every account with any, sorted by account. */
   read(serviceId: string, options: {
     readonly backlogs: readonly AccountBacklog[];
-    /** The account of each call that waits outside the queue. */
+    /** The account of each parked call. */
     readonly parked: readonly string[];
     readonly now: number;
   }): readonly AccountDemand[] {
@@ -43,34 +43,35 @@
     for (const accountId of options.parked) {
       waiting.set(accountId, (waiting.get(accountId) ?? 0) + 1);
     }
-    for (const accountId of waiting.keys()) this.#open(serviceId, accountId);
-    const uses = this.#uses.get(serviceId) ?? new Map<string, AccountUse>();
-    return [...uses].map(([accountId, use]) => ({
+    for (const accountId of waiting.keys()) this.#usageOf(serviceId, accountId);
+    const usages = this.#usages.get(serviceId) ??
+      new Map<string, AccountUsage>();
+    return [...usages].map(([accountId, usage]) => ({
       accountId,
-      demand: use.running + (waiting.get(accountId) ?? 0),
-      usageRate: this.#rateOf(use, options.now),
+      demand: usage.running + (waiting.get(accountId) ?? 0),
+      usageRate: this.#rateOf(usage, options.now),
     })).filter((row) => row.demand > 0 || row.usageRate > 1)
       .sort((left, right) => left.accountId < right.accountId ? -1 : 1);
   }
 
-  #rateOf(use: AccountUse, now: number): number {
-    const seconds = (now - use.updatedAt) / 1_000;
-    use.recentCost *= Math.exp(-seconds / RATE_SECONDS);
-    use.updatedAt = now;
-    return use.recentCost / RATE_SECONDS;
+  #rateOf(usage: AccountUsage, now: number): number {
+    const seconds = (now - usage.updatedAt) / 1_000;
+    usage.recentCost *= Math.exp(-seconds / RATE_TIME_CONSTANT_SECONDS);
+    usage.updatedAt = now;
+    return usage.recentCost / RATE_TIME_CONSTANT_SECONDS;
   }
 
-  #open(serviceId: string, accountId: string): AccountUse {
-    let accounts = this.#uses.get(serviceId);
+  #usageOf(serviceId: string, accountId: string): AccountUsage {
+    let accounts = this.#usages.get(serviceId);
     if (accounts === undefined) {
       accounts = new Map();
-      this.#uses.set(serviceId, accounts);
+      this.#usages.set(serviceId, accounts);
     }
-    let use = accounts.get(accountId);
-    if (use === undefined) {
-      use = { running: 0, recentCost: 0, updatedAt: 0 };
-      accounts.set(accountId, use);
+    let usage = accounts.get(accountId);
+    if (usage === undefined) {
+      usage = { running: 0, recentCost: 0, updatedAt: 0 };
+      accounts.set(accountId, usage);
     }
-    return use;
+    return usage;
   }
 }
--- a/packages/kelpspar-daemon/src/scheduling/endpoint_selector.ts
+++ b/packages/kelpspar-daemon/src/scheduling/endpoint_selector.ts
@@ -8,8 +8,8 @@
 import type { NoEndpointReason } from "./service_dispatcher.ts";
 import { chooseEndpoint } from "kelpspar-decisions/routing";
 
-/** What endpoints are chosen from and by. */
-export interface ReadyEndpointsOptions {
+/** Options of `EndpointSelector`. */
+export interface EndpointSelectorOptions {
   readonly registry: EndpointRegistry;
   readonly prefixes: PrefixIndex;
   readonly availabilityZone: string;
@@ -20,11 +20,11 @@
 type Pool = NonNullable<ReturnType<EndpointRegistry["candidates"]>>;
 type Tier = ReturnType<Pool["tiersFrom"]>[number];
 
-/** The endpoints that take calls, as this daemon knows them. */
-export class ReadyEndpoints {
-  readonly #options: ReadyEndpointsOptions;
+/** Selects endpoints for calls and counts the candidates. */
+export class EndpointSelector {
+  readonly #options: EndpointSelectorOptions;
 
-  constructor(options: ReadyEndpointsOptions) {
+  constructor(options: EndpointSelectorOptions) {
     this.#options = options;
   }
 
@@ -45,7 +45,7 @@
     return "none" in chosen ? chosen.none : chosen;
   }
 
-  /** Calls that a service's endpoints run at a time, all together. */
+  /** Total concurrency of a service's endpoints. */
   capacityOf(serviceId: string): number {
     const now = this.#options.timer.now();
     let capacity = 0;
--- a/packages/kelpspar-daemon/src/scheduling/fair_scheduler.ts
+++ b/packages/kelpspar-daemon/src/scheduling/fair_scheduler.ts
@@ -8,7 +8,7 @@
 import type { DecisionParts } from "./decision_parts.ts";
 import type { Permit } from "./permit.ts";
 import type { PermitRequest } from "./permit_request.ts";
-import type { ExpectedCallName, Scheduler, ServiceLoad } from "./scheduler.ts";
+import type { ExpectedCallKey, Scheduler, ServiceLoad } from "./scheduler.ts";
 import type { WaitingCall } from "./service_dispatcher.ts";
 import {
   computeFleetShares,
@@ -20,54 +20,54 @@
 import { KelpsparError } from "kelpspar-shared";
 import { createPermit } from "./create_permit.ts";
 import { DemandMeter } from "./demand_meter.ts";
-import { ReadyEndpoints } from "./endpoint_selector.ts";
+import { EndpointSelector } from "./endpoint_selector.ts";
 import { WaitEstimator } from "./wait_estimator.ts";
-import { ServiceGate } from "./service_dispatcher.ts";
+import { ServiceDispatcher } from "./service_dispatcher.ts";
 
 const TICK_MILLISECONDS = 20;
-const SHARES_EVERY_TICKS = 10;
-/** The shares' arithmetic grows with accounts times services. */
-const SHARES_EVERY_TICKS_OF_MANY = 50;
-const MANY_SHARES = 500;
-const COMEBACK_MILLISECONDS = 500;
-/** Memory for the calls that wait before all services together. */
-const QUEUED_BYTES = 64 * 1024 * 1024;
+const SHARE_UPDATE_TICKS = 10;
+/** The cost of computing shares grows with accounts times services. */
+const LARGE_SITE_SHARE_UPDATE_TICKS = 50;
+const LARGE_SITE_SHARE_COUNT = 500;
+const RETRY_AFTER_MILLISECONDS = 500;
+/** Memory for the queued calls of all services together. */
+const MAXIMUM_TOTAL_QUEUED_BYTES = 64 * 1024 * 1024;
 
-/** What the scheduler works on. */
+/** Options of `FairScheduler`. */
 export interface FairSchedulerOptions {
   readonly parts: DecisionParts;
   readonly configuration: ConfigurationIndexReader;
   readonly availabilityZone: string;
   readonly timer: TimerService;
   readonly random: RandomSource;
-  /** Daemons known to live, this one included. */
+  /** Number of live daemons, this one included. */
   readonly liveDaemons: () => number;
-  /** Told how long a call waited for its permit. */
+  /** Called with the time that a call waited for its permit. */
   readonly onWait: (request: PermitRequest, milliseconds: number) => void;
 }
 
 /**
- * Schedules stages: a gate for each service, fair by client account, and a
- * choice among the service's endpoints.
+ * Schedules stages: one dispatcher per service shares its slots fairly among
+ * client accounts, and an endpoint is selected for each call.
  */
 export class FairScheduler implements Scheduler {
   readonly #options: FairSchedulerOptions;
-  readonly #gates = new Map<string, ServiceGate>();
-  readonly #demand = new DemandMeter();
-  readonly #endpoints: ReadyEndpoints;
-  readonly #waits: WaitEstimator;
+  readonly #dispatchers = new Map<string, ServiceDispatcher>();
+  readonly #demandMeter = new DemandMeter();
+  readonly #endpoints: EndpointSelector;
+  readonly #waitEstimator: WaitEstimator;
   #ticks = 0;
-  /** The peers' demand, merged once for all services. */
-  #peers = EMPTY_DEMAND;
+  /** The other daemons' demand, merged once for all services. */
+  #peerDemand = EMPTY_DEMAND;
 
   constructor(options: FairSchedulerOptions) {
     this.#options = options;
     const { parts, configuration } = options;
-    this.#endpoints = new ReadyEndpoints({ ...options, ...parts });
-    this.#waits = new WaitEstimator({ ...parts, configuration });
+    this.#endpoints = new EndpointSelector({ ...options, ...parts });
+    this.#waitEstimator = new WaitEstimator({ ...parts, configuration });
   }
 
-  /** Starts the clockwork; returns the teardown. */
+  /** Starts the periodic tick; returns the teardown. */
   start(): () => void {
     return this.#options.timer.registerInterval(
       () => this.#tick(),
@@ -78,32 +78,32 @@
   acquire(request: PermitRequest): Promise<Permit> {
     return new Promise((resolve, reject) => {
       if (request.signal.aborted) return reject(request.signal.reason);
-      const gate = this.#gateOf(request.service);
-      // A call may be refused before there is anything to cancel.
+      const dispatcher = this.#dispatcherOf(request.service);
+      // The call may be refused before `cancel` is assigned.
       let cancel = (): void => {};
       const stopListening = (): void =>
         request.signal.removeEventListener("abort", cancel);
       const call: WaitingCall = {
         request,
         chargedCost: 0,
-        since: this.#options.timer.now(),
+        waitingSince: this.#options.timer.now(),
         grant: (endpoint) => {
           stopListening();
-          resolve(this.#grant(gate, call, endpoint));
+          resolve(this.#grant(dispatcher, call, endpoint));
         },
         refuse: (error) => {
           stopListening();
           reject(error);
         },
       };
-      const ticket = this.#enqueue(gate, call);
+      const ticket = this.#enqueue(dispatcher, call);
       if (ticket === undefined) return;
       cancel = (): void => {
-        if (!gate.queue.remove(ticket)) gate.cancelParked(call);
+        if (!dispatcher.queue.remove(ticket)) dispatcher.cancelParked(call);
         reject(request.signal.reason);
       };
       request.signal.addEventListener("abort", cancel);
-      gate.pump();
+      dispatcher.dispatchWaiting();
     });
   }
 
@@ -111,38 +111,44 @@
     service: string,
     call: { readonly accountId: string; readonly priority: number },
   ): number {
-    return this.#waits.estimate(this.#gateOf(service), { service, ...call });
+    return this.#waitEstimator.estimate(this.#dispatcherOf(service), {
+      service,
+      ...call,
+    });
   }
 
-  expect(call: ExpectedCallName): () => void {
-    return this.#waits.expect(call);
+  expect(call: ExpectedCallKey): () => void {
+    return this.#waitEstimator.expect(call);
   }
 
   loadOf(
     request: Pick<PermitRequest, "service" | "model" | "exclude">,
   ): ServiceLoad {
-    const gate = this.#gateOf(request.service);
+    const dispatcher = this.#dispatcherOf(request.service);
     const endpoints = this.#endpoints.count(
       request.service,
       request.model,
     );
     return {
-      waiting: gate.waiting,
-      utilization: gate.running / gate.limit,
+      waiting: dispatcher.waiting,
+      utilization: dispatcher.running / dispatcher.limit,
       otherEndpoints: Math.max(0, endpoints - request.exclude.size),
     };
   }
 
-  /** What this daemon's accounts ask of each service, for its digest. */
+  /** The accounts' demand for each service, for this daemon's digest. */
   demands(): readonly ServiceDemand[] {
-    return [...this.#gates.keys()].sort().map((serviceId) => ({
+    return [...this.#dispatchers.keys()].sort().map((serviceId) => ({
       serviceId,
       capacitySeen: this.#endpoints.capacityOf(serviceId),
       accounts: this.#demandOf(serviceId),
     }));
   }
 
-  #enqueue(gate: ServiceGate, call: WaitingCall): number | undefined {
+  #enqueue(
+    dispatcher: ServiceDispatcher,
+    call: WaitingCall,
+  ): number | undefined {
     const { request } = call;
     const { parts, timer } = this.#options;
     const now = timer.now();
@@ -151,16 +157,16 @@
       request.stageIds,
       now,
     );
-    const result = gate.queue.enqueue({
+    const result = dispatcher.queue.enqueue({
       accountId: request.accountId,
       priority: request.priority,
       deadlineAt: request.deadlineAt,
-      // With others waiting, a slot that is given to a call which will most
-      // likely be late is denied to one that would be in time.
-      minimumRemainingMilliseconds: gate.isContended
+      // Under contention, a slot granted to a call that will probably miss its
+      // deadline is lost to one that would meet it.
+      minimumRemainingMilliseconds: dispatcher.isContended
         ? times.likely
         : times.minimum,
-      estimatedCost: this.#waits.costOf(request),
+      estimatedCost: this.#waitEstimator.costOf(request),
       bytes: request.bytes,
       item: call,
     }, now);
@@ -176,54 +182,57 @@
   }
 
   #grant(
-    gate: ServiceGate,
+    dispatcher: ServiceDispatcher,
     call: WaitingCall,
     endpoint: EndpointAddress,
   ): Permit {
     const { request } = call;
     const { parts, timer } = this.#options;
-    this.#options.onWait(request, timer.now() - call.since);
-    this.#demand.started(request.service, request.accountId);
+    this.#options.onWait(request, timer.now() - call.waitingSince);
+    this.#demandMeter.started(request.service, request.accountId);
     return createPermit({
       parts,
       timer,
       request,
       endpoint,
       chargedCost: call.chargedCost,
-      charge: (difference) => gate.queue.charge(request.accountId, difference),
+      charge: (difference) =>
+        dispatcher.queue.charge(request.accountId, difference),
       onEnd: (ended) => {
-        this.#demand.ended(request.service, {
+        this.#demandMeter.ended(request.service, {
           accountId: request.accountId,
           cost: ended.cost,
         });
-        gate.callEnded(ended);
+        dispatcher.callEnded(ended);
       },
     });
   }
 
-  #gateOf(serviceId: string): ServiceGate {
-    const known = this.#gates.get(serviceId);
-    if (known !== undefined) return known;
+  #dispatcherOf(serviceId: string): ServiceDispatcher {
+    const existing = this.#dispatchers.get(serviceId);
+    if (existing !== undefined) return existing;
     const { timer, random, configuration } = this.#options;
-    const gate = new ServiceGate({
+    const dispatcher = new ServiceDispatcher({
       serviceId,
       queue: new FairQueue<WaitingCall>({
         random,
-        boundsOf: (accountId) => this.#boundsOf(accountId),
+        boundsOf: (accountId) => this.#queueLimitsOf(accountId),
         maximumTotalBytes: Math.floor(
-          QUEUED_BYTES / Math.max(1, configuration.services().size),
+          MAXIMUM_TOTAL_QUEUED_BYTES /
+            Math.max(1, configuration.services().size),
         ),
       }),
       choose: (request) => this.#endpoints.choose(request),
       now: () => timer.now(),
-      comeback: () => retryDelayMilliseconds(COMEBACK_MILLISECONDS, { random }),
+      jitteredRetryAfter: () =>
+        retryDelayMilliseconds(RETRY_AFTER_MILLISECONDS, { random }),
     });
-    this.#gates.set(serviceId, gate);
-    this.#setShares(serviceId, gate);
-    return gate;
+    this.#dispatchers.set(serviceId, dispatcher);
+    this.#updateShares(serviceId, dispatcher);
+    return dispatcher;
   }
 
-  #boundsOf(accountId: string): {
+  #queueLimitsOf(accountId: string): {
     readonly maximumRequests: number;
     readonly maximumBytes: number;
     readonly maximumWaitMilliseconds: number;
@@ -238,24 +247,28 @@
 
   #tick(): void {
     this.#ticks++;
-    if (this.#ticks % this.#sharesEvery() === 0) {
+    if (this.#ticks % this.#shareUpdateTicks() === 0) {
       const { parts, timer } = this.#options;
-      this.#peers = parts.fleet.peers(timer.now());
-      for (const [id, gate] of this.#gates) this.#setShares(id, gate);
+      this.#peerDemand = parts.fleet.peers(timer.now());
+      for (const [id, dispatcher] of this.#dispatchers) {
+        this.#updateShares(id, dispatcher);
+      }
+    }
+    for (const dispatcher of this.#dispatchers.values()) {
+      dispatcher.dispatchWaiting();
     }
-    for (const gate of this.#gates.values()) gate.pump();
   }
 
-  /** Share that was lent out is taken back within a second at any size. */
-  #sharesEvery(): number {
+  /** Ticks between share updates; lent share is reclaimed within a second. */
+  #shareUpdateTicks(): number {
     const accounts = this.#options.configuration.accounts().size;
-    const isMany = accounts * this.#gates.size > MANY_SHARES;
-    return isMany ? SHARES_EVERY_TICKS_OF_MANY : SHARES_EVERY_TICKS;
+    const isMany = accounts * this.#dispatchers.size > LARGE_SITE_SHARE_COUNT;
+    return isMany ? LARGE_SITE_SHARE_UPDATE_TICKS : SHARE_UPDATE_TICKS;
   }
 
-  #setShares(serviceId: string, gate: ServiceGate): void {
+  #updateShares(serviceId: string, dispatcher: ServiceDispatcher): void {
     const { configuration } = this.#options;
-    const peers = this.#peers;
+    const peers = this.#peerDemand;
     const shares = new Map(
       [...configuration.accounts()].map(([id, account]) => [id, account.share]),
     );
@@ -269,15 +282,15 @@
       },
       shares,
     });
-    gate.setLimit(fleet.concurrency);
-    gate.queue.setShares(fleet.weights);
+    dispatcher.setLimit(fleet.concurrency);
+    dispatcher.queue.setShares(fleet.weights);
   }
 
   #demandOf(serviceId: string): readonly AccountDemand[] {
-    const gate = this.#gates.get(serviceId);
-    return this.#demand.read(serviceId, {
-      backlogs: gate?.queue.backlogs() ?? [],
-      parked: gate?.parked.map((call) => call.request.accountId) ?? [],
+    const dispatcher = this.#dispatchers.get(serviceId);
+    return this.#demandMeter.read(serviceId, {
+      backlogs: dispatcher?.queue.backlogs() ?? [],
+      parked: dispatcher?.parked.map((call) => call.request.accountId) ?? [],
       now: this.#options.timer.now(),
     });
   }
--- a/packages/kelpspar-daemon/src/scheduling/permit_request.ts
+++ b/packages/kelpspar-daemon/src/scheduling/permit_request.ts
@@ -1,4 +1,4 @@
-/** What the scheduler needs to know to give a permit. */
+/** Inputs of the scheduler for one permit. */
 export interface PermitRequest {
   readonly service: string;
   readonly model: string | undefined;
@@ -14,7 +14,7 @@
   readonly deadlineAt: number;
   readonly bytes: number;
   readonly prefixHash: string | undefined;
-  /** Endpoints not to use, for retries and hedges. */
+  /** Ids of endpoints to avoid, for retries and hedges. */
   readonly exclude: ReadonlySet<string>;
   readonly signal: AbortSignal;
 }
--- a/packages/kelpspar-daemon/src/scheduling/scheduler.ts
+++ b/packages/kelpspar-daemon/src/scheduling/scheduler.ts
@@ -1,38 +1,38 @@
 import type { Permit } from "./permit.ts";
 import type { PermitRequest } from "./permit_request.ts";
 
-/** How busy a service is, as this daemon sees it. */
+/** Load of a service as seen by this daemon. */
 export interface ServiceLoad {
-  /** Calls that wait here. */
+  /** Number of calls that wait on this daemon. */
   readonly waiting: number;
-  /** Calls running by this daemon's slice, 0 to 1. */
+  /** Running calls divided by this daemon's concurrency limit. */
   readonly utilization: number;
-  /** Endpoints ready for a call of the model, those excluded left out. */
+  /** Endpoints ready for a call of the model, without the excluded ones. */
   readonly otherEndpoints: number;
 }
 
-/** A call that an admitted request is going to make. */
-export type ExpectedCallName = Pick<
+/** Identifies a call that an admitted request is expected to make. */
+export type ExpectedCallKey = Pick<
   PermitRequest,
   "service" | "accountId" | "pipelineId" | "stageId"
 >;
 
 /**
- * Decides when a stage may be called and at which endpoint. Rejects with
- * `overloaded`, `no_endpoint` or `cannot_finish_in_time`, at once.
+ * Decides when a stage's call may start and at which endpoint. Rejects at once
+ * with `overloaded`, `no_endpoint` or `cannot_finish_in_time`.
  */
 export interface Scheduler {
   acquire(request: PermitRequest): Promise<Permit>;
-  /** How long a new call would wait for its turn, milliseconds. */
+  /** Estimated queueing time of a new call, milliseconds. */
   estimateWait(
     service: string,
     call: { readonly accountId: string; readonly priority: number },
   ): number;
   /**
-   * Counts a call that is going to be made; returns what takes it back, once
-   * the call asks for its permit or never will.
+   * Registers an expected call; returns the teardown, to run when the call
+   * requests its permit or is abandoned.
    */
-  expect(call: ExpectedCallName): () => void;
+  expect(call: ExpectedCallKey): () => void;
   loadOf(
     request: Pick<PermitRequest, "service" | "model" | "exclude">,
   ): ServiceLoad;
--- a/packages/kelpspar-daemon/src/scheduling/service_dispatcher.ts
+++ b/packages/kelpspar-daemon/src/scheduling/service_dispatcher.ts
@@ -4,16 +4,16 @@
 import { SlotPace } from "kelpspar-decisions/fairness";
 import { KelpsparError } from "kelpspar-shared";
 
-/** Calls that left the queue but wait for an endpoint of their model. */
-const MOST_PARKED = 8;
+/** Limit of calls that left the queue and wait for an endpoint of their model. */
+const MAXIMUM_PARKED_CALLS = 8;
 
 /** A call that waits for its permit. */
 export interface WaitingCall {
   readonly request: PermitRequest;
-  /** What its account was charged as it left the queue. */
+  /** Estimated cost charged to its account when it left the queue. */
   chargedCost: number;
-  /** When the call began to wait, monotonic milliseconds. */
-  readonly since: number;
+  /** When the call was enqueued, monotonic milliseconds. */
+  readonly waitingSince: number;
   readonly grant: (endpoint: EndpointAddress) => void;
   readonly refuse: (error: KelpsparError) => void;
 }
@@ -21,32 +21,32 @@
 /** Why no endpoint was found for a call. */
 export type NoEndpointReason = "no_endpoint" | "all_full";
 
-/** What a gate asks of its surroundings. */
-export interface ServiceGateOptions {
+/** Options of `ServiceDispatcher`. */
+export interface ServiceDispatcherOptions {
   readonly serviceId: string;
   readonly queue: FairQueue<WaitingCall>;
   readonly choose: (
     request: PermitRequest,
   ) => EndpointAddress | NoEndpointReason;
   readonly now: () => number;
-  /** When refused callers may come back, milliseconds. */
-  readonly comeback: () => number;
+  /** Retry delay for refused callers, milliseconds. */
+  readonly jitteredRetryAfter: () => number;
 }
 
 /**
- * Lets calls of one service pass in fair order, up to this daemon's slice of
- * the service's concurrency. A call whose model has no free endpoint is parked
- * rather than blocking calls of other models behind it; a few at a time, so
- * that the fair order is kept but for those.
+ * Dispatches the calls of one service in fair order, up to this daemon's share
+ * of the service's concurrency. A call whose model has no free endpoint is
+ * parked, so that it doesn't block calls of other models (head-of-line
+ * blocking). The limit of parked calls bounds the deviation from the fair order.
  */
-export class ServiceGate {
-  readonly #options: ServiceGateOptions;
+export class ServiceDispatcher {
+  readonly #options: ServiceDispatcherOptions;
   #parked: WaitingCall[] = [];
   readonly #pace = new SlotPace();
   #running = 0;
   #limit = 1;
 
-  constructor(options: ServiceGateOptions) {
+  constructor(options: ServiceDispatcherOptions) {
     this.#options = options;
   }
 
@@ -66,42 +66,44 @@
     return this.#options.queue;
   }
 
-  /** The calls that left the queue and wait for an endpoint. */
+  /** The calls that left the queue and wait for a free endpoint. */
   get parked(): readonly WaitingCall[] {
     return this.#parked;
   }
 
-  /** Cost that this daemon's slice works off in a millisecond. */
+  /** Cost that this daemon's slots process in a millisecond. */
   get concurrency(): number {
     return this.#pace.concurrencyOf(this.#limit);
   }
 
-  /** True when a new call would not start at once. */
+  /** True when a new call would have to wait. */
   get isContended(): boolean {
     return this.waiting > 0 || this.#running >= this.#limit;
   }
 
-  /** Sets how many calls this daemon may run at a time. */
+  /** Sets this daemon's limit of concurrent calls. */
   setLimit(limit: number): void {
     this.#limit = Math.max(1, limit);
     this.#options.queue.setConcurrency(this.concurrency);
   }
 
-  /** Counts a call as ended and lets others pass. */
+  /** Records the end of a call and dispatches waiting ones. */
   callEnded(call: {
     readonly heldMilliseconds: number;
     readonly cost: number;
   }): void {
     this.#running--;
     this.#pace.observe(call);
-    this.pump();
+    this.dispatchWaiting();
   }
 
-  /** Lets pass what may, and refuses at once what waits in vain. */
-  pump(): void {
+  /** Dispatches calls up to the limit and refuses those past their deadline. */
+  dispatchWaiting(): void {
     this.#refuseExpired();
     this.#grantParked();
-    while (this.#running < this.#limit && this.#parked.length < MOST_PARKED) {
+    while (
+      this.#running < this.#limit && this.#parked.length < MAXIMUM_PARKED_CALLS
+    ) {
       const item = this.#options.queue.dequeue(this.#options.now());
       if (item === undefined) break;
       item.item.chargedCost = item.chargedCost;
@@ -110,7 +112,7 @@
     this.#refuseExpired();
   }
 
-  /** Takes out a parked call that nobody wants any more. */
+  /** Removes a cancelled call from the parked ones. */
   cancelParked(call: WaitingCall): void {
     this.#parked = this.#parked.filter((parked) => parked !== call);
     this.#refund(call);
@@ -121,19 +123,19 @@
     const parked = this.#parked;
     this.#parked = [];
     for (const call of parked) {
-      const isPast = call.request.deadlineAt <= this.#options.now();
-      if (isPast) this.#refuse(call, this.#lateError(call));
+      const isExpired = call.request.deadlineAt <= this.#options.now();
+      if (isExpired) this.#refuse(call, this.#createLateError(call));
       else if (!this.#tryGrant(call)) this.#parked.push(call);
     }
   }
 
-  /** True when the call needs to wait no longer: granted or refused. */
+  /** Returns true when the call was granted or refused, false when it waits. */
   #tryGrant(call: WaitingCall): boolean {
     if (this.#running >= this.#limit) return false;
     const chosen = this.#options.choose(call.request);
     if (chosen === "all_full") return false;
     if (chosen === "no_endpoint") {
-      this.#refuse(call, this.#noEndpointError(call));
+      this.#refuse(call, this.#createNoEndpointError(call));
       return true;
     }
     this.#running++;
@@ -141,7 +143,7 @@
     return true;
   }
 
-  /** A call that left the queue was charged; one that never runs is not. */
+  /** Refuses a call and refunds the cost charged when it left the queue. */
   #refuse(call: WaitingCall, error: KelpsparError): void {
     this.#refund(call);
     call.refuse(error);
@@ -155,23 +157,23 @@
 
   #refuseExpired(): void {
     for (const { item } of this.#options.queue.expired(this.#options.now())) {
-      item.refuse(this.#lateError(item));
+      item.refuse(this.#createLateError(item));
     }
   }
 
-  #lateError(call: WaitingCall): KelpsparError {
+  #createLateError(call: WaitingCall): KelpsparError {
     return new KelpsparError(
       "cannot_finish_in_time",
       `Stage "${call.request.stageId}" waited too long for service "${this.#options.serviceId}"`,
-      { retryAfterMilliseconds: this.#options.comeback() },
+      { retryAfterMilliseconds: this.#options.jitteredRetryAfter() },
     );
   }
 
-  #noEndpointError(call: WaitingCall): KelpsparError {
+  #createNoEndpointError(call: WaitingCall): KelpsparError {
     return new KelpsparError(
       "no_endpoint",
       `No endpoint of service "${this.#options.serviceId}" is ready for stage "${call.request.stageId}"`,
-      { retryAfterMilliseconds: this.#options.comeback() },
+      { retryAfterMilliseconds: this.#options.jitteredRetryAfter() },
     );
   }
 }
--- a/packages/kelpspar-daemon/src/scheduling/wait_estimator.ts
+++ b/packages/kelpspar-daemon/src/scheduling/wait_estimator.ts
@@ -1,19 +1,19 @@
 import type { ExpectedCalls } from "kelpspar-decisions/admission";
 import type { CostEstimator } from "kelpspar-decisions/fairness";
 import type { ConfigurationIndexReader } from "../state/configuration_reader.ts";
-import type { ExpectedCallName } from "./scheduler.ts";
-import type { ServiceGate } from "./service_dispatcher.ts";
+import type { ExpectedCallKey } from "./scheduler.ts";
+import type { ServiceDispatcher } from "./service_dispatcher.ts";
 
-const SMALLEST_PART = 1e-3;
+const MINIMUM_SHARE_FRACTION = 1e-3;
 
-/** What waits are worked out from. */
+/** Options of `WaitEstimator`. */
 export interface WaitEstimatorOptions {
   readonly expected: ExpectedCalls;
   readonly costs: CostEstimator;
   readonly configuration: ConfigurationIndexReader;
 }
 
-/** Works out how long calls will wait, and what they will cost. */
+/** Estimates the queueing time and the cost of calls. */
 export class WaitEstimator {
   readonly #options: WaitEstimatorOptions;
 
@@ -21,20 +21,20 @@
     this.#options = options;
   }
 
-  /** How long a new call would wait for its turn, milliseconds. */
-  estimate(gate: ServiceGate, call: {
+  /** Estimated queueing time of a new call, milliseconds. */
+  estimate(dispatcher: ServiceDispatcher, call: {
     readonly service: string;
     readonly accountId: string;
     readonly priority: number;
   }): number {
-    const queued = gate.isContended
-      ? gate.queue.estimateWait(call.accountId, call.priority)
+    const queued = dispatcher.isContended
+      ? dispatcher.queue.estimateWait(call.accountId, call.priority)
       : 0;
-    return queued + this.#expectedWait(gate, call);
+    return queued + this.#expectedWait(dispatcher, call);
   }
 
-  /** Counts a call that is going to be made; returns what takes it back. */
-  expect(call: ExpectedCallName): () => void {
+  /** Registers an expected call; returns the teardown. */
+  expect(call: ExpectedCallKey): () => void {
     return this.#options.expected.add({
       serviceId: call.service,
       accountId: call.accountId,
@@ -42,8 +42,8 @@
     });
   }
 
-  /** What a call is expected to cost, runner-milliseconds. */
-  costOf(call: ExpectedCallName): number {
+  /** Estimated cost of a call, runner-milliseconds. */
+  costOf(call: ExpectedCallKey): number {
     return this.#options.costs.estimate({
       serviceId: call.service,
       accountId: call.accountId,
@@ -52,9 +52,9 @@
     }).runnerMilliseconds;
   }
 
-  /** What the calls of admitted requests, still to come, add to a wait. */
+  /** Queueing time added by expected calls of admitted requests. */
   #expectedWait(
-    gate: ServiceGate,
+    dispatcher: ServiceDispatcher,
     call: { readonly service: string; readonly accountId: string },
   ): number {
     const { expected } = this.#options;
@@ -62,28 +62,34 @@
     return expected.waitOf({
       serviceId: call.service,
       accountId: call.accountId,
-      concurrency: gate.concurrency,
-      freeSlots: Math.max(0, gate.limit - gate.running - gate.waiting),
-      part: this.#partOf(gate, call),
-      isContended: gate.waiting > 0,
+      concurrency: dispatcher.concurrency,
+      freeSlots: Math.max(
+        0,
+        dispatcher.limit - dispatcher.running - dispatcher.waiting,
+      ),
+      part: this.#shareFractionOf(dispatcher, call),
+      isContended: dispatcher.waiting > 0,
     });
   }
 
-  /** The account's part of the shares of all that contend for a service. */
-  #partOf(
-    gate: ServiceGate,
+  /** The account's fraction of the shares of all accounts in contention. */
+  #shareFractionOf(
+    dispatcher: ServiceDispatcher,
     call: { readonly service: string; readonly accountId: string },
   ): number {
     const { expected, configuration } = this.#options;
     const accounts = configuration.accounts();
     const shareOf = (id: string): number => accounts.get(id)?.share ?? 0;
     const contenders = new Set(expected.accountsOf(call.service));
-    for (const { accountId } of gate.queue.backlogs()) {
+    for (const { accountId } of dispatcher.queue.backlogs()) {
       contenders.add(accountId);
     }
     contenders.add(call.accountId);
     let total = 0;
     for (const id of contenders) total += shareOf(id);
-    return Math.max(SMALLEST_PART, shareOf(call.accountId) / (total || 1));
+    return Math.max(
+      MINIMUM_SHARE_FRACTION,
+      shareOf(call.accountId) / (total || 1),
+    );
   }
 }
--- a/packages/kelpspar-scenarios/src/mutants/claim_mutants.ts
+++ b/packages/kelpspar-scenarios/src/mutants/claim_mutants.ts
@@ -40,7 +40,7 @@
         claims.begin = (beginning) => {
           const handle = begin(beginning);
           beginning.listener.onRun();
-          return { ...handle, dispatch: () => true };
+          return { ...handle, tryDispatch: () => true };
         };
       },
     },
--- a/packages/kelpspar-scenarios/src/world/callers/callers.ts
+++ b/packages/kelpspar-scenarios/src/world/callers/callers.ts
@@ -140,7 +140,7 @@
       attempt.leave = () => {
         stopReading();
         void daemon.process.awake().then(() =>
-          daemon.core.requests.readerLeft(context)
+          daemon.core.requests.onReaderDisconnected(context)
         );
       };
       if (attempt.ending?.type === "left") attempt.leave();
