--- a/packages/kelpspar-daemon/src/endpoints/endpoint_monitor.ts
+++ b/packages/kelpspar-daemon/src/endpoints/endpoint_monitor.ts
@@ -97,7 +97,7 @@
     if (this.#liveMemberIds() !== this.#assignedMembers) this.#assign();
     for (const { endpointId } of this.#pollAssignments) {
       const entry = this.#options.parts.registry.entryOf(endpointId);
-      if (entry !== undefined) void this.#pollEndpoint(entry.address);
+      if (entry !== undefined) void this.#poll(entry.address);
     }
   }
 
@@ -105,9 +105,7 @@
   probe(): void {
     const { registry } = this.#options.parts;
     const now = this.#options.timer.now();
-    for (const address of registry.probesDue(now)) {
-      void this.#pollEndpoint(address);
-    }
+    for (const address of registry.probesDue(now)) void this.#poll(address);
     registry.ejectLatencyOutliers(now);
   }
 
@@ -232,7 +230,7 @@
     });
   }
 
-  async #pollEndpoint(address: EndpointAddress): Promise<void> {
+  async #poll(address: EndpointAddress): Promise<void> {
     const { endpointId } = address;
     if (this.#pollsInFlight.has(endpointId)) return;
     this.#pollsInFlight.add(endpointId);
--- a/packages/kelpspar-daemon/src/requests/call_attempt.ts
+++ b/packages/kelpspar-daemon/src/requests/call_attempt.ts
@@ -68,7 +68,7 @@
     progressTimeoutMilliseconds: task.service.progressTimeoutMilliseconds,
     startedAt,
   });
-  const describeAttempt = (): Omit<AttemptResult, "end" | "error"> => ({
+  const describe = (): Omit<AttemptResult, "end" | "error"> => ({
     attemptId,
     mayResume,
     milliseconds: timer.now() - startedAt,
@@ -107,11 +107,11 @@
         plan.permit.progress();
       },
     });
-    return { ...describeAttempt(), end };
+    return { ...describe(), end };
   } catch (thrown) {
     const error = toKelpsparError(thrown, "endpoint_failed");
     trace.dispatches[proof] = proofOf(error);
-    return { ...describeAttempt(), error };
+    return { ...describe(), error };
   }
 }
 
--- a/packages/kelpspar-daemon/src/requests/claimed_once_guard.ts
+++ b/packages/kelpspar-daemon/src/requests/claimed_once_guard.ts
@@ -84,7 +84,7 @@
         },
         onSettled: (settlement) => {
           stopTimeout();
-          this.#applySettlement(settlement);
+          this.#settle(settlement);
         },
       },
     });
@@ -139,12 +139,10 @@
       if (isRefused) context.abort.abort(createStoreError());
       return;
     }
-    if (found !== undefined && this.#handle === undefined) {
-      this.#applySettlement(found);
-    }
+    if (found !== undefined && this.#handle === undefined) this.#settle(found);
   }
 
-  #applySettlement(settlement: ClaimSettlement): void {
+  #settle(settlement: ClaimSettlement): void {
     if (this.#isOver) return;
     this.#isOver = true;
     this.#options.onSettled(settlement);
--- a/packages/kelpspar-daemon/src/requests/hedged_call.ts
+++ b/packages/kelpspar-daemon/src/requests/hedged_call.ts
@@ -83,10 +83,10 @@
   #scheduleHedge(startedAt: number): PendingHedge {
     const { parts, timer } = this.#services;
     const { trace, service } = this.#task;
-    const hedgeDelay = trace.once || service.kind === "engine"
+    const after = trace.once || service.kind === "engine"
       ? undefined
       : parts.hedges.hedgeDelay(service.id, startedAt);
-    if (hedgeDelay === undefined) {
+    if (after === undefined) {
       const none = Promise.resolve(undefined);
       return { started: none, current: () => undefined, stop: () => {} };
     }
@@ -101,7 +101,7 @@
         runningHedge = hedge;
         resolveStarted(hedge);
       });
-    }, hedgeDelay);
+    }, after);
     const stop = (): void => {
       isOver = true;
       stopTimer();
--- a/packages/kelpspar-daemon/src/requests/record_gap_estimator.ts
+++ b/packages/kelpspar-daemon/src/requests/record_gap_estimator.ts
@@ -1,7 +1,7 @@
 import { TimeHistogram } from "kelpspar-decisions/admission";
 
 const SAMPLE_INTERVAL = 8;
-const MINIMUM_SAMPLES = 50;
+const MIN_SAMPLES = 50;
 
 /**
  * Estimates the time between the records of each service's streams, to
@@ -29,9 +29,7 @@
   /** The p99 gap of a service, milliseconds; undefined with too few samples. */
   p99(serviceId: string, now: number): number | undefined {
     const times = this.#histograms.get(serviceId)?.times(now);
-    if (times === undefined || times.samples < MINIMUM_SAMPLES) {
-      return undefined;
-    }
+    if (times === undefined || times.samples < MIN_SAMPLES) return undefined;
     return times.p99;
   }
 }
--- a/packages/kelpspar-daemon/src/requests/stage_attempt.ts
+++ b/packages/kelpspar-daemon/src/requests/stage_attempt.ts
@@ -47,7 +47,7 @@
 }
 
 const STREAM_CLOSE_TIMEOUT_MILLISECONDS = 20;
-const PROGRESS_CHECK_INTERVAL_MILLISECONDS = 50;
+const PROGRESS_CHECK_MILLISECONDS = 50;
 
 const RESULT_BY_REASON: Readonly<Record<StageFailureReason, ResultName>> = {
   overloaded: "endpoint_overloaded",
@@ -178,7 +178,7 @@
     if (isStopped) return;
     stop = timer.registerTimeout(
       check,
-      Math.min(wait, PROGRESS_CHECK_INTERVAL_MILLISECONDS),
+      Math.min(wait, PROGRESS_CHECK_MILLISECONDS),
     );
   };
   const check = (): void => {
@@ -190,14 +190,12 @@
     if (stream.endedAt !== undefined) return giveUp();
     void options.evaluateSilence().then((verdict) => {
       if (isStopped) return;
-      if (verdict === undefined) {
-        return schedule(PROGRESS_CHECK_INTERVAL_MILLISECONDS);
-      }
+      if (verdict === undefined) return schedule(PROGRESS_CHECK_MILLISECONDS);
       stream.verdict = verdict;
       giveUp();
     });
   };
-  schedule(PROGRESS_CHECK_INTERVAL_MILLISECONDS);
+  schedule(PROGRESS_CHECK_MILLISECONDS);
   return () => {
     isStopped = true;
     stop();
--- a/packages/kelpspar-daemon/src/requests/stage_run.ts
+++ b/packages/kelpspar-daemon/src/requests/stage_run.ts
@@ -61,9 +61,7 @@
         continue;
       }
       this.#settle(plan, attempt);
-      if (decision.action === "fail") {
-        throw this.#createFailure(decision, error);
-      }
+      if (decision.action === "fail") throw this.#toFailure(decision, error);
       permit = await this.#acquireForRetry(permit);
       resumeAttemptId = undefined;
     }
@@ -248,7 +246,7 @@
     return await this.#acquire();
   }
 
-  #createFailure(
+  #toFailure(
     decision: Extract<RetryDecision, { readonly action: "fail" }>,
     cause: KelpsparError,
   ): KelpsparError {
--- a/packages/kelpspar-daemon/src/scheduling/fair_scheduler.ts
+++ b/packages/kelpspar-daemon/src/scheduling/fair_scheduler.ts
@@ -228,7 +228,7 @@
         retryDelayMilliseconds(RETRY_AFTER_MILLISECONDS, { random }),
     });
     this.#dispatchers.set(serviceId, dispatcher);
-    this.#updateShares(serviceId, dispatcher);
+    this.#setShares(serviceId, dispatcher);
     return dispatcher;
   }
 
@@ -250,9 +250,7 @@
     if (this.#ticks % this.#shareUpdateTicks() === 0) {
       const { parts, timer } = this.#options;
       this.#peerDemand = parts.fleet.peers(timer.now());
-      for (const [id, dispatcher] of this.#dispatchers) {
-        this.#updateShares(id, dispatcher);
-      }
+      for (const [id, entry] of this.#dispatchers) this.#setShares(id, entry);
     }
     for (const dispatcher of this.#dispatchers.values()) {
       dispatcher.dispatchWaiting();
@@ -266,7 +264,7 @@
     return isMany ? LARGE_SITE_SHARE_UPDATE_TICKS : SHARE_UPDATE_TICKS;
   }
 
-  #updateShares(serviceId: string, dispatcher: ServiceDispatcher): void {
+  #setShares(serviceId: string, dispatcher: ServiceDispatcher): void {
     const { configuration } = this.#options;
     const peers = this.#peerDemand;
     const shares = new Map(
