--- a/packages/kelpspar-daemon/src/claims/claim_service.ts
+++ b/packages/kelpspar-daemon/src/claims/claim_service.ts
@@ -62,8 +62,8 @@
 }
 
 /**
- * Writes and ends the claims of this daemon's requests, in batches. The decision
- * logic is in kelpspar-decisions; this class executes it against the table.
+ * Writes and ends the claims of this daemon's requests, in batches. The logic is
+ * in kelpspar-decisions; this class executes its decisions against the table.
  */
 export class ClaimService {
   readonly #options: ClaimServiceOptions;
--- a/packages/kelpspar-daemon/src/endpoints/endpoint_monitor.ts
+++ b/packages/kelpspar-daemon/src/endpoints/endpoint_monitor.ts
@@ -254,7 +254,7 @@
     }
   }
 
-  /** A lost cache event only costs latency, so a failure isn't a failed probe. */
+  /** A lost cache event only costs latency; its failure isn't a failed probe. */
   async #updatePrefixIndex(address: EndpointAddress): Promise<void> {
     const { parts, endpoints, configuration } = this.#options;
     const service = configuration.services().get(address.service);
--- a/packages/kelpspar-daemon/src/requests/call_attempt.ts
+++ b/packages/kelpspar-daemon/src/requests/call_attempt.ts
@@ -35,10 +35,10 @@
 }
 
 /**
- * Makes one call and records what it proves. The proof is recorded as `unproved`
- * before the first byte can be sent, and replaced only on the endpoint's own
- * failure record or a refused connection, so that a request that fails in
- * between is never reported as `not_run`.
+ * Makes one call and records what it proves. The proof is `unproved` before the
+ * first byte can be sent, and is replaced only on the endpoint's own failure
+ * record or a refused connection, so that a request that fails in between is
+ * never reported as `not_run`.
  */
 export async function callAttempt(
   services: StageServices,
--- a/packages/kelpspar-daemon/src/requests/hedged_call.ts
+++ b/packages/kelpspar-daemon/src/requests/hedged_call.ts
@@ -152,7 +152,7 @@
     }
   }
 
-  /** Resolves to the first complete attempt, else to the first call's failure. */
+  /** Resolves to the first complete attempt, else the first call's failure. */
   async #awaitWinner(
     first: RunningAttempt,
     hedge: PendingHedge,
--- a/packages/kelpspar-daemon/src/requests/once_guard.ts
+++ b/packages/kelpspar-daemon/src/requests/once_guard.ts
@@ -7,7 +7,7 @@
   ready(): Promise<void>;
   /** Called before the stage that precedes the first at-most-once stage. */
   prepare(): void;
-  /** Resolves when the stage may be dispatched; rejects when it never may be. */
+  /** Resolves when the stage may be dispatched; rejects when it may not. */
   confirmed(): Promise<void>;
   /** Called right before each call; false forbids the call. */
   tryDispatch(): boolean;
--- a/packages/kelpspar-daemon/src/requests/request_admission.ts
+++ b/packages/kelpspar-daemon/src/requests/request_admission.ts
@@ -17,7 +17,7 @@
   readonly registry: RequestRegistry;
   readonly maximumRequests: number;
   readonly isLeaving: () => boolean;
-  /** The error to refuse with while the configuration here is unusable. */
+  /** Why the known configuration admits no requests; undefined if it does. */
   readonly configurationRefusal: () => KelpsparError | undefined;
   readonly timer: TimerService;
   readonly random: RandomSource;
--- a/packages/kelpspar-daemon/src/requests/stage_attempt.ts
+++ b/packages/kelpspar-daemon/src/requests/stage_attempt.ts
@@ -71,19 +71,19 @@
   const forwardAbort = (): void => abort.abort(options.signal.reason);
   if (options.signal.aborted) forwardAbort();
   options.signal.addEventListener("abort", forwardAbort);
-  const stream: RecordStreamState = {
+  const follow: RecordStreamState = {
     signal: abort.signal,
     end: undefined,
     endedAt: undefined,
     isSilent: false,
   };
-  const stopWatch = watchProgress(options, stream, () => abort.abort());
+  const stopWatch = watchProgress(options, follow, () => abort.abort());
   try {
-    await readRecords(options, stream);
+    await readRecords(options, follow);
   } catch (error) {
-    if (isComplete(options.progress, stream.end)) return stream.end;
-    if (stream.isSilent) {
-      options.onSilent?.(stream.verdict);
+    if (isWhole(options.progress, follow.end)) return follow.end;
+    if (follow.isSilent) {
+      options.onSilent?.(follow.verdict);
       throw createSilentError(options);
     }
     throw toKelpsparError(error, "endpoint_failed");
@@ -91,7 +91,7 @@
     stopWatch();
     options.signal.removeEventListener("abort", forwardAbort);
   }
-  if (isComplete(options.progress, stream.end)) return stream.end;
+  if (isWhole(options.progress, follow.end)) return follow.end;
   throw new ResultError(
     "endpoint_failed",
     `Endpoint "${options.endpoint.endpointId}" ended stage "${options.call.stageId}" before its result was complete`,
@@ -114,10 +114,10 @@
  */
 async function readRecords(
   options: StageAttemptOptions,
-  stream: RecordStreamState,
+  follow: RecordStreamState,
 ): Promise<void> {
   const records = options.endpoints.call(options.endpoint, options.call, {
-    signal: stream.signal,
+    signal: follow.signal,
     newConnection: options.newConnection,
     isStream: options.isStream ?? true,
   });
@@ -129,10 +129,10 @@
     options.watch.progressed(options.timer.now());
     options.onRecord?.();
     if (record.type === "failure") throw createFailureError(options, record);
-    if (record.type === "end") stream.end = record;
+    if (record.type === "end") follow.end = record;
     else options.progress.push(toPiece(record));
-    if (isComplete(options.progress, stream.end)) {
-      stream.endedAt ??= options.timer.now();
+    if (isWhole(options.progress, follow.end)) {
+      follow.endedAt ??= options.timer.now();
     }
   }
 }
@@ -143,7 +143,7 @@
   return { offset: record.offset, text: record.text };
 }
 
-function isComplete(
+function isWhole(
   progress: StageProgress,
   end: StageEndRecord | undefined,
 ): end is StageEndRecord {
@@ -164,14 +164,14 @@
  */
 function watchProgress(
   options: StageAttemptOptions,
-  stream: RecordStreamState,
+  follow: RecordStreamState,
   onSilent: () => void,
 ): () => void {
   const { timer } = options;
   let stop = (): void => {};
   let isStopped = false;
   const giveUp = (): void => {
-    stream.isSilent = true;
+    follow.isSilent = true;
     onSilent();
   };
   const schedule = (wait: number): void => {
@@ -183,15 +183,15 @@
   };
   const check = (): void => {
     const now = timer.now();
-    const dueAt = stream.endedAt === undefined
+    const dueAt = follow.endedAt === undefined
       ? options.watch.suspectAt(options.p99GapMilliseconds())
-      : stream.endedAt + STREAM_CLOSE_TIMEOUT_MILLISECONDS;
+      : follow.endedAt + STREAM_CLOSE_TIMEOUT_MILLISECONDS;
     if (now < dueAt) return schedule(dueAt - now);
-    if (stream.endedAt !== undefined) return giveUp();
+    if (follow.endedAt !== undefined) return giveUp();
     void options.evaluateSilence().then((verdict) => {
       if (isStopped) return;
       if (verdict === undefined) return schedule(PROGRESS_CHECK_MILLISECONDS);
-      stream.verdict = verdict;
+      follow.verdict = verdict;
       giveUp();
     });
   };
--- a/packages/kelpspar-daemon/src/requests/stage_progress.ts
+++ b/packages/kelpspar-daemon/src/requests/stage_progress.ts
@@ -38,7 +38,7 @@
     this.#onText(text);
   }
 
-  /** Drops the pieces after a gap; the next attempt sends them again. */
+  /** Drops the pieces after a gap, before another attempt fills the gap. */
   dropPiecesBeyondGap(): void {
     this.#assembler = new OffsetAssembler({ startOffset: this.length });
   }
--- a/packages/kelpspar-daemon/src/scheduling/create_permit.ts
+++ b/packages/kelpspar-daemon/src/scheduling/create_permit.ts
@@ -10,7 +10,7 @@
   readonly timer: TimerService;
   readonly request: PermitRequest;
   readonly endpoint: EndpointAddress;
-  /** Estimated cost already charged to the account, runner-milliseconds. */
+  /** Cost charged to the account in advance, runner-milliseconds. */
   readonly chargedCost: number;
   readonly charge: (difference: number) => void;
   /** Called once with the call's cost and how long it occupied its slot. */
--- a/packages/kelpspar-daemon/src/scheduling/fair_scheduler.ts
+++ b/packages/kelpspar-daemon/src/scheduling/fair_scheduler.ts
@@ -103,7 +103,7 @@
         reject(request.signal.reason);
       };
       request.signal.addEventListener("abort", cancel);
-      dispatcher.dispatchWaiting();
+      dispatcher.dispatch();
     });
   }
 
@@ -252,9 +252,7 @@
       this.#peerDemand = parts.fleet.peers(timer.now());
       for (const [id, entry] of this.#dispatchers) this.#setShares(id, entry);
     }
-    for (const dispatcher of this.#dispatchers.values()) {
-      dispatcher.dispatchWaiting();
-    }
+    for (const dispatcher of this.#dispatchers.values()) dispatcher.dispatch();
   }
 
   /** Ticks between share updates; lent share is reclaimed within a second. */
--- a/packages/kelpspar-daemon/src/scheduling/scheduler.ts
+++ b/packages/kelpspar-daemon/src/scheduling/scheduler.ts
@@ -5,7 +5,7 @@
 export interface ServiceLoad {
   /** Number of calls that wait on this daemon. */
   readonly waiting: number;
-  /** Running calls divided by this daemon's concurrency limit. */
+  /** Running calls divided by this daemon's concurrency limit, 0 to 1. */
   readonly utilization: number;
   /** Endpoints ready for a call of the model, without the excluded ones. */
   readonly otherEndpoints: number;
--- a/packages/kelpspar-daemon/src/scheduling/service_dispatcher.ts
+++ b/packages/kelpspar-daemon/src/scheduling/service_dispatcher.ts
@@ -4,13 +4,13 @@
 import { SlotPace } from "kelpspar-decisions/fairness";
 import { KelpsparError } from "kelpspar-shared";
 
-/** Limit of calls that left the queue and wait for an endpoint of their model. */
+/** Limit of calls that left the queue and wait for a suitable endpoint. */
 const MAXIMUM_PARKED_CALLS = 8;
 
 /** A call that waits for its permit. */
 export interface WaitingCall {
   readonly request: PermitRequest;
-  /** Estimated cost charged to its account when it left the queue. */
+  /** Cost charged to its account when it left the queue. */
   chargedCost: number;
   /** When the call was enqueued, monotonic milliseconds. */
   readonly waitingSince: number;
@@ -37,7 +37,7 @@
  * Dispatches the calls of one service in fair order, up to this daemon's share
  * of the service's concurrency. A call whose model has no free endpoint is
  * parked, so that it doesn't block calls of other models (head-of-line
- * blocking). The limit of parked calls bounds the deviation from the fair order.
+ * blocking). The limit of parked calls bounds the deviation from fair order.
  */
 export class ServiceDispatcher {
   readonly #options: ServiceDispatcherOptions;
@@ -94,11 +94,11 @@
   }): void {
     this.#running--;
     this.#pace.observe(call);
-    this.dispatchWaiting();
+    this.dispatch();
   }
 
-  /** Dispatches calls up to the limit and refuses those past their deadline. */
-  dispatchWaiting(): void {
+  /** Dispatches calls up to the limit; refuses those that would be too late. */
+  dispatch(): void {
     this.#refuseExpired();
     this.#grantParked();
     while (
