--- a/packages/kelpspar-daemon/src/__tests__/support/test_ports.ts
+++ b/packages/kelpspar-daemon/src/__tests__/support/test_ports.ts
@@ -5,7 +5,7 @@
 import { KelpsparError, SeededRandom } from "kelpspar-shared";
 import { InMemoryTable, LaggingVmList } from "kelpspar-standins";
 import { FakeEndpoints } from "./fake_endpoints.ts";
-import { QuietLog } from "./quiet_log.ts";
+import { QuietLog } from "./recording_log.ts";
 import { ENDPOINT_VMS } from "./test_site.ts";
 
 /** Ports whose other sides are fakes that a test can reach. */
--- a/packages/kelpspar-daemon/src/__tests__/unit/configuration_keeper_test.ts
+++ b/packages/kelpspar-daemon/src/__tests__/unit/configuration_manager_test.ts
@@ -2,7 +2,7 @@
 import fc from "fast-check";
 import { test } from "node:test";
 import { ManualTimer } from "kelpspar-shared";
-import { ConfigurationKeeper } from "../../configuration/configuration_keeper.ts";
+import { ConfigurationKeeper } from "../../configuration/configuration_manager.ts";
 import { createDaemonState } from "../../state/daemon_state.ts";
 import { StateStore } from "../../state/state_store.ts";
 import { createConfiguration, createRow } from "../support/test_site.ts";
--- a/packages/kelpspar-daemon/src/__tests__/unit/drain_daemon_test.ts
+++ b/packages/kelpspar-daemon/src/__tests__/unit/drain_daemon_test.ts
@@ -1,9 +1,9 @@
-import type { CoreBench } from "../support/core_bench.ts";
+import type { CoreBench } from "../support/core_harness.ts";
 import { expect } from "earl";
 import { test } from "node:test";
 import { toKelpsparError } from "kelpspar-shared";
 import { drainDaemon } from "../../drain_daemon.ts";
-import { createCoreBench } from "../support/core_bench.ts";
+import { createCoreBench } from "../support/core_harness.ts";
 
 const LIMIT_MILLISECONDS = 60_000;
 /** Less than a call may be silent. */
--- a/packages/kelpspar-daemon/src/__tests__/unit/engine_group_test.ts
+++ b/packages/kelpspar-daemon/src/__tests__/unit/engine_group_controller_test.ts
@@ -1,8 +1,8 @@
-import type { CoreBench } from "../support/core_bench.ts";
+import type { CoreBench } from "../support/core_harness.ts";
 import { expect } from "earl";
 import { test } from "node:test";
-import { startOrdersRole } from "../../orders/orders_role.ts";
-import { createCoreBench } from "../support/core_bench.ts";
+import { startOrdersRole } from "../../orders/start_engine_group_controllers.ts";
+import { createCoreBench } from "../support/core_harness.ts";
 import { createConfiguration, ENDPOINT_VMS } from "../support/test_site.ts";
 
 const LEASE = { table: "leases", key: "generate" } as const;
--- a/packages/kelpspar-daemon/src/__tests__/unit/request_service_test.ts
+++ b/packages/kelpspar-daemon/src/__tests__/unit/request_service_test.ts
@@ -1,10 +1,10 @@
 import type { KelpsparError, SubmitRequest } from "kelpspar-shared";
 import type { RequestContext } from "../../requests/request_context.ts";
-import type { CoreBench } from "../support/core_bench.ts";
+import type { CoreBench } from "../support/core_harness.ts";
 import { expect } from "earl";
 import { test } from "node:test";
 import { toKelpsparError } from "kelpspar-shared";
-import { createCoreBench } from "../support/core_bench.ts";
+import { createCoreBench } from "../support/core_harness.ts";
 import { createAccount } from "../support/test_site.ts";
 
 const DEADLINE_MILLISECONDS = 1_000;
--- a/packages/kelpspar-daemon/src/actors/configuration_role.ts
+++ b/packages/kelpspar-daemon/src/actors/configuration_actor.ts
@@ -1,13 +1,13 @@
 import type { TableService } from "kelpspar-backends";
 import type { DrainStore } from "../operators/drain_store.ts";
-import type { ConfigurationKeeper } from "../configuration/configuration_keeper.ts";
+import type { ConfigurationKeeper } from "../configuration/configuration_manager.ts";
 import type { ConfigurationStore } from "../configuration/configuration_store.ts";
 import type { ConfigurationRow } from "../configuration/configuration_row.ts";
-import type { RoleOptions } from "./role_options.ts";
-import { takeDrains } from "../operators/take_drains.ts";
+import type { RoleOptions } from "./actor_options.ts";
+import { takeDrains } from "../operators/apply_newer_drains.ts";
 import { errorDetails } from "../log/daemon_log.ts";
 import { registerJitteredInterval } from "./register_jittered_interval.ts";
-import { spawnRole } from "./spawn_role.ts";
+import { spawnRole } from "./spawn_actor.ts";
 
 /** What the role that follows the configuration works on. */
 export interface ConfigurationRoleOptions extends RoleOptions {
--- a/packages/kelpspar-daemon/src/actors/endpoints_role.ts
+++ b/packages/kelpspar-daemon/src/actors/endpoints_actor.ts
@@ -1,9 +1,9 @@
 import type { EndpointWatch } from "../endpoints/endpoint_watch.ts";
-import type { RoleOptions } from "./role_options.ts";
+import type { RoleOptions } from "./actor_options.ts";
 import { mergeTeardowns } from "../state/merge_teardowns.ts";
 import { registerJitteredInterval } from "./register_jittered_interval.ts";
 import { errorDetails } from "../log/daemon_log.ts";
-import { spawnRole } from "./spawn_role.ts";
+import { spawnRole } from "./spawn_actor.ts";
 
 const PROBE_MILLISECONDS = 250;
 
--- a/packages/kelpspar-daemon/src/actors/fleet_role.ts
+++ b/packages/kelpspar-daemon/src/actors/fleet_actor.ts
@@ -1,10 +1,10 @@
 import type { ConfigurationRow } from "../configuration/configuration_row.ts";
 import type { Fleet } from "../fleet/fleet.ts";
 import type { PeerAddress, PeerClient } from "../peers/peer_client.ts";
-import type { RoleOptions } from "./role_options.ts";
+import type { RoleOptions } from "./actor_options.ts";
 import { errorDetails } from "../log/daemon_log.ts";
 import { registerJitteredInterval } from "./register_jittered_interval.ts";
-import { spawnRole } from "./spawn_role.ts";
+import { spawnRole } from "./spawn_actor.ts";
 
 const HEARD_SHARE = 0.6;
 const MOST_CAUSES = 6;
--- a/packages/kelpspar-daemon/src/actors/vm_list_role.ts
+++ b/packages/kelpspar-daemon/src/actors/vm_list_actor.ts
@@ -1,8 +1,8 @@
 import type { VmList } from "kelpspar-backends";
-import type { RoleOptions } from "./role_options.ts";
+import type { RoleOptions } from "./actor_options.ts";
 import { errorDetails } from "../log/daemon_log.ts";
 import { registerJitteredInterval } from "./register_jittered_interval.ts";
-import { spawnRole } from "./spawn_role.ts";
+import { spawnRole } from "./spawn_actor.ts";
 
 /** What the role that follows the VM list works on. */
 export interface VmListRoleOptions extends RoleOptions {
--- a/packages/kelpspar-daemon/src/create_core.ts
+++ b/packages/kelpspar-daemon/src/create_core.ts
@@ -4,7 +4,7 @@
 import type { Settings } from "./settings/settings_schema.ts";
 import type { DaemonState } from "./state/daemon_state.ts";
 import { KeyLedger } from "kelpspar-decisions/claims";
-import { ConfigurationKeeper } from "./configuration/configuration_keeper.ts";
+import { ConfigurationKeeper } from "./configuration/configuration_manager.ts";
 import { ConfigurationStore } from "./configuration/configuration_store.ts";
 import { createRequestParts } from "./create_request_parts.ts";
 import { EndpointWatch } from "./endpoints/endpoint_watch.ts";
--- a/packages/kelpspar-daemon/src/create_request_parts.ts
+++ b/packages/kelpspar-daemon/src/create_request_parts.ts
@@ -1,5 +1,5 @@
 import type { DaemonPorts } from "./daemon_ports.ts";
-import type { ConfigurationKeeper } from "./configuration/configuration_keeper.ts";
+import type { ConfigurationKeeper } from "./configuration/configuration_manager.ts";
 import type { Fleet } from "./fleet/fleet.ts";
 import type { RequestMetrics } from "./metrics/request_metrics.ts";
 import type { AskHolder } from "./requests/settlement_outcome.ts";
--- a/packages/kelpspar-daemon/src/create_routes.ts
+++ b/packages/kelpspar-daemon/src/create_routes.ts
@@ -8,7 +8,7 @@
 import { OperatorAccess } from "./front/operator_access.ts";
 import { createOperatorRoutes } from "./front/operator_routes.ts";
 import { ConfigurationApplier } from "./operators/configuration_applier.ts";
-import { takeDrains } from "./operators/take_drains.ts";
+import { takeDrains } from "./operators/apply_newer_drains.ts";
 import { createOperatorReports } from "./operators/operator_reports.ts";
 
 /** What a daemon's routes answer from. */
--- a/packages/kelpspar-daemon/src/daemon.ts
+++ b/packages/kelpspar-daemon/src/daemon.ts
@@ -1,17 +1,17 @@
 import type { DaemonCore } from "./create_core.ts";
 import type { DaemonPorts } from "./daemon_ports.ts";
 import type { Settings } from "./settings/settings_schema.ts";
-import type { DaemonRoles } from "./start_roles.ts";
+import type { DaemonRoles } from "./start_actors.ts";
 import { readFileSync } from "node:fs";
 import { createCore } from "./create_core.ts";
 import { createPeerHandlers } from "./create_peer_handlers.ts";
 import { createRoutes } from "./create_routes.ts";
 import { drainDaemon } from "./drain_daemon.ts";
-import { HttpFront } from "./front/http_front.ts";
+import { HttpFront } from "./front/http_server.ts";
 import { errorDetails } from "./log/daemon_log.ts";
 import { createPeerListener } from "./peers/peer_listener.ts";
 import { PEER_PATH } from "./peers/peer_protocol.ts";
-import { startRoles } from "./start_roles.ts";
+import { startRoles } from "./start_actors.ts";
 
 /** A daemon that runs. */
 export interface Daemon {
--- a/packages/kelpspar-daemon/src/fleet/fleet.ts
+++ b/packages/kelpspar-daemon/src/fleet/fleet.ts
@@ -8,7 +8,7 @@
   buildAddressAnswer,
   redirectCaller,
 } from "kelpspar-decisions/directory";
-import { takeDrains } from "../operators/take_drains.ts";
+import { takeDrains } from "../operators/apply_newer_drains.ts";
 import { DaemonMembership } from "kelpspar-decisions/membership";
 
 /** So many digests missed in a row make a daemon suspect. */
--- a/packages/kelpspar-daemon/src/front/http_front.ts
+++ b/packages/kelpspar-daemon/src/front/http_server.ts
@@ -11,7 +11,7 @@
 import { createServer as createTlsServer } from "node:https";
 import { KelpsparError, toKelpsparError } from "kelpspar-shared";
 import { mergeTeardowns } from "../state/merge_teardowns.ts";
-import { answerClientError } from "./client_error_answer.ts";
+import { answerClientError } from "./answer_client_error.ts";
 import { Router } from "./router.ts";
 import { sendFailure } from "./send_json.ts";
 
--- a/packages/kelpspar-daemon/src/orders/engine_group.ts
+++ b/packages/kelpspar-daemon/src/orders/engine_group_controller.ts
@@ -1,7 +1,7 @@
 import type { PlannedEngine, PlannerStep } from "kelpspar-decisions/leases";
 import type { ListedVm } from "kelpspar-backends";
 import type { DesiredEngineState } from "kelpspar-shared";
-import type { EngineGroupOptions } from "./engine_group_options.ts";
+import type { EngineGroupOptions } from "./engine_group_controller_options.ts";
 import {
   grantKey,
   planEngineTargets,
--- a/packages/kelpspar-daemon/src/orders/orders_role.ts
+++ b/packages/kelpspar-daemon/src/orders/start_engine_group_controllers.ts
@@ -1,7 +1,7 @@
-import type { EngineGroupOptions } from "./engine_group_options.ts";
+import type { EngineGroupOptions } from "./engine_group_controller_options.ts";
 import { RendezvousNodes } from "kelpspar-decisions/routing";
 import { mergeTeardowns } from "../state/merge_teardowns.ts";
-import { EngineGroup } from "./engine_group.ts";
+import { EngineGroup } from "./engine_group_controller.ts";
 
 const TICK_MILLISECONDS = 250;
 const CANDIDATES = 3;
--- a/packages/kelpspar-daemon/src/start_roles.ts
+++ b/packages/kelpspar-daemon/src/start_actors.ts
@@ -4,12 +4,12 @@
 import type { ConfigurationRow } from "./configuration/configuration_row.ts";
 import { parseHost } from "kelpspar-shared";
 import { start, stop } from "nact";
-import { startConfigurationRole } from "./actors/configuration_role.ts";
-import { startEndpointsRole } from "./actors/endpoints_role.ts";
-import { startFleetRole } from "./actors/fleet_role.ts";
-import { startVmListRole } from "./actors/vm_list_role.ts";
-import { startOrdersRole } from "./orders/orders_role.ts";
-import { takeDrains } from "./operators/take_drains.ts";
+import { startConfigurationRole } from "./actors/configuration_actor.ts";
+import { startEndpointsRole } from "./actors/endpoints_actor.ts";
+import { startFleetRole } from "./actors/fleet_actor.ts";
+import { startVmListRole } from "./actors/vm_list_actor.ts";
+import { startOrdersRole } from "./orders/start_engine_group_controllers.ts";
+import { takeDrains } from "./operators/apply_newer_drains.ts";
 import { mergeTeardowns } from "./state/merge_teardowns.ts";
 
 /** What a daemon does by itself, beside answering. */
