--- a/packages/kelpspar-daemon/src/__tests__/support/arbitrary_requests.ts
+++ b/packages/kelpspar-daemon/src/__tests__/support/arbitrary_requests.ts
@@ -2,7 +2,7 @@
 import fc from "fast-check";
 import { createConfiguration, KEYS } from "./test_site.ts";
 
-/** A request as written onto a connection, in Latin-1. */
+/** An HTTP request as sent on a connection, in Latin-1. */
 export interface ArbitraryRequest {
   readonly method: string;
   readonly path: string;
@@ -10,7 +10,7 @@
   readonly body: string;
 }
 
-/** No revision of a test's site ever is this high. */
+/** Higher than any revision of a test site. */
 const NO_REVISION = 1_000_000;
 
 const otherMethods = fc.constantFrom(
@@ -23,7 +23,7 @@
   "PROPFIND",
 );
 
-/** Any printable characters but the blank, which would end the path. */
+/** Printable characters without the space, which would end the path. */
 const pathText = fc.string({ unit: "binary-ascii", maxLength: 20 }).map((
   text,
 ) => text.replace(/[^!-~]/g, "~"));
@@ -57,7 +57,7 @@
   pathText,
 );
 
-/** Headers that leave the body's length and the connection alone. */
+/** Headers that do not affect the body's framing or the connection. */
 const headers = fc.array(
   fc.tuple(
     fc.constantFrom(
@@ -75,7 +75,7 @@
   { maxLength: 4 },
 );
 
-/** Requests to the interface of callers. */
+/** Requests to the caller API. */
 export const arbitraryCallerRequests = createRequests({
   key: KEYS.small,
   routes: [
@@ -107,7 +107,7 @@
   }, { requiredKeys: ["pipeline", "input", "deadlineMilliseconds"] }),
 });
 
-/** Requests to the interface of operators. */
+/** Requests to the operator API. */
 export const arbitraryOperatorRequests = createRequests({
   key: KEYS.administrator,
   routes: [
@@ -137,7 +137,7 @@
   ),
 });
 
-/** The text to write onto a connection. */
+/** Serializes a request for a connection. */
 export function writeRequest(request: ArbitraryRequest): string {
   const length = Buffer.byteLength(request.body, "latin1");
   const lines = [
@@ -186,26 +186,26 @@
     rest;
 }
 
-/** Nine times in ten `good`, else something else. */
+/** Generates `valid` nine times out of ten, otherwise `other`. */
 function mostly<Value>(
-  good: fc.Arbitrary<Value>,
+  valid: fc.Arbitrary<Value>,
   other: fc.Arbitrary<unknown> = fc.jsonValue(),
 ): fc.Arbitrary<Value> {
   return fc.oneof(
-    { weight: 9, arbitrary: good },
+    { weight: 9, arbitrary: valid },
     { weight: 1, arbitrary: other as fc.Arbitrary<Value> },
   );
 }
 
 /** The site's configuration with one of its fields replaced. */
 function changedConfiguration(): fc.Arbitrary<unknown> {
-  const good = createConfiguration();
-  return fc.tuple(fc.constantFrom(...Object.keys(good)), fc.jsonValue()).map(
-    ([field, value]) => ({ ...good, [field]: value }),
+  const valid = createConfiguration();
+  return fc.tuple(fc.constantFrom(...Object.keys(valid)), fc.jsonValue()).map(
+    ([field, value]) => ({ ...valid, [field]: value }),
   );
 }
 
-/** Half a surrogate pair has no percent-encoding. */
+/** Percent-encodes text; replaces lone surrogates, which have no encoding. */
 function encodePart(text: string): string {
   return encodeURIComponent(text.toWellFormed());
 }
--- a/packages/kelpspar-daemon/src/__tests__/support/core_harness.ts
+++ b/packages/kelpspar-daemon/src/__tests__/support/core_harness.ts
@@ -12,12 +12,12 @@
   ENDPOINT_VMS,
 } from "./test_site.ts";
 
-/** A daemon's parts on a manual timer, without sockets. */
-export interface CoreBench {
+/** A daemon's components on a manual timer, without sockets. */
+export interface CoreHarness {
   readonly timer: ManualTimer;
   readonly ports: TestPorts;
   readonly core: DaemonCore;
-  /** Submits for a client account; fields left out have small defaults. */
+  /** Submits a request for a client account; missing fields get defaults. */
   submit(
     request: Partial<SubmitRequest>,
     accountId?: string,
@@ -25,20 +25,20 @@
   stop(): Promise<void>;
 }
 
-/** Creates the parts with a configuration in force and endpoints listed. */
-export function createCoreBench(
+/** Creates the components with an active configuration and listed endpoints. */
+export function createCoreHarness(
   options: {
     readonly configuration?: Readonly<Record<string, unknown>>;
     readonly settings?: Readonly<Record<string, unknown>>;
   } = {},
-): CoreBench {
+): CoreHarness {
   const timer = new ManualTimer();
   const ports = createTestPorts(timer);
   const settings = createSettings(options.settings);
   const core = createCore({ settings, ports, port: () => 1 });
   const stop = core.start();
   const configuration = createConfiguration(options.configuration);
-  core.keeper.offer(createRow(1, configuration), "table");
+  core.configurationManager.offer(createRow(1, configuration), "table");
   core.state.update(() => ({ vms: ENDPOINT_VMS }));
   core.watch.replaceList();
   return {
--- a/packages/kelpspar-daemon/src/__tests__/support/fake_endpoints.ts
+++ b/packages/kelpspar-daemon/src/__tests__/support/fake_endpoints.ts
@@ -9,7 +9,7 @@
 } from "kelpspar-shared";
 import { KelpsparError } from "kelpspar-shared";
 
-/** A call that a fake endpoint received, answered as the test says. */
+/** A call received by a fake endpoint; the test controls its answer. */
 export class FakeCall {
   readonly #waiting: (() => void)[] = [];
   readonly #records: StageRecord[] = [];
@@ -26,7 +26,7 @@
     });
   }
 
-  /** Sends a record; ids that are not given are those of the call. */
+  /** Sends a record; missing ids default to those of the call. */
   push(record: object): void {
     const { requestId, stageId, attemptId } = this.call;
     const ids = { requestId, stageId, attemptId };
@@ -54,13 +54,13 @@
     this.#wake();
   }
 
-  /** Breaks the stream. */
+  /** Fails the stream with an error. */
   fail(error: unknown): void {
     this.#error ??= error;
     this.#wake();
   }
 
-  /** Answers whole. */
+  /** Sends a complete answer. */
   answer(text: string): void {
     this.chunk(0, text);
     this.end(text.length);
@@ -82,12 +82,12 @@
   }
 }
 
-/** Endpoints inside the test; by default they answer `service(input)`. */
+/** In-process endpoints; by default they answer `service(input)`. */
 export class FakeEndpoints implements EndpointClient {
   readonly calls: FakeCall[] = [];
   /** The attempts that were cancelled. */
   readonly cancelled: string[] = [];
-  onCall: (call: FakeCall) => void = answerOwnName;
+  onCall: (call: FakeCall) => void = sendDefaultAnswer;
 
   call(
     endpoint: EndpointAddress,
@@ -142,11 +142,11 @@
   async copyCache(): Promise<void> {}
 }
 
-/** What a fake endpoint answers by default. */
-export function ownAnswer(service: string, input: string): string {
+/** The default answer of a fake endpoint. */
+export function createDefaultAnswer(service: string, input: string): string {
   return `${service}(${input})`;
 }
 
-function answerOwnName(fake: FakeCall): void {
-  fake.answer(ownAnswer(fake.endpoint.service, fake.call.input));
+function sendDefaultAnswer(fake: FakeCall): void {
+  fake.answer(createDefaultAnswer(fake.endpoint.service, fake.call.input));
 }
--- a/packages/kelpspar-daemon/src/__tests__/support/http_exchange.ts
+++ b/packages/kelpspar-daemon/src/__tests__/support/http_exchange.ts
@@ -4,34 +4,34 @@
 import { request as httpRequest } from "node:http";
 import { connect } from "node:net";
 
-/** An answer that was read whole, or as far as the connection lived. */
-export interface WholeAnswer {
+/** An HTTP response, read completely or until the connection ended. */
+export interface HttpAnswer {
   readonly status: number;
   readonly text: string;
 }
 
-/** A request as a well-behaved HTTP library sends it. */
+/** A request sent through an HTTP library. */
 export interface SentRequest {
   readonly port: number;
   readonly method?: string;
   readonly path: string;
   readonly key?: string;
   readonly headers?: Readonly<Record<string, string>>;
-  /** Sent as it is when it is text, else as JSON. */
+  /** Text is sent unchanged, any other value as JSON. */
   readonly body?: unknown;
 }
 
 const NO_STATUS = 0;
 
-/** Sends a request on a connection of its own and reads the whole answer. */
-export async function exchange(sent: SentRequest): Promise<WholeAnswer> {
+/** Sends a request on a new connection and reads the complete response. */
+export async function exchange(sent: SentRequest): Promise<HttpAnswer> {
   const answer = await openExchange(sent);
   let text = "";
   for await (const piece of answer.setEncoding("utf8")) text += String(piece);
   return { status: answer.statusCode ?? NO_STATUS, text };
 }
 
-/** Sends a request; resolves when the answer's headers are there. */
+/** Sends a request; resolves when the response headers arrive. */
 export function openExchange(sent: SentRequest): Promise<IncomingMessage> {
   const { port, key, body } = sent;
   const authorization = key === undefined
@@ -52,7 +52,7 @@
   });
 }
 
-/** Opens a bare connection that sends `text` and stays open. */
+/** Opens a TCP connection, sends `text` and keeps it open. */
 export async function openSocket(
   port: number,
   text: string,
@@ -65,10 +65,10 @@
 }
 
 /**
- * Reads one answer with a declared length from a bare connection. An answer
- * without one is read until the other side ends.
+ * Reads one response from a TCP connection by its content length, or until the
+ * other side closes if it has none.
  */
-export function readAnswer(socket: Socket): Promise<WholeAnswer> {
+export function readAnswer(socket: Socket): Promise<HttpAnswer> {
   return new Promise((resolve) => {
     let received = Buffer.alloc(0);
     const finish = (): void => resolve(parseAnswer(received));
@@ -81,11 +81,11 @@
   });
 }
 
-/** Sends bytes on a connection of its own, reads one answer and closes. */
+/** Sends bytes on a new connection, reads one response and closes. */
 export async function exchangeBytes(
   port: number,
   text: string,
-): Promise<WholeAnswer> {
+): Promise<HttpAnswer> {
   const socket = await openSocket(port, text);
   const answer = await readAnswer(socket);
   socket.destroy();
@@ -100,7 +100,7 @@
   return received.length >= end + 4 + Number(length);
 }
 
-function parseAnswer(received: Buffer): WholeAnswer {
+function parseAnswer(received: Buffer): HttpAnswer {
   const text = received.toString("utf8");
   const status = /^HTTP\/1\.1 (\d+)/.exec(text)?.[1];
   const end = text.indexOf("\r\n\r\n");
--- a/packages/kelpspar-daemon/src/__tests__/support/recording_log.ts
+++ b/packages/kelpspar-daemon/src/__tests__/support/recording_log.ts
@@ -1,7 +1,7 @@
 import type { DaemonLog, LogDetails } from "../../log/daemon_log.ts";
 
-/** A log that prints nothing and keeps what a test may look for. */
-export class QuietLog implements DaemonLog {
+/** A log that prints nothing and records errors for assertions. */
+export class RecordingLog implements DaemonLog {
   readonly errors: { readonly message: string; readonly details: unknown }[] =
     [];
 
--- a/packages/kelpspar-daemon/src/__tests__/support/test_daemon.ts
+++ b/packages/kelpspar-daemon/src/__tests__/support/test_daemon.ts
@@ -2,27 +2,27 @@
 import type { AnswerRecord, FailureRecord, ResultName } from "kelpspar-shared";
 import type { Daemon } from "../../daemon.ts";
 import type { TestPorts } from "./test_ports.ts";
-import type { WholeAnswer } from "./http_exchange.ts";
+import type { HttpAnswer } from "./http_exchange.ts";
 import { expect } from "earl";
 import { RESULT_CODES, SystemTimer } from "kelpspar-shared";
 import { startDaemon } from "../../daemon.ts";
-import { ownAnswer } from "./fake_endpoints.ts";
+import { createDefaultAnswer } from "./fake_endpoints.ts";
 import { exchange } from "./http_exchange.ts";
 import { createTestPorts } from "./test_ports.ts";
 import { createRow, createSettings, ENDPOINT_VMS, KEYS } from "./test_site.ts";
 
-/** A whole daemon on a free port, with fakes on its other sides. */
+/** A complete daemon on a free port, with fakes for its dependencies. */
 export interface TestDaemon {
   readonly daemon: Daemon;
   readonly port: number;
   readonly ports: TestPorts;
 }
 
-const MOST_TURNS = 20_000;
-/** A test that fails leaves work behind, which must not hold the next up. */
-const LONGEST_STOP_MILLISECONDS = 5_000;
+const MAXIMUM_TURNS = 20_000;
+/** Limits how long requests left by a failed test delay the stop. */
+const MAXIMUM_STOP_MILLISECONDS = 5_000;
 
-/** Starts a daemon; resolves when it serves. */
+/** Starts a daemon; resolves when it serves and its endpoints are listed. */
 export async function startTestDaemon(
   options: {
     readonly settings?: Readonly<Record<string, unknown>>;
@@ -43,14 +43,14 @@
   const settings = createSettings({
     ...others,
     limits: {
-      drainLimitMilliseconds: LONGEST_STOP_MILLISECONDS,
+      drainLimitMilliseconds: MAXIMUM_STOP_MILLISECONDS,
       ...(limits as object),
     },
   });
   const daemon = await startDaemon(settings, ports);
   const { port } = daemon;
   const endpoints = vms.filter((vm) => vm.kind === "endpoint").length;
-  await until(async () => {
+  await waitUntil(async () => {
     const path = "/v1/operator/endpoints";
     const answer = await exchange({ port, path, key: KEYS.viewer });
     if (answer.status !== 200) return false;
@@ -60,20 +60,20 @@
   return { daemon, port, ports };
 }
 
-/** Asks again and again until `isSo`, on the event loop's own beat. */
-export async function until(
-  isSo: () => boolean | Promise<boolean>,
+/** Polls a condition on each event loop turn until it is true. */
+export async function waitUntil(
+  condition: () => boolean | Promise<boolean>,
 ): Promise<void> {
-  for (let turn = 0; turn < MOST_TURNS; turn++) {
-    if (await isSo()) return;
+  for (let turn = 0; turn < MAXIMUM_TURNS; turn++) {
+    if (await condition()) return;
     await new Promise<void>((resolve) => setImmediate(resolve));
   }
-  throw new Error(`Not so after ${MOST_TURNS} turns`);
+  throw new Error(`Condition not met after ${MAXIMUM_TURNS} turns`);
 }
 
-/** Checks that an answer is a numbered failure, whole and consistent. */
+/** Checks that a response is a complete, consistent failure record. */
 export function expectFailure(
-  answer: WholeAnswer,
+  answer: HttpAnswer,
   result: ResultName,
 ): FailureRecord {
   const row = RESULT_CODES[result];
@@ -90,7 +90,7 @@
   return record;
 }
 
-/** Submits a good request and checks that its answer is whole. */
+/** Submits a valid request and checks that its answer is complete. */
 export async function expectServed(port: number): Promise<void> {
   const answer = await exchange({
     port,
@@ -100,13 +100,13 @@
   });
   expect(answer.status).toEqual(200);
   const records = readRecords(answer.text);
-  const text = ownAnswer("encode", "lime");
+  const text = createDefaultAnswer("encode", "lime");
   expect(records.map((record) => record.type))
     .toEqual(["accepted", "chunk", "end"]);
   expect(records[1]).toEqual({ type: "chunk", offset: 0, text });
 }
 
-/** The records of an answer's stream. */
+/** Parses the records of a streamed answer. */
 export function readRecords(text: string): readonly AnswerRecord[] {
   return text.trimEnd().split("\n").map((line) =>
     JSON.parse(line) as AnswerRecord
--- a/packages/kelpspar-daemon/src/__tests__/support/test_ports.ts
+++ b/packages/kelpspar-daemon/src/__tests__/support/test_ports.ts
@@ -5,25 +5,25 @@
 import { KelpsparError, SeededRandom } from "kelpspar-shared";
 import { InMemoryTable, LaggingVmList } from "kelpspar-standins";
 import { FakeEndpoints } from "./fake_endpoints.ts";
-import { QuietLog } from "./recording_log.ts";
+import { RecordingLog } from "./recording_log.ts";
 import { ENDPOINT_VMS } from "./test_site.ts";
 
-/** Ports whose other sides are fakes that a test can reach. */
+/** Ports with fakes that a test can control. */
 export interface TestPorts extends DaemonPorts {
   readonly table: InMemoryTable;
   readonly vmList: LaggingVmList;
   readonly endpoints: FakeEndpoints;
-  readonly log: QuietLog;
+  readonly log: RecordingLog;
 }
 
-/** A peer client that reaches nobody. */
-export const SILENT_PEERS: PeerClient = {
-  exchange: refuse,
-  configuration: refuse,
-  askClaim: refuse,
+/** A peer client whose calls all fail. */
+export const UNREACHABLE_PEERS: PeerClient = {
+  exchange: failUnreachable,
+  configuration: failUnreachable,
+  askClaim: failUnreachable,
 };
 
-/** Creates ports on a timer. */
+/** Creates fake ports on a timer. */
 export function createTestPorts(
   timer: TimerService,
   options: { readonly vms?: readonly ListedVm[] } = {},
@@ -36,13 +36,13 @@
       requestLoad: async () => ({ granted: true, retryAfterMilliseconds: 0 }),
     },
     endpoints: new FakeEndpoints(),
-    peers: SILENT_PEERS,
+    peers: UNREACHABLE_PEERS,
     timer,
     random: new SeededRandom(1),
-    log: new QuietLog(),
+    log: new RecordingLog(),
   };
 }
 
-async function refuse(): Promise<never> {
-  throw new KelpsparError("peer_unavailable", "Nobody is there");
+async function failUnreachable(): Promise<never> {
+  throw new KelpsparError("peer_unavailable", "The peer is unreachable");
 }
--- a/packages/kelpspar-daemon/src/__tests__/support/test_site.ts
+++ b/packages/kelpspar-daemon/src/__tests__/support/test_site.ts
@@ -4,7 +4,7 @@
 import { sha256 } from "kelpspar-shared";
 import { settingsSchema } from "../../settings/settings_schema.ts";
 
-/** The keys of the site's callers and operators. */
+/** The keys of the test site's callers and operators. */
 export const KEYS = {
   large: "caller-key-large",
   small: "caller-key-small",
@@ -14,17 +14,18 @@
   bootstrap: "operator-key-bootstrap",
 } as const;
 
-/** The secret that the site's daemons share. */
+/** The peer secret of the test site. */
 export const PEER_SECRET = "a-secret-of-the-daemons";
 
 /**
- * Two client accounts; `echo` reads only, `booking` ends with a stage that
- * runs once. `changes` replace top-level fields.
+ * A configuration with two client accounts. Pipeline `echo` is repeatable;
+ * `booking` ends with a non-repeatable stage. `changes` replace top-level
+ * fields.
  */
 export function createConfiguration(
   changes: Readonly<Record<string, unknown>> = {},
 ): Readonly<Record<string, unknown>> {
-  const everyone = [{ account: "large" }, { account: "small" }];
+  const allAccounts = [{ account: "large" }, { account: "small" }];
   return {
     site: "test",
     accounts: [createAccount("large", 0.6), createAccount("small", 0.4)],
@@ -39,7 +40,7 @@
       {
         id: "echo",
         stages: [{ id: "encode", service: "encode" }],
-        accounts: everyone,
+        accounts: allAccounts,
       },
       {
         id: "booking",
@@ -47,7 +48,7 @@
           { id: "encode", service: "encode" },
           { id: "book", service: "book" },
         ],
-        accounts: everyone,
+        accounts: allAccounts,
       },
       {
         id: "large-only",
@@ -59,7 +60,7 @@
   };
 }
 
-/** A client account of the site. */
+/** Creates a client account of the test site. */
 export function createAccount(
   id: "large" | "small",
   share: number,
@@ -67,7 +68,7 @@
   return { id, share, callerKeyHashes: [sha256(KEYS[id])] };
 }
 
-/** A row as the table keeps it. */
+/** Creates a configuration row as stored in the table. */
 export function createRow(
   revision: number,
   configuration: unknown = createConfiguration(),
@@ -81,7 +82,7 @@
   };
 }
 
-/** Two endpoints of each service, in the list of VMs. */
+/** The VM list: two endpoints of each service. */
 export const ENDPOINT_VMS: readonly ListedVm[] = [
   createVm("encode-1", "encode"),
   createVm("encode-2", "encode"),
@@ -103,7 +104,7 @@
   };
 }
 
-/** Settings of a daemon on a free port of 127.0.0.1. */
+/** Creates settings of a daemon on a free port of 127.0.0.1. */
 export function createSettings(
   changes: Readonly<Record<string, unknown>> = {},
 ): Settings {
--- a/packages/kelpspar-daemon/src/__tests__/unit/access_test.ts
+++ b/packages/kelpspar-daemon/src/__tests__/unit/access_test.ts
@@ -1,6 +1,6 @@
 import type { FailureRecord, ResultName } from "kelpspar-shared";
 import type { FakeCall } from "../support/fake_endpoints.ts";
-import type { SentRequest, WholeAnswer } from "../support/http_exchange.ts";
+import type { HttpAnswer, SentRequest } from "../support/http_exchange.ts";
 import type { TestDaemon } from "../support/test_daemon.ts";
 import { expect } from "earl";
 import { after, before, test } from "node:test";
@@ -10,7 +10,7 @@
   expectServed,
   readRecords,
   startTestDaemon,
-  until,
+  waitUntil,
 } from "../support/test_daemon.ts";
 import {
   createConfiguration,
@@ -33,7 +33,7 @@
 
 after(() => site.daemon.stop());
 
-test("a request of one client account does not exist for another", async () => {
+test("a request of one client account is not visible to another", async () => {
   const { port, ports } = site;
   const calls: FakeCall[] = [];
   const { onCall } = ports.endpoints;
@@ -49,7 +49,7 @@
       idempotencyKey: "k",
     },
   });
-  await until(() => calls.length === 1);
+  await waitUntil(() => calls.length === 1);
   const [call] = calls;
   const id = call?.call.requestId ?? "";
   const foreign: Omit<SentRequest, "port">[] = [
@@ -72,7 +72,7 @@
   expectFailure(await exchange(late), "request_not_found");
 });
 
-test("an operator's key opens what its role allows and no more", async () => {
+test("an operator's key permits only what its role allows", async () => {
   const { port } = site;
   const change = {
     configuration: createConfiguration(),
@@ -115,7 +115,7 @@
   }
 });
 
-test("the peers' interface takes nothing from who lacks the secret", async () => {
+test("the peer API rejects calls without the secret", async () => {
   const calls: Omit<SentRequest, "port">[] = [
     { path: "/peer/configuration" },
     {
@@ -135,24 +135,23 @@
   ];
   for (const call of calls) {
     for (const secret of secrets) {
-      expect((await askPeer(call, secret)).status).toEqual(401);
+      expect((await callPeer(call, secret)).status).toEqual(401);
     }
   }
-  const served = await askPeer({ path: "/peer/configuration" }, PEER_SECRET);
+  const served = await callPeer({ path: "/peer/configuration" }, PEER_SECRET);
   expect(served.status).toEqual(200);
   expect(served.text.includes('"revision":1')).toEqual(true);
   await expectServed(site.port);
 });
 
-test("a peer's refusal says nothing of the daemon's inside", async () => {
-  // Symptom: anyone who reaches the port reads the paths of the program.
-  // Sequence: a call of the peers' interface without the secret.
-  // Cause: the library puts the stack into its errors unless it is told not to.
-  const { text } = await askPeer({ path: "/peer/configuration" }, undefined);
+test("a rejected peer call reveals no daemon internals", async () => {
+  // Failure: a peer call without the secret reveals the program's file paths,
+  // because the library includes stack traces in errors by default.
+  const { text } = await callPeer({ path: "/peer/configuration" }, undefined);
   expect(text.includes("node_modules") || text.includes(".ts:")).toEqual(false);
 });
 
-test("a path that only begins like the peers' is an unknown path", async () => {
+test("a path that only shares a prefix with the peer API is an unknown path", async () => {
   const { port } = site;
   for (const path of ["/peerless", "/peer-report/x"]) {
     const answer = await exchange({ port, path });
@@ -161,10 +160,10 @@
   }
 });
 
-function askPeer(
+function callPeer(
   call: Omit<SentRequest, "port">,
   secret: string | undefined,
-): Promise<WholeAnswer> {
+): Promise<HttpAnswer> {
   return exchange({
     ...call,
     port: site.port,
--- a/packages/kelpspar-daemon/src/__tests__/unit/bad_connection_test.ts
+++ b/packages/kelpspar-daemon/src/__tests__/unit/bad_connection_test.ts
@@ -19,22 +19,22 @@
   expectServed,
   readRecords,
   startTestDaemon,
-  until,
+  waitUntil,
 } from "../support/test_daemon.ts";
 import { KEYS } from "../support/test_site.ts";
 
-/** A test that would wait for ever fails after this time instead. */
+/** Fails a test that would otherwise hang. */
 const LIMIT = { timeout: 30_000 };
-/** More than the sockets of both ends hold, so that the daemon must wait. */
-const LARGE_PIECES = 64;
-const PIECE_LENGTH = 256 * 1024;
+/** More than the socket buffers hold, so that backpressure applies. */
+const CHUNK_COUNT = 64;
+const CHUNK_LENGTH = 256 * 1024;
 const SUBMISSION = {
   pipeline: "echo",
   input: "lime",
   deadlineMilliseconds: 60_000,
 };
 
-/** A test with a daemon of its own, which serves at the end as well. */
+/** Runs a test with its own daemon, which must still serve at the end. */
 function withDaemon(
   limits: Readonly<Record<string, number>>,
   run: (site: TestDaemon) => Promise<void>,
@@ -50,7 +50,7 @@
 const START = "POST /v1/requests HTTP/1.1\r\nhost: x\r\n";
 const HEADERS = `${START}authorization: Bearer ${KEYS.small}\r\n`;
 
-/** What is sent, and the one limit that it meets. */
+/** The bytes sent and the limit that they exceed. */
 const SLOW: Readonly<Record<string, readonly [string, object]>> = {
   "a first byte": ["P", { headersTimeoutMilliseconds: 500 }],
   "some headers": [START, { headersTimeoutMilliseconds: 500 }],
@@ -67,7 +67,7 @@
     ...limit,
   };
   test(
-    `${name} that nothing follows is refused as too slow`,
+    `a connection that stalls after ${name} is refused as too slow`,
     LIMIT,
     withDaemon(limits, async ({ port }) => {
       const socket = await openSocket(port, text);
@@ -78,7 +78,7 @@
 }
 
 test(
-  "a caller that closes in the middle of its body harms nobody",
+  "a caller that disconnects while sending its body affects no other caller",
   LIMIT,
   withDaemon({}, async ({ port, ports }) => {
     const socket = await openSocket(
@@ -92,11 +92,10 @@
 );
 
 test(
-  "a call whose caller closed in the middle of its answer is aborted",
+  "a call is aborted when its caller disconnects during the answer",
   LIMIT,
-  // Symptom: endpoints work for callers that are gone.
-  // Sequence: a caller reads a part of its answer and closes its connection.
-  // Cause: nobody tells the call that its result is not wanted any more.
+  // Failure: endpoints run calls for disconnected callers. A caller reads part
+  // of its answer and closes its connection, and the call is not aborted.
   withDaemon({ abandonedGraceMilliseconds: 0 }, async ({ port, ports }) => {
     const called = nextCall(ports.endpoints);
     const answer = await submit(port);
@@ -104,12 +103,12 @@
     const aborted = once(call.options.signal, "abort");
     answer.destroy();
     await aborted;
-    await until(async () => await stateOf(port, call) === "cancelled");
+    await waitUntil(async () => await stateOf(port, call) === "cancelled");
   }),
 );
 
 test(
-  "a caller that reads slowly gets its whole answer and delays none",
+  "a slow caller gets its complete answer and delays no other caller",
   LIMIT,
   withDaemon({}, async ({ port, ports }) => {
     const { answer, text } = await startLargeAnswer(port, ports.endpoints);
@@ -130,13 +129,12 @@
 );
 
 test(
-  "a planned stop ends although a caller has stopped reading",
+  "a planned stop ends even if a caller has stopped reading",
   LIMIT,
   async (t) => {
-    // Symptom: a daemon that was told to stop never ends.
-    // Sequence: a caller reads a part of a long answer and no more; the daemon
-    // is stopped; its longest time to stop passes.
-    // Cause: the front waits without a limit for answers that nobody reads.
+    // Failure: a stopping daemon never ends. A caller stops reading a long
+    // answer, the daemon is stopped and its stop limit passes; the HTTP server
+    // waits without a limit for answers that nobody reads.
     const { daemon, port, ports } = await startTestDaemon({
       settings: { limits: { drainLimitMilliseconds: 1_000 } },
     });
@@ -147,17 +145,16 @@
 );
 
 test(
-  "a connection that was refused is closed whether its caller closes or not",
+  "a refused connection is closed even if its caller keeps it open",
   LIMIT,
-  // Symptom: the daemon's connections run out, and a stop never ends.
-  // Sequence: a caller sends what is not HTTP, reads the refusal and neither
-  // closes its side nor sends any more.
-  // Cause: the daemon ends its own side only, and no timeout watches a
-  // connection whose parser has given up.
+  // Failure: the daemon runs out of connections, and a stop never ends. A caller
+  // sends bytes that are not HTTP, reads the refusal and neither closes its side
+  // nor sends more; the daemon closes only its own side, and Node.js applies no
+  // timeout after a parse error.
   withDaemon({}, async ({ port }) => {
     const socket = await openSocket(port, "hello\r\n\r\n");
     expectFailure(await readAnswer(socket), "malformed_request");
-    await closed(socket);
+    await waitUntilClosed(socket);
   }),
 );
 
@@ -167,26 +164,26 @@
   readonly text: string;
 }
 
-/** An answer that is whole at the daemon while its caller reads nothing. */
+/** Starts an answer that the daemon completes while its caller reads nothing. */
 async function startLargeAnswer(
   port: number,
   endpoints: TestDaemon["ports"]["endpoints"],
 ): Promise<LargeAnswer> {
-  const piece = "x".repeat(PIECE_LENGTH);
+  const piece = "x".repeat(CHUNK_LENGTH);
   const called = nextCall(endpoints);
   const answer = await submit(port);
   const call = await called;
-  for (let index = 0; index < LARGE_PIECES; index++) {
-    call.chunk(index * PIECE_LENGTH, piece);
+  for (let index = 0; index < CHUNK_COUNT; index++) {
+    call.chunk(index * CHUNK_LENGTH, piece);
   }
-  const text = piece.repeat(LARGE_PIECES);
+  const text = piece.repeat(CHUNK_COUNT);
   call.end(text.length);
   call.close();
-  await until(async () => await stateOf(port, call) === "completed");
+  await waitUntil(async () => await stateOf(port, call) === "completed");
   return { answer, text };
 }
 
-/** The next call waits for the test; those after it are answered at once. */
+/** Hands the next call to the test; later calls are answered immediately. */
 function nextCall(
   endpoints: TestDaemon["ports"]["endpoints"],
 ): Promise<FakeCall> {
@@ -210,8 +207,8 @@
   return (JSON.parse(answer.text) as { readonly state: string }).state;
 }
 
-async function closed(socket: Socket): Promise<void> {
-  // Only a write shows that the other side is gone for good.
+async function waitUntilClosed(socket: Socket): Promise<void> {
+  // Only a write shows that the other side has closed completely.
   while (!socket.destroyed) {
     socket.write("x");
     await new Promise<void>((resolve) => setImmediate(resolve));
--- a/packages/kelpspar-daemon/src/__tests__/unit/bad_input_test.ts
+++ b/packages/kelpspar-daemon/src/__tests__/unit/bad_input_test.ts
@@ -1,5 +1,5 @@
 import type { FailureRecord, ResultName } from "kelpspar-shared";
-import type { SentRequest, WholeAnswer } from "../support/http_exchange.ts";
+import type { HttpAnswer, SentRequest } from "../support/http_exchange.ts";
 import type { TestDaemon } from "../support/test_daemon.ts";
 import { expect } from "earl";
 import { after, before, test } from "node:test";
@@ -34,26 +34,26 @@
 
 type BadRequest = readonly [Omit<SentRequest, "port">, ResultName];
 
-/** A submission that is good but for the given fields. */
+/** A submission that is valid except for the given fields. */
 function submission(
   changes: Readonly<Record<string, unknown>>,
 ): Omit<SentRequest, "port"> {
-  const good = { pipeline: "echo", input: "x", deadlineMilliseconds: 1_000 };
-  return { path: SUBMIT, key: KEYS.small, body: { ...good, ...changes } };
+  const valid = { pipeline: "echo", input: "x", deadlineMilliseconds: 1_000 };
+  return { path: SUBMIT, key: KEYS.small, body: { ...valid, ...changes } };
 }
 
-/** A submission whose body is this text. */
+/** A submission with this text as body. */
 function text(body: string): Omit<SentRequest, "port"> {
   return { path: SUBMIT, key: KEYS.small, body };
 }
 
-/** A request for a path by a caller. */
-function asks(path: string, method = "GET"): Omit<SentRequest, "port"> {
+/** A caller's request for a path. */
+function requestFor(path: string, method = "GET"): Omit<SentRequest, "port"> {
   return { path, method, key: KEYS.small };
 }
 
 const GROUPS: Readonly<Record<string, readonly BadRequest[]>> = {
-  "keys that are missing, wrong or another interface's": [
+  "keys that are missing, wrong or of another API": [
     [{ ...submission({}), key: undefined as never }, "unknown_caller_key"],
     [{ ...submission({}), key: "no-such-key" }, "unknown_caller_key"],
     [{ ...submission({}), key: KEYS.administrator }, "unknown_caller_key"],
@@ -70,13 +70,13 @@
       "unknown_operator_key",
     ],
   ],
-  "bodies that are no request": [
+  "bodies that are not a valid request": [
     [text("{"), "malformed_request"],
     [text("[]"), "malformed_request"],
     [text("null"), "malformed_request"],
     [text("\u0000"), "malformed_request"],
     [text("[".repeat(MAXIMUM_BODY_BYTES - 1)), "malformed_request"],
-    [{ ...asks(SUBMIT), method: "POST" }, "malformed_request"],
+    [{ ...requestFor(SUBMIT), method: "POST" }, "malformed_request"],
     [submission({ extra: 1 }), "malformed_request"],
     [submission({ input: 1 }), "malformed_request"],
     [submission({ pipeline: "" }), "malformed_request"],
@@ -90,7 +90,7 @@
     [submission({ pipeline: "__proto__" }), "unknown_pipeline"],
     [submission({ pipeline: "large-only" }), "not_allowed"],
   ],
-  "deadlines that no request may have": [
+  "invalid deadlines": [
     [submission({ deadlineMilliseconds: 0 }), "deadline_out_of_range"],
     [submission({ deadlineMilliseconds: -1 }), "deadline_out_of_range"],
     [
@@ -105,28 +105,28 @@
       "malformed_request",
     ],
   ],
-  "paths, methods and offsets": [
-    [asks("/"), "unknown_path"],
-    [asks("/v2/requests"), "unknown_path"],
-    [asks("/v1/requests/"), "method_not_allowed"],
-    [asks("/v1/requests/none/stream/more"), "unknown_path"],
-    [asks("/v1/requests/%zz/stream"), "unknown_path"],
-    [asks("/v1/requests/%ff/stream"), "unknown_path"],
-    [asks("/v1/requests/none/stream"), "request_not_found"],
-    [asks("/v1/requests/none", "DELETE"), "request_not_found"],
-    [asks("/v1/requests/by-key/none"), "request_not_found"],
-    [asks("/v1/requests/by-key/"), "request_not_found"],
-    [asks("/v1/requests/by-key/%00"), "request_not_found"],
-    [asks(SUBMIT), "method_not_allowed"],
-    [asks(SUBMIT, "PUT"), "method_not_allowed"],
-    [asks(SUBMIT, "OPTIONS"), "method_not_allowed"],
-    [asks("/v1/addresses", "PROPFIND"), "method_not_allowed"],
-    [asks("/v1/operator/nothing"), "unknown_path"],
+  "invalid paths and methods": [
+    [requestFor("/"), "unknown_path"],
+    [requestFor("/v2/requests"), "unknown_path"],
+    [requestFor("/v1/requests/"), "method_not_allowed"],
+    [requestFor("/v1/requests/none/stream/more"), "unknown_path"],
+    [requestFor("/v1/requests/%zz/stream"), "unknown_path"],
+    [requestFor("/v1/requests/%ff/stream"), "unknown_path"],
+    [requestFor("/v1/requests/none/stream"), "request_not_found"],
+    [requestFor("/v1/requests/none", "DELETE"), "request_not_found"],
+    [requestFor("/v1/requests/by-key/none"), "request_not_found"],
+    [requestFor("/v1/requests/by-key/"), "request_not_found"],
+    [requestFor("/v1/requests/by-key/%00"), "request_not_found"],
+    [requestFor(SUBMIT), "method_not_allowed"],
+    [requestFor(SUBMIT, "PUT"), "method_not_allowed"],
+    [requestFor(SUBMIT, "OPTIONS"), "method_not_allowed"],
+    [requestFor("/v1/addresses", "PROPFIND"), "method_not_allowed"],
+    [requestFor("/v1/operator/nothing"), "unknown_path"],
   ],
 };
 
 for (const [name, requests] of Object.entries(GROUPS)) {
-  test(`${name} are refused by number, and the next is served`, async () => {
+  test(`${name} are refused with a failure record, and the next request is served`, async () => {
     const { port } = site;
     for (const [request, result] of requests) {
       expectFailure(await exchange({ ...request, port }), result);
@@ -135,7 +135,7 @@
   });
 }
 
-test("a body over the limit is refused, declared or in chunks", async () => {
+test("a body over the limit is refused, with a content length or chunked", async () => {
   const { port } = site;
   const body = `"${"x".repeat(MAXIMUM_BODY_BYTES)}"`;
   expectFailure(await exchange({ ...text(body), port }), "body_too_large");
@@ -153,7 +153,7 @@
   await expectServed(port);
 });
 
-test("what is not HTTP is refused by number", async () => {
+test("bytes that are not HTTP are refused with a failure record", async () => {
   const { port } = site;
   const host = "host: x\r\n";
   const long = `x: ${"y".repeat(MAXIMUM_HEADER_BYTES)}\r\n`;
@@ -174,11 +174,10 @@
   }
 });
 
-test("HTTP that Node.js answers by itself is refused by number too", async () => {
-  // Symptom: a caller gets status 400 or 417 without a record, or no answer.
-  // Sequence: a request without a host, with an expectation that nobody
-  // knows, or by method CONNECT.
-  // Cause: Node.js answers these before any route sees them.
+test("requests that Node.js would answer itself are refused with a failure record", async () => {
+  // Failure: a caller gets status 400 or 417 without a record, or no answer,
+  // for a request without a host, with an unknown expectation or with method
+  // CONNECT, because Node.js answers these before any route does.
   await expectRefused([
     "GET /v1/health HTTP/1.1\r\nconnection: close\r\n\r\n",
     `GET /v1/health HTTP/1.1\r\n${CLOSE}expect: a miracle\r\n\r\n`,
@@ -186,23 +185,22 @@
   ]);
 });
 
-test("a path that is no URL is the caller's error, not the daemon's", async () => {
-  // Symptom: status 500, code 5004, and an error in the log.
-  // Sequence: a request for "//" or for an address that cannot be read.
-  // Cause: the parser of URLs throws at it.
+test("a path that is not a valid URL is a caller error, not an internal error", async () => {
+  // Failure: status 500 with code 5004 and an error in the log for a request
+  // for "//" or an invalid absolute URL, because the URL parser throws.
   await expectRefused([
     `GET // HTTP/1.1\r\n${CLOSE}\r\n`,
     `GET http://[ HTTP/1.1\r\n${CLOSE}\r\n`,
   ]);
 });
 
-/** Each text must be answered by a numbered failure that is the caller's. */
+/** Checks that each text is answered with a failure record of a caller error. */
 async function expectRefused(texts: readonly string[]): Promise<void> {
   const { port } = site;
   const wrong: string[] = [];
   for (const sent of texts) {
     const answer = await exchangeBytes(port, sent);
-    if (!isCallersFailure(answer)) {
+    if (!isCallerError(answer)) {
       wrong.push(`${JSON.stringify(sent)}: ${JSON.stringify(answer)}`);
     }
     await expectServed(port);
@@ -210,7 +208,7 @@
   expect(wrong).toEqual([]);
 }
 
-function isCallersFailure(answer: WholeAnswer): boolean {
+function isCallerError(answer: HttpAnswer): boolean {
   if (answer.status < 400 || answer.status > 499) return false;
   const record = JSON.parse(answer.text || "{}") as Partial<FailureRecord>;
   return record.type === "failure" && record.code !== undefined;
--- a/packages/kelpspar-daemon/src/__tests__/unit/configuration_applier_test.ts
+++ b/packages/kelpspar-daemon/src/__tests__/unit/configuration_applier_test.ts
@@ -7,7 +7,7 @@
 import { ConfigurationApplier } from "../../operators/configuration_applier.ts";
 
 const KEY = { table: "configuration", key: "current" } as const;
-const LONGER_THAN_PATIENCE_MILLISECONDS = 10_000;
+const BEYOND_APPLY_TIMEOUT_MILLISECONDS = 10_000;
 
 const faults = fc.record({
   loseAnswerEvery: fc.nat(3),
@@ -17,53 +17,51 @@
   latencyMilliseconds: fc.nat(5),
 });
 
-interface Ending {
+interface ApplyResult {
   readonly result: string;
   readonly row?: ConfigurationRow;
 }
 
-test("of operators who race at most one is accepted, whatever answers are lost", () =>
-  // Symptom: two operators are both told that theirs is in force, or one is
-  // told that it failed and it is in force.
-  // Sequence: several daemons are given a change each, built on the same
-  // revision, while the table loses answers and lets writes in late.
-  // Cause: a lost answer is taken for a refusal, or for a success.
+test("at most one of several concurrent changes is accepted, even if answers are lost", () =>
+  // Failure: two operators both get success, or one gets a failure for a change
+  // that is active. Several daemons apply changes to the same revision while
+  // the table loses answers and delays writes; a lost answer is treated as a
+  // refusal or as a success.
   fc.assert(
     fc.asyncProperty(faults, async (fault) => {
       const timer = new ManualTimer();
       const table = new InMemoryTable({ timer, faults: fault });
-      const endings = ["c1", "c2", "c3"].map((changeId, seed) => {
+      const results = ["c1", "c2", "c3"].map((changeId, seed) => {
         const random = new SeededRandom(seed + 1);
         const applier = new ConfigurationApplier({ table, timer, random });
-        return endingOf(applier.apply(createChange(changeId, changeId)));
+        return resultOf(applier.apply(createChange(changeId, changeId)));
       });
-      await timer.advance(LONGER_THAN_PATIENCE_MILLISECONDS);
+      await timer.advance(BEYOND_APPLY_TIMEOUT_MILLISECONDS);
       const stored = await readCurrent(table, timer);
-      for (const [index, ending] of (await Promise.all(endings)).entries()) {
+      for (const [index, result] of (await Promise.all(results)).entries()) {
         const isStored = stored?.changeId === `c${index + 1}`;
-        const truths = isStored
+        const allowedResults = isStored
           ? ["ok", "apply_unconfirmed"]
           : ["revision_conflict", "apply_unconfirmed", "store_unavailable"];
-        expect(truths.includes(ending.result)).toEqual(true);
-        if (ending.row !== undefined) {
-          expect([ending.row]).toLooseEqual([stored]);
+        expect(allowedResults.includes(result.result)).toEqual(true);
+        if (result.row !== undefined) {
+          expect([result.row]).toLooseEqual([stored]);
         }
       }
     }),
     { seed: 1, numRuns: 150 },
   ));
 
-test("a change that was accepted before is answered by what was accepted", async () => {
-  // Symptom: one daemon serves by a configuration that was never accepted.
-  // Sequence: an operator applies a change, edits the file and sends it again
-  // under the same change id; the daemon puts what it was given in force.
-  // Cause: the answer is made from the request, not from the stored row.
+test("a repeated change id is answered with the configuration accepted first", async () => {
+  // Failure: a daemon activates a configuration that was never accepted. An
+  // operator applies a change, edits the file and sends it again with the same
+  // change id; the answer is built from the request, not from the stored row.
   const timer = new ManualTimer();
   const table = new InMemoryTable({ timer });
   const random = new SeededRandom(1);
   const applier = new ConfigurationApplier({ table, timer, random });
-  const first = await endingOf(applier.apply(createChange("c1", "accepted")));
-  const again = await endingOf(applier.apply(createChange("c1", "edited")));
+  const first = await resultOf(applier.apply(createChange("c1", "accepted")));
+  const again = await resultOf(applier.apply(createChange("c1", "edited")));
   expect(first.row?.configuration).toEqual("accepted");
   expect(["ok", "revision_conflict"].includes(again.result)).toEqual(true);
   if (again.row !== undefined) {
@@ -78,7 +76,9 @@
   return { changeId, configuration, operator: "o", expectedRevision: 0 };
 }
 
-async function endingOf(apply: Promise<ConfigurationRow>): Promise<Ending> {
+async function resultOf(
+  apply: Promise<ConfigurationRow>,
+): Promise<ApplyResult> {
   try {
     return { result: "ok", row: await apply };
   } catch (thrown) {
--- a/packages/kelpspar-daemon/src/__tests__/unit/configuration_manager_test.ts
+++ b/packages/kelpspar-daemon/src/__tests__/unit/configuration_manager_test.ts
@@ -2,7 +2,7 @@
 import fc from "fast-check";
 import { test } from "node:test";
 import { ManualTimer } from "kelpspar-shared";
-import { ConfigurationKeeper } from "../../configuration/configuration_manager.ts";
+import { ConfigurationManager } from "../../configuration/configuration_manager.ts";
 import { createDaemonState } from "../../state/daemon_state.ts";
 import { StateStore } from "../../state/state_store.ts";
 import { createConfiguration, createRow } from "../support/test_site.ts";
@@ -16,37 +16,37 @@
   { maxLength: 20 },
 );
 
-test("the configuration in force never goes back, whoever brings what when", () =>
-  // Symptom: a change that was accepted and in force is not any more.
-  // Sequence: the table, peers and operators bring revisions in any order, some
-  // late, some that this program cannot read, some by their number only.
-  // Cause: the last one that arrives is taken for the newest.
+test("the active configuration never reverts, whatever the order and source of revisions", () =>
+  // Failure: an accepted and active change is reverted. Revisions arrive from
+  // the table and peers in any order, some late, some that this program version
+  // cannot parse, some by number only; the last to arrive is taken for the
+  // newest.
   fc.assert(
     fc.asyncProperty(events, async (sequence) => {
       const timer = new ManualTimer();
       const state = new StateStore(createDaemonState());
-      const keeper = new ConfigurationKeeper({
+      const manager = new ConfigurationManager({
         state,
         timer,
-        onInForce: () => {},
-        onNotUnderstood: () => {},
+        onActivated: () => {},
+        onUnsupportedRevision: () => {},
       });
-      let inForce = 0;
+      let active = 0;
       let highest = 0;
       for (const { kind, revision, source } of sequence) {
         const site = `site-${revision}`;
         const content = kind === "offer" ? createConfiguration({ site }) : {};
-        if (kind === "proof") keeper.noteProof(revision, "peer");
+        if (kind === "proof") manager.noteAcceptedRevision(revision, "peer");
         else if (kind === "wait") await timer.advance(1_000);
-        else keeper.offer(createRow(revision, content), source);
-        if (kind === "offer") inForce = Math.max(inForce, revision);
+        else manager.offer(createRow(revision, content), source);
+        if (kind === "offer") active = Math.max(active, revision);
         if (kind !== "wait") highest = Math.max(highest, revision);
         const now = state.read();
-        expect(now.configurationRow?.revision ?? 0).toEqual(inForce);
+        expect(now.configurationRow?.revision ?? 0).toEqual(active);
         expect(now.configuration?.site)
-          .toEqual(inForce === 0 ? undefined : `site-${inForce}`);
-        expect(keeper.stance === "serve")
-          .toEqual(inForce > 0 && inForce === highest);
+          .toEqual(active === 0 ? undefined : `site-${active}`);
+        expect(manager.stance === "serve")
+          .toEqual(active > 0 && active === highest);
       }
     }),
     { seed: 1, numRuns: 300 },
--- a/packages/kelpspar-daemon/src/__tests__/unit/engine_group_controller_test.ts
+++ b/packages/kelpspar-daemon/src/__tests__/unit/engine_group_controller_test.ts
@@ -1,12 +1,12 @@
-import type { CoreBench } from "../support/core_harness.ts";
+import type { CoreHarness } from "../support/core_harness.ts";
 import { expect } from "earl";
 import { test } from "node:test";
-import { startOrdersRole } from "../../orders/start_engine_group_controllers.ts";
-import { createCoreBench } from "../support/core_harness.ts";
+import { startEngineGroupControllers } from "../../orders/start_engine_group_controllers.ts";
+import { createCoreHarness } from "../support/core_harness.ts";
 import { createConfiguration, ENDPOINT_VMS } from "../support/test_site.ts";
 
 const LEASE = { table: "leases", key: "generate" } as const;
-const DEAD_HOLDERS = {
+const DEAD_HOLDER_ROW = {
   holder: "dead",
   fencingNumber: 1,
   leaseMilliseconds: 10_000,
@@ -23,27 +23,27 @@
   state: "live",
   checksFencing: false,
 } as const;
-const LONGEST_MILLISECONDS = 60_000;
+const MAXIMUM_WAIT_MILLISECONDS = 60_000;
 
-test("a dead holder's last order is waited for, whenever the engines are listed", async () => {
-  // Symptom: an engine that ignores fencing numbers is ordered to and fro.
-  // Sequence: the holder dies with an order on its way; another daemon boots,
-  // has its configuration before its list of VMs, and takes the lease over.
-  // Cause: a group without engines is taken for one whose engines all check,
-  // and that is never looked at again.
-  const early = await takeOverAt(0);
-  const late = await takeOverAt(1_000);
+test("a lease takeover waits for a dead holder's last order, whenever the engines are listed", async () => {
+  // Failure: an engine that ignores fencing numbers gets conflicting orders. The
+  // holder dies with an order in flight; another daemon starts, gets its
+  // configuration before its VM list, and takes the lease over. A group without
+  // engines was assumed to have only engines that check fencing numbers, and
+  // the assumption was never revised.
+  const early = await measureTakeover(0);
+  const late = await measureTakeover(1_000);
   expect([early >= 11_500, late >= 11_500]).toEqual([true, true]);
 });
 
-/** When the lease is taken from its dead holder, milliseconds. */
-async function takeOverAt(listedAt: number): Promise<number> {
-  const bench = createCoreBench({ configuration: withEngines() });
-  const { core, ports, timer } = bench;
-  const write = { ...LEASE, value: DEAD_HOLDERS };
+/** The time of the takeover from the dead holder, in milliseconds. */
+async function measureTakeover(listedAt: number): Promise<number> {
+  const harness = createCoreHarness({ configuration: withEngines() });
+  const { core, ports, timer } = harness;
+  const write = { ...LEASE, value: DEAD_HOLDER_ROW };
   await ports.table.commit({ writes: [write] });
-  if (listedAt === 0) listEngine(bench);
-  const stop = startOrdersRole({
+  if (listedAt === 0) listEngine(harness);
+  const stop = startEngineGroupControllers({
     ...ports,
     ...core,
     daemonId: "daemon-1",
@@ -52,28 +52,28 @@
     onTakenOut: () => {},
   });
   await timer.advance(listedAt);
-  listEngine(bench);
-  while (timer.now() < LONGEST_MILLISECONDS) {
+  listEngine(harness);
+  while (timer.now() < MAXIMUM_WAIT_MILLISECONDS) {
     await timer.advance(250);
     const [row] = await ports.table.read([LEASE]);
     const { holder } = row?.value as { readonly holder: string };
-    if (holder !== DEAD_HOLDERS.holder) break;
+    if (holder !== DEAD_HOLDER_ROW.holder) break;
   }
   stop();
-  await bench.stop();
+  await harness.stop();
   return timer.now();
 }
 
-function listEngine({ core }: CoreBench): void {
+function listEngine({ core }: CoreHarness): void {
   core.state.update(() => ({ vms: [...ENDPOINT_VMS, ENGINE_VM] }));
 }
 
 function withEngines(): Readonly<Record<string, unknown>> {
-  const good = createConfiguration();
+  const base = createConfiguration();
   return {
     models: [{ id: "m", version: "1" }],
     services: [
-      ...good["services"] as readonly unknown[],
+      ...base["services"] as readonly unknown[],
       { id: "generate", kind: "engine", models: ["m"] },
     ],
   };
--- a/packages/kelpspar-daemon/src/__tests__/unit/front_fuzz_test.ts
+++ b/packages/kelpspar-daemon/src/__tests__/unit/front_fuzz_test.ts
@@ -1,6 +1,6 @@
 import type { AnswerRecord } from "kelpspar-shared";
 import type { ArbitraryRequest } from "../support/arbitrary_requests.ts";
-import type { WholeAnswer } from "../support/http_exchange.ts";
+import type { HttpAnswer } from "../support/http_exchange.ts";
 import type { TestDaemon } from "../support/test_daemon.ts";
 import { expect } from "earl";
 import fc from "fast-check";
@@ -19,7 +19,7 @@
 } from "../support/test_daemon.ts";
 
 const RUNS = { seed: 20_251_202, numRuns: 400 };
-const SERVED_EVERY = 20;
+const SERVED_CHECK_INTERVAL = 20;
 const STATUS_OK = 200;
 
 let site: TestDaemon;
@@ -30,10 +30,10 @@
 
 after(() => site.daemon.stop());
 
-test("whatever callers send is answered or refused by number", () =>
+test("arbitrary caller requests get an answer or a failure record", () =>
   checkAll(arbitraryCallerRequests));
 
-test("whatever operators send is answered or refused by number", () =>
+test("arbitrary operator requests get an answer or a failure record", () =>
   checkAll(arbitraryOperatorRequests));
 
 async function checkAll(
@@ -45,17 +45,18 @@
       const answer = await exchangeBytes(site.port, writeRequest(request));
       checkAnswer(request, answer);
       expect(site.ports.log.errors).toEqual([]);
-      if (runs++ % SERVED_EVERY === 0) await expectServed(site.port);
+      if (runs++ % SERVED_CHECK_INTERVAL === 0) await expectServed(site.port);
     }),
     RUNS,
   );
   await expectServed(site.port);
 }
 
-function checkAnswer(request: ArbitraryRequest, answer: WholeAnswer): void {
+function checkAnswer(request: ArbitraryRequest, answer: HttpAnswer): void {
   expect(answer.status >= STATUS_OK).toEqual(true);
-  const isBare = request.method === "HEAD" || request.path.startsWith("/peer");
-  if (isBare) return;
+  const hasNoRecord = request.method === "HEAD" ||
+    request.path.startsWith("/peer");
+  if (hasNoRecord) return;
   if (answer.status !== STATUS_OK) {
     checkFailure(JSON.parse(answer.text) as AnswerRecord, answer.status);
     return;
@@ -77,7 +78,7 @@
   expect(status ?? row.httpStatus).toEqual(row.httpStatus);
 }
 
-/** Takes the lengths of the chunks out of a body that was sent in chunks. */
+/** Removes the chunk lengths from a body in chunked encoding. */
 function dechunk(text: string): string {
   return text.split("\r\n").filter((_line, index) => index % 2 === 1).join("");
 }
--- a/packages/kelpspar-daemon/src/__tests__/unit/held_request_test.ts
+++ b/packages/kelpspar-daemon/src/__tests__/unit/held_request_test.ts
@@ -5,8 +5,8 @@
 import { ManualTimer } from "kelpspar-shared";
 import { startDaemon } from "../../daemon.ts";
 import { exchange, openSocket } from "../support/http_exchange.ts";
-import { expectFailure, until } from "../support/test_daemon.ts";
-import { createTestPorts, SILENT_PEERS } from "../support/test_ports.ts";
+import { expectFailure, waitUntil } from "../support/test_daemon.ts";
+import { createTestPorts, UNREACHABLE_PEERS } from "../support/test_ports.ts";
 import { createRow, createSettings, KEYS } from "../support/test_site.ts";
 
 const BODY = JSON.stringify({
@@ -19,13 +19,11 @@
   limits: { abandonedGraceMilliseconds: 0 },
 });
 
-test("a caller that leaves while its request is held is not served for nobody", async (t) => {
-  // Symptom: endpoints work for callers that are gone, and such requests run
-  // until their deadlines.
-  // Sequence: a peer has a newer configuration; a caller's request is held
-  // until it is here; meanwhile the caller closes its connection.
-  // Cause: the request starts after the connection's close was announced, and
-  // nobody hears of it any more.
+test("a request whose caller disconnects while it is held is not left running", async (t) => {
+  // Failure: endpoints run requests of disconnected callers until their
+  // deadlines. A request is held while a newer configuration is fetched from a
+  // peer, and its caller closes the connection meanwhile; the request starts
+  // after the close event, so nothing cancels it.
   const timer = new ManualTimer();
   let deliver = (_row: ConfigurationRow): void => {};
   const delivery = new Promise<ConfigurationRow>((resolve) => {
@@ -34,7 +32,7 @@
   const ports = {
     ...createTestPorts(timer),
     peers: {
-      ...SILENT_PEERS,
+      ...UNREACHABLE_PEERS,
       exchange: async (_peer: unknown, digest: PeerDigest) =>
         createPeerDigest(digest, 2),
       configuration: () => delivery,
@@ -49,9 +47,9 @@
   await timer.advance(50);
   ports.endpoints.onCall = () => {};
   const socket = await openSocket(port, createSubmission());
-  await health(port);
+  await flushConnections(port);
   socket.resetAndDestroy();
-  await health(port);
+  await flushConnections(port);
   expect(ports.endpoints.calls.length).toEqual(0);
   deliver(createRow(2));
   await timer.advance(300);
@@ -60,11 +58,11 @@
   }
 });
 
-test("a resubmission that meets a daemon without a configuration may have run", async (t) => {
-  // Symptom: a caller that was told "not run" books anew, and two trucks come.
-  // Sequence: a booking's first submission got no answer; the second one meets
-  // a daemon that has just booted.
-  // Cause: the daemon refuses before it reads that it was submitted before.
+test("a daemon without a configuration does not report a resubmission as not run", async (t) => {
+  // Failure: a caller gets `not_run`, books again, and the booking is made
+  // twice. The first submission got no answer and the second reaches a daemon
+  // that has just started, which refuses it before reading the resubmission
+  // flag.
   const timer = new ManualTimer();
   const daemon = await startDaemon(SETTINGS, createTestPorts(timer));
   t.after(() => stop(daemon, timer));
@@ -90,8 +88,8 @@
     `content-length: ${BODY.length}\r\n\r\n${BODY}`;
 }
 
-/** Answered after all that the daemon had received before. */
-async function health(port: number): Promise<void> {
+/** Waits until the daemon has handled everything it received before. */
+async function flushConnections(port: number): Promise<void> {
   for (let turn = 0; turn < 3; turn++) {
     await exchange({ port, path: "/v1/health" });
   }
@@ -111,12 +109,12 @@
   daemon: Awaited<ReturnType<typeof startDaemon>>,
   timer: ManualTimer,
 ): Promise<void> {
-  let isOver = false;
+  let isStopped = false;
   void daemon.stop().then(() => {
-    isOver = true;
+    isStopped = true;
   });
-  await until(async () => {
+  await waitUntil(async () => {
     await timer.advance(100);
-    return isOver;
+    return isStopped;
   });
 }
--- a/packages/kelpspar-daemon/src/__tests__/unit/request_service_test.ts
+++ b/packages/kelpspar-daemon/src/__tests__/unit/request_service_test.ts
@@ -1,10 +1,10 @@
 import type { KelpsparError, SubmitRequest } from "kelpspar-shared";
 import type { RequestContext } from "../../requests/request_context.ts";
-import type { CoreBench } from "../support/core_harness.ts";
+import type { CoreHarness } from "../support/core_harness.ts";
 import { expect } from "earl";
 import { test } from "node:test";
 import { toKelpsparError } from "kelpspar-shared";
-import { createCoreBench } from "../support/core_harness.ts";
+import { createCoreHarness } from "../support/core_harness.ts";
 import { createAccount } from "../support/test_site.ts";
 
 const DEADLINE_MILLISECONDS = 1_000;
@@ -16,16 +16,16 @@
 const BOOKING = { pipeline: "booking", idempotencyKey: "k" };
 
 async function withBench(
-  options: Parameters<typeof createCoreBench>[0],
-  run: (bench: CoreBench) => Promise<void>,
+  options: Parameters<typeof createCoreHarness>[0],
+  run: (bench: CoreHarness) => Promise<void>,
 ): Promise<void> {
-  const bench = createCoreBench(options);
+  const bench = createCoreHarness(options);
   await run(bench);
   await bench.stop();
 }
 
 const ENDINGS: Readonly<
-  Record<string, (bench: CoreBench, context: RequestContext) => void>
+  Record<string, (bench: CoreHarness, context: RequestContext) => void>
 > = {
   deadline_exceeded: () => {},
   cancelled: ({ core }, context) => core.requests.cancel(context, "a test"),
@@ -183,7 +183,7 @@
   }));
 
 /** Slow calls, so that later ones are in time; then enough to earn a hedge. */
-async function warmUp(bench: CoreBench): Promise<void> {
+async function warmUp(bench: CoreHarness): Promise<void> {
   const { ports, timer } = bench;
   for (let round = 0; round < 100; round++) {
     const milliseconds = round < 49 ? 20 : 1;
@@ -197,7 +197,7 @@
 }
 
 function refusalOf(
-  bench: CoreBench,
+  bench: CoreHarness,
   request: Partial<SubmitRequest>,
 ): KelpsparError {
   try {
@@ -208,7 +208,7 @@
   throw new Error(`Not refused: ${JSON.stringify(request)}`);
 }
 
-function inFlight({ core, timer }: CoreBench): number {
+function inFlight({ core, timer }: CoreHarness): number {
   return core.parts.registry.status(timer.now()).reduce(
     (sum, status) => sum + status.inFlight,
     0,
--- a/packages/kelpspar-daemon/src/__tests__/unit/stream_answer_test.ts
+++ b/packages/kelpspar-daemon/src/__tests__/unit/stream_answer_test.ts
@@ -9,7 +9,7 @@
 
 const LONG_MILLISECONDS = 600_000;
 
-/** A response whose reader takes one write and then as the test says. */
+/** A response under backpressure after each write; the test drains it. */
 class FakeResponse extends EventEmitter {
   readonly written: string[] = [];
   writableEnded = false;
@@ -55,10 +55,9 @@
   return { log, response, timer };
 }
 
-test("a reader that is slow gets what waits in one write, once it has room", () => {
-  // Symptom: a daemon's memory grows with each caller that reads slowly.
-  // Sequence: an answer grows while its reader takes nothing.
-  // Cause: each piece is written into the buffer of a socket that is full.
+test("a slow reader gets all pending chunks in one write after a drain", () => {
+  // Failure: a daemon's memory grows with each slow caller, because chunks are
+  // written to a socket whose buffer is full.
   const { log, response } = startStream(4);
   for (const text of ["lime ", "at ", "dawn"]) log.append(text);
   log.finish({
@@ -84,20 +83,19 @@
   expect(chunks[0]?.offset).toEqual(4);
 });
 
-test("a reader that stopped reading is given up, and forgotten by the log", async () => {
+test("a stalled reader is disconnected and its listener removed", async () => {
   const stalled = startStream();
   await stalled.timer.advance(LONG_MILLISECONDS);
   expect([stalled.response.destroyed, stalled.log.readers]).toEqual([true, 0]);
-  const patient = startStream();
-  patient.response.drain();
-  await patient.timer.advance(LONG_MILLISECONDS);
-  expect([patient.response.destroyed, patient.log.readers]).toEqual([false, 1]);
+  const active = startStream();
+  active.response.drain();
+  await active.timer.advance(LONG_MILLISECONDS);
+  expect([active.response.destroyed, active.log.readers]).toEqual([false, 1]);
 });
 
-test("a reader that stopped reading at the very end is given up too", async () => {
-  // Symptom: connections and whole answers stay in memory for good.
-  // Sequence: the last of an answer is written, and its reader takes nothing.
-  // Cause: the watch covers writes, but not the last one.
+test("a reader that stalls on the last write is disconnected too", async () => {
+  // Failure: connections and complete answers stay in memory forever, because
+  // the stall timeout does not cover the last write.
   const { log, response, timer } = startStream();
   response.drain();
   log.finish({
--- a/packages/kelpspar-daemon/src/__tests__/unit/trpc_peer_client_test.ts
+++ b/packages/kelpspar-daemon/src/__tests__/unit/trpc_peer_client_test.ts
@@ -7,12 +7,12 @@
 import { ManualTimer, toKelpsparError } from "kelpspar-shared";
 import { createPeerListener } from "../../peers/peer_listener.ts";
 import { TrpcPeerClient } from "../../peers/trpc_peer_client.ts";
-import { until } from "../support/test_daemon.ts";
+import { waitUntil } from "../support/test_daemon.ts";
 import { createRow, PEER_SECRET } from "../support/test_site.ts";
 
 const TIMEOUT_MILLISECONDS = 400;
-const MOST_CONNECTIONS = 2;
-/** A test that would wait for ever fails after this time instead. */
+const MAXIMUM_CONNECTIONS = 2;
+/** Fails a test that would otherwise hang. */
 const LIMIT = { timeout: 30_000 };
 const ROW = createRow(7);
 const INQUIRY = { accountId: "small", idempotencyKey: "k", operationId: "o" };
@@ -22,17 +22,17 @@
   askClaim: ({ operationId }) => ({ type: "running", operationId }),
 };
 
-/** A peer whose connections can be made to go silent. */
+/** A peer whose open connections can be silenced. */
 class Peer {
   readonly connections: Socket[] = [];
-  asked = 0;
+  callCount = 0;
   readonly #silent = new Set<Socket>();
   readonly #server: Server;
 
   constructor() {
     const answer = createPeerListener(HANDLERS, { secret: PEER_SECRET });
     this.#server = createServer((request, response) => {
-      this.asked++;
+      this.callCount++;
       if (!this.#silent.has(request.socket)) answer(request, response);
     });
     this.#server.on("connection", (socket: Socket) => {
@@ -51,7 +51,7 @@
     return { address: "127.0.0.1", port };
   }
 
-  /** The connections of now never answer again; new ones do. */
+  /** Open connections never answer again; new ones do. */
   silence(): void {
     for (const socket of this.connections) this.#silent.add(socket);
   }
@@ -83,27 +83,26 @@
   expect(await client.askClaim(peer.address, INQUIRY))
     .toEqual({ type: "running", operationId: "o" });
   for (let turn = 0; turn < 5; turn++) await client.configuration(peer.address);
-  expect(peer.connections.length <= MOST_CONNECTIONS).toEqual(true);
+  expect(peer.connections.length <= MAXIMUM_CONNECTIONS).toEqual(true);
 });
 
 test(
-  "a connection that went silent costs one call, not all later ones",
+  "a silent connection fails one call, not all later ones",
   LIMIT,
   async () => {
-    // Symptom: two daemons that are both well take each other for dead.
-    // Sequence: their connection goes silent for good; a call times out.
-    // Cause: the next call uses the same connection again.
+    // Failure: two healthy daemons consider each other dead. Their connection
+    // goes silent, a call times out, and later calls reuse the same connection.
     peer.silence();
-    const { asked } = peer;
+    const { callCount } = peer;
     const lost = resultOf(client.configuration(peer.address));
-    await until(() => peer.asked > asked);
+    await waitUntil(() => peer.callCount > callCount);
     await timer.advance(TIMEOUT_MILLISECONDS);
     expect(await lost).toEqual("peer_unavailable");
     expect(await client.configuration(peer.address)).toEqual(ROW);
   },
 );
 
-test("a wrong secret and a dead peer are both an unavailable peer", async () => {
+test("a wrong secret and an unreachable peer both fail as an unavailable peer", async () => {
   const stranger = new TrpcPeerClient({ secret: "another secret", timer });
   expect(await resultOf(stranger.configuration(peer.address)))
     .toEqual("peer_unavailable");
@@ -113,7 +112,7 @@
     .toEqual("peer_unavailable");
 });
 
-test("a peer that talks nonsense is an unavailable peer", async (t) => {
+test("an invalid answer of a peer fails as an unavailable peer", async (t) => {
   const server = createServer((_request, response) => {
     response.setHeader("content-type", "application/json");
     response.end('{"result":{"data":{"revision":"none"}}}');
--- a/packages/kelpspar-daemon/src/actors/actor_options.ts
+++ b/packages/kelpspar-daemon/src/actors/actor_options.ts
@@ -4,8 +4,8 @@
 import type { DaemonState } from "../state/daemon_state.ts";
 import type { StateStore } from "../state/state_store.ts";
 
-/** What every role of a daemon is started with. */
-export interface RoleOptions {
+/** Dependencies of every actor of a daemon. */
+export interface ActorOptions {
   readonly system: Ref<never>;
   readonly state: StateStore<DaemonState>;
   readonly timer: TimerService;
--- a/packages/kelpspar-daemon/src/actors/configuration_actor.ts
+++ b/packages/kelpspar-daemon/src/actors/configuration_actor.ts
@@ -1,68 +1,76 @@
 import type { TableService } from "kelpspar-backends";
 import type { DrainStore } from "../operators/drain_store.ts";
-import type { ConfigurationKeeper } from "../configuration/configuration_manager.ts";
+import type { ConfigurationManager } from "../configuration/configuration_manager.ts";
 import type { ConfigurationStore } from "../configuration/configuration_store.ts";
 import type { ConfigurationRow } from "../configuration/configuration_row.ts";
-import type { RoleOptions } from "./actor_options.ts";
-import { takeDrains } from "../operators/apply_newer_drains.ts";
+import type { ActorOptions } from "./actor_options.ts";
+import { applyNewerDrains } from "../operators/apply_newer_drains.ts";
 import { errorDetails } from "../log/daemon_log.ts";
 import { registerJitteredInterval } from "./register_jittered_interval.ts";
-import { spawnRole } from "./spawn_actor.ts";
+import { spawnActor } from "./spawn_actor.ts";
 
-/** What the role that follows the configuration works on. */
-export interface ConfigurationRoleOptions extends RoleOptions {
+/** Dependencies of the configuration actor. */
+export interface ConfigurationActorOptions extends ActorOptions {
   readonly table: TableService;
   readonly store: ConfigurationStore;
   readonly drains: DrainStore;
   readonly takenOut: DrainStore;
-  readonly keeper: ConfigurationKeeper;
+  readonly manager: ConfigurationManager;
   readonly pollMilliseconds: number;
 }
 
-/** Commands of the role that follows the configuration. */
+/** Commands of the configuration actor. */
 export type ConfigurationCommand =
   | { readonly type: "poll" }
   | { readonly type: "offer"; readonly row: ConfigurationRow };
 
-/** A running role. */
-export interface ConfigurationRole {
+/** A running configuration actor. */
+export interface ConfigurationActor {
   readonly offer: (row: ConfigurationRow) => void;
   readonly stop: () => void;
 }
 
 /**
- * Follows the accepted configuration: polls the table, and takes what peers
- * and operators bring, so that neither's outage holds a revision up.
+ * Keeps the daemon on the newest accepted configuration: polls the table and
+ * accepts revisions from peers and operators, so that an outage of one source
+ * does not delay a revision.
  */
-export function startConfigurationRole(
-  options: ConfigurationRoleOptions,
-): ConfigurationRole {
-  const { keeper } = options;
-  const send = spawnRole<null, ConfigurationCommand>(options.system, {
+export function startConfigurationActor(
+  options: ConfigurationActorOptions,
+): ConfigurationActor {
+  const { manager } = options;
+  const send = spawnActor<null, ConfigurationCommand>(options.system, {
     name: "configuration",
     initialState: null,
     handlers: {
       poll: async () => {
         const { store, drains, takenOut } = options;
-        const known = keeper.revision;
-        const [next = null, drained = null, out = null] = await options
-          .table.read([store.keyAfter(known), drains.key, takenOut.key]);
-        takeDrains(options.state, {
-          drains: drains.parse(drained),
-          takenOut: takenOut.parse(out),
+        const currentRevision = manager.revision;
+        const [next = null, drainsRow = null, takenOutRow = null] =
+          await options
+            .table.read([
+              store.pollKey(currentRevision),
+              drains.key,
+              takenOut.key,
+            ]);
+        applyNewerDrains(options.state, {
+          drains: drains.parse(drainsRow),
+          takenOut: takenOut.parse(takenOutRow),
         });
         if (next === null) return null;
-        const stored = known === 0 ? store.parse(next) : await store.read();
-        if (stored.row !== undefined) keeper.offer(stored.row, "table");
+        const stored = currentRevision === 0
+          ? store.parse(next)
+          : await store.read();
+        if (stored.row !== undefined) manager.offer(stored.row, "table");
         return null;
       },
       offer: (_state, command) => {
-        keeper.offer(command.row, "peer");
+        manager.offer(command.row, "peer");
         return null;
       },
     },
     onError: (name, error) =>
-      options.log.warn(`Role ${name} failed`, errorDetails(error)),
+      options.log.warn(`${name} actor failed`, errorDetails(error)),
   });
   const stop = registerJitteredInterval(() => send({ type: "poll" }), {
     timer: options.timer,
--- a/packages/kelpspar-daemon/src/actors/endpoints_actor.ts
+++ b/packages/kelpspar-daemon/src/actors/endpoints_actor.ts
@@ -1,14 +1,14 @@
 import type { EndpointWatch } from "../endpoints/endpoint_watch.ts";
-import type { RoleOptions } from "./actor_options.ts";
+import type { ActorOptions } from "./actor_options.ts";
 import { mergeTeardowns } from "../state/merge_teardowns.ts";
 import { registerJitteredInterval } from "./register_jittered_interval.ts";
 import { errorDetails } from "../log/daemon_log.ts";
-import { spawnRole } from "./spawn_actor.ts";
+import { spawnActor } from "./spawn_actor.ts";
 
-const PROBE_MILLISECONDS = 250;
+const PROBE_INTERVAL_MILLISECONDS = 250;
 
-/** What the role that follows endpoints works on. */
-export interface EndpointsRoleOptions extends RoleOptions {
+/** Dependencies of the endpoints actor. */
+export interface EndpointsActorOptions extends ActorOptions {
   readonly watch: EndpointWatch;
   readonly loadPollMilliseconds: number;
 }
@@ -18,10 +18,12 @@
   | { readonly type: "poll" }
   | { readonly type: "probe" };
 
-/** Follows the endpoints; returns the teardown. */
-export function startEndpointsRole(options: EndpointsRoleOptions): () => void {
+/** Polls and probes the endpoints; returns the teardown. */
+export function startEndpointsActor(
+  options: EndpointsActorOptions,
+): () => void {
   const { watch, state, timer, random } = options;
-  const send = spawnRole<null, EndpointsCommand>(options.system, {
+  const send = spawnActor<null, EndpointsCommand>(options.system, {
     name: "endpoints",
     initialState: null,
     handlers: {
@@ -40,7 +42,7 @@
       },
     },
     onError: (name, error) =>
-      options.log.warn(`Role ${name} failed`, errorDetails(error)),
+      options.log.warn(`${name} actor failed`, errorDetails(error)),
   });
   return mergeTeardowns(
     state.registerListener((now, before) => {
@@ -57,7 +59,7 @@
     }),
     timer.registerInterval(
       () => send({ type: "probe" }),
-      PROBE_MILLISECONDS,
+      PROBE_INTERVAL_MILLISECONDS,
     ),
   );
 }
--- a/packages/kelpspar-daemon/src/actors/fleet_actor.ts
+++ b/packages/kelpspar-daemon/src/actors/fleet_actor.ts
@@ -1,30 +1,33 @@
 import type { ConfigurationRow } from "../configuration/configuration_row.ts";
 import type { Fleet } from "../fleet/fleet.ts";
 import type { PeerAddress, PeerClient } from "../peers/peer_client.ts";
-import type { RoleOptions } from "./actor_options.ts";
+import type { ActorOptions } from "./actor_options.ts";
 import { errorDetails } from "../log/daemon_log.ts";
 import { registerJitteredInterval } from "./register_jittered_interval.ts";
-import { spawnRole } from "./spawn_actor.ts";
+import { spawnActor } from "./spawn_actor.ts";
 
-const HEARD_SHARE = 0.6;
-const MOST_CAUSES = 6;
+const RECENT_EXCHANGE_SHARE = 0.6;
+const MAXIMUM_CAUSE_DEPTH = 6;
 
-/** What the role that exchanges digests works on. */
-export interface FleetRoleOptions extends RoleOptions {
+/** Dependencies of the fleet actor. */
+export interface FleetActorOptions extends ActorOptions {
   readonly fleet: Fleet;
   readonly peers: PeerClient;
   readonly seeds: readonly PeerAddress[];
   readonly digestMilliseconds: number;
-  /** Takes a configuration that a peer has. */
+  /** Offers a configuration fetched from a peer. */
   readonly offer: (row: ConfigurationRow) => void;
   readonly revision: () => number;
-  /** Takes proof that a revision is in force somewhere. */
-  readonly noteProof: (revision: number, prover: string) => void;
+  /** Notes a newer revision that a peer reports as active. */
+  readonly noteAcceptedRevision: (revision: number, prover: string) => void;
 }
 
-/** A running role. */
-export interface FleetRole {
-  /** Tells every peer at once; resolves when each was told or is silent. */
+/** A running fleet actor. */
+export interface FleetActor {
+  /**
+   * Sends the digest to every peer at once; resolves when each has answered or
+   * failed.
+   */
   readonly announce: () => Promise<void>;
   readonly stop: () => void;
 }
@@ -38,56 +41,55 @@
   };
 
 /**
- * Exchanges digests with the peers, and fetches from them a configuration
- * that is newer than the own, so that an outage of the store does not hold an
- * accepted change up.
+ * Exchanges digests with the peers and fetches newer configurations from them,
+ * so that an outage of the store does not delay an accepted change.
  */
-export function startFleetRole(options: FleetRoleOptions): FleetRole {
+export function startFleetActor(options: FleetActorOptions): FleetActor {
   const { fleet, peers } = options;
   const exchangeWith = async (peer: PeerAddress): Promise<void> => {
     try {
       const answer = await peers.exchange(peer, fleet.digest);
-      fleet.heard(answer);
+      fleet.receiveDigest(answer);
       const { revision, daemonId } = answer.member;
       if (revision > options.revision()) {
-        options.noteProof(revision, daemonId);
+        options.noteAcceptedRevision(revision, daemonId);
         send({ type: "fetch", peer, revision });
       }
     } catch (thrown) {
-      // Silence is what the membership judges; it needs no line in the log.
-      if (wasRefused(thrown)) fleet.refused(peer);
+      // Membership detects silent peers, so a failed exchange is not logged.
+      if (isConnectionRefused(thrown)) fleet.refused(peer);
     }
   };
   const exchangeWithAll = async (): Promise<void> => {
-    fleet.sweep();
-    fleet.renewDigest();
+    fleet.checkSilence();
+    fleet.discardDigest();
     const targets = fleet.targets();
-    const known = targets.length > 0 ? targets : options.seeds;
-    await Promise.all(known.map(exchangeWith));
+    const peerAddresses = targets.length > 0 ? targets : options.seeds;
+    await Promise.all(peerAddresses.map(exchangeWith));
   };
-  const exchangeWithQuiet = async (): Promise<void> => {
-    fleet.sweep();
-    fleet.renewDigest();
+  const exchangeWithStalePeers = async (): Promise<void> => {
+    fleet.checkSilence();
+    fleet.discardDigest();
     const targets = fleet.targets();
     if (targets.length === 0) return await exchangeWithAll();
-    // An exchange goes both ways: a peer that asked a moment ago has this
-    // daemon's digest already.
-    const limit = options.digestMilliseconds * HEARD_SHARE;
-    const quiet = targets.filter((one) =>
-      (one.silenceMilliseconds ?? Number.POSITIVE_INFINITY) > limit
+    // An exchange goes both ways, so a peer that has just sent its digest
+    // already has this daemon's.
+    const limit = options.digestMilliseconds * RECENT_EXCHANGE_SHARE;
+    const stalePeers = targets.filter((member) =>
+      (member.silenceMilliseconds ?? Number.POSITIVE_INFINITY) > limit
     );
-    await Promise.all(quiet.map(exchangeWith));
+    await Promise.all(stalePeers.map(exchangeWith));
   };
-  const send = spawnRole<null, FleetCommand>(options.system, {
+  const send = spawnActor<null, FleetCommand>(options.system, {
     name: "fleet",
     initialState: null,
     handlers: {
       exchange: async () => {
-        await exchangeWithQuiet();
+        await exchangeWithStalePeers();
         return null;
       },
       fetch: async (_state, { peer, revision }) => {
-        // Every peer proves a new revision; one of them is asked.
+        // Every peer reports a new revision; fetching it from one is enough.
         if (options.revision() >= revision) return null;
         const row = await peers.configuration(peer);
         if (row !== null) options.offer(row);
@@ -95,7 +97,7 @@
       },
     },
     onError: (name, error) =>
-      options.log.warn(`Role ${name} failed`, errorDetails(error)),
+      options.log.warn(`${name} actor failed`, errorDetails(error)),
   });
   send({ type: "exchange" });
   const stop = registerJitteredInterval(() => send({ type: "exchange" }), {
@@ -106,10 +108,10 @@
   return { announce: exchangeWithAll, stop };
 }
 
-/** True when the peer's VM answered that nothing listens there. */
-function wasRefused(thrown: unknown): boolean {
+/** True when the peer's VM refused the connection: no process listens. */
+function isConnectionRefused(thrown: unknown): boolean {
   let cause = thrown;
-  for (let depth = 0; depth < MOST_CAUSES; depth++) {
+  for (let depth = 0; depth < MAXIMUM_CAUSE_DEPTH; depth++) {
     if (!(cause instanceof Error)) return false;
     if ((cause as { readonly code?: unknown }).code === "ECONNREFUSED") {
       return true;
--- a/packages/kelpspar-daemon/src/actors/register_jittered_interval.ts
+++ b/packages/kelpspar-daemon/src/actors/register_jittered_interval.ts
@@ -2,7 +2,7 @@
 
 const JITTER_SHARE = 0.2;
 
-/** How often, and with what chance. */
+/** The interval and the sources of time and jitter. */
 export interface JitteredInterval {
   readonly timer: TimerService;
   readonly random: RandomSource;
@@ -10,9 +10,9 @@
 }
 
 /**
- * Calls `listener` again and again, a little off the beat. What goes wrong
- * otherwise: hundreds of daemons that started together, or whose platform came
- * back at one moment, ask it all at once forever. Returns the teardown.
+ * Calls `listener` repeatedly with jitter of up to 10% either way. Without it,
+ * hundreds of daemons that started together, or reconnected when the platform
+ * recovered, would keep polling it in lockstep. Returns the teardown.
  */
 export function registerJitteredInterval(
   listener: () => void,
--- a/packages/kelpspar-daemon/src/actors/spawn_actor.ts
+++ b/packages/kelpspar-daemon/src/actors/spawn_actor.ts
@@ -3,51 +3,51 @@
 import { invariant, toKelpsparError } from "kelpspar-shared";
 import { dispatch, spawn } from "nact";
 
-/** A command to a role, told apart by its type. */
-export interface RoleCommand {
+/** A command to an actor, discriminated by its type. */
+export interface ActorCommand {
   readonly type: string;
 }
 
-/** Handles one type of command; returns the role's next state. */
-export type RoleHandler<State, Command extends RoleCommand> = (
+/** Handles one type of command; returns the actor's next state. */
+export type ActorHandler<State, Command extends ActorCommand> = (
   state: State,
   command: Command,
 ) => State | Promise<State>;
 
-/** The handlers of a role, by the type of command. */
-export type RoleHandlers<State, Command extends RoleCommand> = {
-  readonly [Type in Command["type"]]: RoleHandler<
+/** The handlers of an actor, by the type of command. */
+export type ActorHandlers<State, Command extends ActorCommand> = {
+  readonly [Type in Command["type"]]: ActorHandler<
     State,
     Extract<Command, { readonly type: Type }>
   >;
 };
 
-/** What a role is made of. */
-export interface SpawnRoleOptions<State, Command extends RoleCommand> {
+/** The name, initial state and handlers of an actor. */
+export interface SpawnActorOptions<State, Command extends ActorCommand> {
   readonly name: string;
   readonly initialState: State;
-  readonly handlers: RoleHandlers<State, Command>;
-  /** Told of a handler that threw; the role goes on in its old state. */
+  readonly handlers: ActorHandlers<State, Command>;
+  /** Called when a handler throws; the actor keeps its previous state. */
   readonly onError: (name: string, error: KelpsparError) => void;
 }
 
-/** Sends commands to a role, one after the other. */
-export type RoleSender<Command extends RoleCommand> = (
+/** Enqueues a command for an actor. */
+export type ActorSender<Command extends ActorCommand> = (
   command: Command,
 ) => void;
 
 /**
- * Starts a role as an actor: it takes one command at a time, so that its state
- * never changes while a handler waits for the platform.
+ * Starts an actor. It processes one command at a time, so that its state never
+ * changes while a handler awaits the platform.
  */
-export function spawnRole<State, Command extends RoleCommand>(
+export function spawnActor<State, Command extends ActorCommand>(
   system: Ref<never>,
-  options: SpawnRoleOptions<State, Command>,
-): RoleSender<Command> {
-  // The table's type pairs each handler with its own command; a look-up by a
-  // command's type loses that pairing, which only the table's type can state.
+  options: SpawnActorOptions<State, Command>,
+): ActorSender<Command> {
+  // The type of `handlers` pairs each handler with its own command. A lookup by
+  // a command's type loses that pairing, so the cast is needed.
   const handlers = options.handlers as unknown as Readonly<
-    Record<string, RoleHandler<State, Command>>
+    Record<string, ActorHandler<State, Command>>
   >;
   const handle = async (state: State, command: Command): Promise<State> => {
     const handler = handlers[command.type];
--- a/packages/kelpspar-daemon/src/answer_claim_inquiry.ts
+++ b/packages/kelpspar-daemon/src/answer_claim_inquiry.ts
@@ -3,25 +3,25 @@
 import type { KeyLedger, OwnerAnswer } from "kelpspar-decisions/claims";
 import type { TimerService } from "kelpspar-shared";
 
-/** What this daemon knows of the claims that it holds. */
-export interface ClaimKnowledge {
+/** Sources of this daemon's knowledge of the claims that it holds. */
+export interface ClaimInquiryContext {
   readonly claims: ClaimService;
   readonly ledger: KeyLedger;
   readonly timer: TimerService;
 }
 
-/** Answers another daemon that found one of this daemon's claims. */
+/** Answers another daemon's inquiry about a claim that this daemon holds. */
 export function answerClaimInquiry(
-  knowledge: ClaimKnowledge,
+  context: ClaimInquiryContext,
   inquiry: ClaimInquiry,
 ): OwnerAnswer {
   const { operationId } = inquiry;
   const name = { account: inquiry.accountId, key: inquiry.idempotencyKey };
-  const finding = knowledge.ledger.lookUp(name, knowledge.timer.now());
-  // An operation is named by the request that made it.
-  const isSameRun = finding?.requestId === operationId;
-  if (isSameRun && finding.state === "completed") {
-    return { type: "completed", operationId, result: finding.result };
+  const entry = context.ledger.lookUp(name, context.timer.now());
+  // An operation has the id of the request that created it.
+  const isSameRun = entry?.requestId === operationId;
+  if (isSameRun && entry.state === "completed") {
+    return { type: "completed", operationId, result: entry.result };
   }
-  return knowledge.claims.describe(operationId);
+  return context.claims.describe(operationId);
 }
--- a/packages/kelpspar-daemon/src/configuration/configuration_manager.ts
+++ b/packages/kelpspar-daemon/src/configuration/configuration_manager.ts
@@ -7,46 +7,51 @@
 import { RevisionTracker } from "kelpspar-decisions/revisions";
 import { KelpsparError as ResultError } from "kelpspar-shared";
 
-const HOLD_CHECK_MILLISECONDS = 5;
+const HOLD_POLL_MILLISECONDS = 5;
 
-/** What a daemon's configuration is kept with. */
-export interface ConfigurationKeeperOptions {
+/** Dependencies of a `ConfigurationManager`. */
+export interface ConfigurationManagerOptions {
   readonly state: StateStore<DaemonState>;
   readonly timer: TimerService;
-  readonly onInForce: (revision: number) => void;
-  /** Told of a newer revision that this daemon's program does not understand. */
-  readonly onNotUnderstood: (revision: number) => void;
+  readonly onActivated: (revision: number) => void;
+  /** Called for a newer revision that this program version cannot parse. */
+  readonly onUnsupportedRevision: (revision: number) => void;
 }
 
 /**
- * Keeps the configuration in force: it only moves to higher revisions, whoever
- * brings them, and the daemon takes no new requests by one that it has proof
- * is out of date.
+ * Manages the active configuration. It only moves to higher revisions, whatever
+ * their source, and the daemon accepts no new requests under a revision that is
+ * known to be stale.
  *
  * Source: the brief, "What must always hold": an accepted configuration never
  * reverts.
  */
-export class ConfigurationKeeper {
-  readonly #options: ConfigurationKeeperOptions;
+export class ConfigurationManager {
+  readonly #options: ConfigurationManagerOptions;
   readonly #tracker = new RevisionTracker<ConfigurationRow>();
 
-  constructor(options: ConfigurationKeeperOptions) {
+  constructor(options: ConfigurationManagerOptions) {
     this.#options = options;
   }
 
-  /** The revision in force here; 0 before the first. */
+  /** The active revision of this daemon; 0 before the first. */
   get revision(): number {
     return this.#tracker.current?.revision ?? 0;
   }
 
-  /** Takes a revision with its content. */
+  /** Activates a revision if it is newer than the active one. */
   offer(row: ConfigurationRow, source: "table" | "peer"): void {
-    const { state, timer, onInForce, onNotUnderstood } = this.#options;
+    const {
+      state,
+      timer,
+      onActivated,
+      onUnsupportedRevision,
+    } = this.#options;
     if (row.revision <= this.revision) return;
     const parsed = parseConfiguration(row.configuration);
     if (!parsed.ok) {
-      onNotUnderstood(row.revision);
-      this.noteProof(row.revision, source);
+      onUnsupportedRevision(row.revision);
+      this.noteAcceptedRevision(row.revision, source);
       return;
     }
     const { revision, changeId } = row;
@@ -57,37 +62,37 @@
       configurationRow: row,
       configuration: parsed.configuration,
     }));
-    onInForce(revision);
+    onActivated(revision);
   }
 
-  /** Takes proof that a revision was accepted, without its content. */
-  noteProof(revision: number, prover: string): void {
+  /** Notes that a revision was accepted, without its content. */
+  noteAcceptedRevision(revision: number, prover: string): void {
     this.#tracker.noteProof({ revision, prover }, this.#options.timer.now());
   }
 
-  /** What to do with new requests now. */
+  /** Whether to serve, hold or refuse new requests. */
   get stance(): ServingStance {
     return this.#tracker.stance(this.#options.timer.now());
   }
 
-  /** Waits, for a moment at most, while a newer revision is being fetched. */
-  async whenSettled(): Promise<void> {
+  /** Waits briefly while a newer revision is being fetched. */
+  async waitWhileHolding(): Promise<void> {
     while (this.stance === "hold") {
       await new Promise<void>((resolve) => {
-        this.#options.timer.registerTimeout(resolve, HOLD_CHECK_MILLISECONDS);
+        this.#options.timer.registerTimeout(resolve, HOLD_POLL_MILLISECONDS);
       });
     }
   }
 
-  /** Why new requests are refused; undefined while they are not. */
+  /** The error for new requests; undefined unless they are refused. */
   refusal(): KelpsparError | undefined {
     if (this.stance !== "refuse") return undefined;
-    const isNone = this.#tracker.current === undefined;
+    const hasNoRevision = this.#tracker.current === undefined;
     return new ResultError(
       "no_configuration",
-      isNone
+      hasNoRevision
         ? "The daemon has no configuration yet"
-        : `Revision ${this.#tracker.highestKnown} is in force and not here yet`,
+        : `Revision ${this.#tracker.highestKnown} is active but has not reached this daemon yet`,
     );
   }
 }
--- a/packages/kelpspar-daemon/src/configuration/configuration_store.ts
+++ b/packages/kelpspar-daemon/src/configuration/configuration_store.ts
@@ -8,7 +8,7 @@
 const REVISION_PREFIX = "revision/";
 const REVISION_DIGITS = 8;
 
-/** The newest configuration and the version of its row, 0 if there is none. */
+/** The newest configuration and its row version, 0 if there is none. */
 export interface StoredConfiguration {
   readonly row: ConfigurationRow | undefined;
   readonly version: number;
@@ -23,16 +23,16 @@
   }
 
   /**
-   * Which row to poll, along with others: that of the next revision, which is
-   * absent until there is one. Were the newest revision's own row polled, every
-   * daemon would read the whole configuration again every few seconds.
+   * The key of the row to poll for changes: the next revision, which is absent
+   * until it is accepted. Polling the newest revision's own row would make every
+   * daemon read the whole configuration every few seconds.
    */
-  keyAfter(revision: number): TableKey {
+  pollKey(revision: number): TableKey {
     const key = revision === 0 ? CURRENT_KEY : revisionKey(revision + 1);
     return { table: TABLE, key };
   }
 
-  /** Understands a row. Throws `table_unavailable` when it cannot. */
+  /** Parses a row. Throws `table_unavailable` for an invalid one. */
   parse(row: TableRow | null): StoredConfiguration {
     return toStored(row);
   }
@@ -52,7 +52,7 @@
     return toStored(row ?? null).row;
   }
 
-  /** The last `limit` revisions at most, the newest first. */
+  /** Up to `limit` of the latest revisions, newest first. */
   async history(limit: number): Promise<readonly ConfigurationRow[]> {
     const { row } = await this.read();
     if (row === undefined) return [];
@@ -76,6 +76,6 @@
   if (parsed.success) return { row: parsed.data, version: row.version };
   throw new KelpsparError(
     "table_unavailable",
-    `Cannot read row "${row.table}/${row.key}": it is no configuration`,
+    `Cannot read row "${row.table}/${row.key}": it is not a valid configuration row`,
   );
 }
--- a/packages/kelpspar-daemon/src/create_core.ts
+++ b/packages/kelpspar-daemon/src/create_core.ts
@@ -4,7 +4,7 @@
 import type { Settings } from "./settings/settings_schema.ts";
 import type { DaemonState } from "./state/daemon_state.ts";
 import { KeyLedger } from "kelpspar-decisions/claims";
-import { ConfigurationKeeper } from "./configuration/configuration_manager.ts";
+import { ConfigurationManager } from "./configuration/configuration_manager.ts";
 import { ConfigurationStore } from "./configuration/configuration_store.ts";
 import { createRequestParts } from "./create_request_parts.ts";
 import { EndpointWatch } from "./endpoints/endpoint_watch.ts";
@@ -20,13 +20,13 @@
 import { StateConfigurationReader } from "./state/state_configuration_reader.ts";
 import { StateStore } from "./state/state_store.ts";
 
-/** The parts of a daemon, before anything of it runs by itself. */
+/** The components of a daemon, before its timers are started. */
 export interface DaemonCore extends RequestParts {
   readonly incarnation: string;
   readonly startedAt: number;
   readonly state: StateStore<DaemonState>;
   readonly configuration: StateConfigurationReader;
-  readonly keeper: ConfigurationKeeper;
+  readonly configurationManager: ConfigurationManager;
   readonly store: ConfigurationStore;
   readonly drains: DrainStore;
   readonly takenOut: DrainStore;
@@ -38,22 +38,22 @@
   readonly fleet: Fleet;
   readonly metrics: DaemonMetrics;
   readonly requestMetrics: RequestMetrics;
-  /** Starts what runs by itself; returns the teardown. */
+  /** Starts the components' timers and listeners; returns the teardown. */
   readonly start: () => () => void;
 }
 
-/** What a daemon's parts are made of. */
+/** Dependencies of a daemon's components. */
 export interface CreateCoreOptions {
   readonly settings: Settings;
   readonly ports: DaemonPorts;
-  /** The port in use, once it is known. */
+  /** The port in use; known once listening. */
   readonly port: () => number;
 }
 
-const ASSUMED_CONCURRENCY = 8;
+const DEFAULT_CONCURRENCY = 8;
 const DEFAULT_ADDRESS_KEEP_MILLISECONDS = 5_000;
 
-/** Creates the parts of a daemon. */
+/** Creates the components of a daemon. */
 export function createCore(options: CreateCoreOptions): DaemonCore {
   const { settings, ports } = options;
   const { timer, random } = ports;
@@ -62,13 +62,13 @@
   const startedAt = timer.now();
   const state = new StateStore(createDaemonState());
   const configuration = new StateConfigurationReader(state);
-  const keeper = new ConfigurationKeeper({
+  const configurationManager = new ConfigurationManager({
     state,
     timer,
-    onInForce: (revision) =>
-      ports.log.info("Configuration in force", { revision }),
-    onNotUnderstood: (revision) =>
-      ports.log.error("Configuration not understood", { revision }),
+    onActivated: (revision) =>
+      ports.log.info("configuration activated", { revision }),
+    onUnsupportedRevision: (revision) =>
+      ports.log.error("cannot parse configuration revision", { revision }),
   });
   const metrics = new DaemonMetrics(settings.metrics);
   const requestMetrics = new RequestMetrics({ metrics, timer });
@@ -84,7 +84,7 @@
     random,
     assumedConcurrency: (service) =>
       configuration.services().get(service)?.concurrency ??
-        ASSUMED_CONCURRENCY,
+        DEFAULT_CONCURRENCY,
     limits: () => configuration.current()?.limits,
   });
   const scheduler = new FairScheduler({
@@ -138,7 +138,7 @@
     ledger,
     metrics: requestMetrics,
     fleet,
-    keeper,
+    configurationManager,
   });
   return {
     ...requestParts,
@@ -146,7 +146,7 @@
     startedAt,
     state,
     configuration,
-    keeper,
+    configurationManager,
     store: new ConfigurationStore({ table: ports.table }),
     drains: new DrainStore({ table: ports.table, key: "all" }),
     takenOut: new DrainStore({ table: ports.table, key: "orders" }),
@@ -162,13 +162,13 @@
       mergeTeardowns(
         () => requestParts.claims.close(),
         scheduler.start(),
-        followLimits({ state, ledger, parts, now: () => timer.now() }),
+        registerLimitUpdates({ state, ledger, parts, now: () => timer.now() }),
       ),
   };
 }
 
-/** Puts the limits of each new configuration in force. */
-function followLimits(options: {
+/** Applies the limits of each new configuration; returns the teardown. */
+function registerLimitUpdates(options: {
   readonly state: StateStore<DaemonState>;
   readonly ledger: KeyLedger;
   readonly parts: DecisionParts;
--- a/packages/kelpspar-daemon/src/create_peer_handlers.ts
+++ b/packages/kelpspar-daemon/src/create_peer_handlers.ts
@@ -3,14 +3,14 @@
 import type { TimerService } from "kelpspar-shared";
 import { answerClaimInquiry } from "./answer_claim_inquiry.ts";
 
-/** What a daemon answers its peers. */
+/** Creates the handlers for calls of other daemons. */
 export function createPeerHandlers(
   core: DaemonCore,
   options: { readonly timer: TimerService },
 ): PeerHandlers {
   return {
     exchange: (digest) => {
-      core.fleet.heard(digest);
+      core.fleet.receiveDigest(digest);
       return core.fleet.digest;
     },
     configuration: () => core.state.read().configurationRow ?? null,
--- a/packages/kelpspar-daemon/src/create_ports.ts
+++ b/packages/kelpspar-daemon/src/create_ports.ts
@@ -10,13 +10,13 @@
 import { createDaemonLog } from "./log/daemon_log.ts";
 import { TrpcPeerClient } from "./peers/trpc_peer_client.ts";
 
-/** The ports of a real process, and what closes them. */
-export interface OpenPorts extends DaemonPorts {
+/** Ports with real connections, which can be closed. */
+export interface ClosablePorts extends DaemonPorts {
   readonly close: () => Promise<void>;
 }
 
-/** Opens the ports that the settings name. */
-export function createPorts(settings: Settings): OpenPorts {
+/** Creates the ports to the platform's services named in the settings. */
+export function createPorts(settings: Settings): ClosablePorts {
   const timer = new SystemTimer();
   const { platform } = settings;
   const { timeoutMilliseconds } = platform;
@@ -36,7 +36,7 @@
     timer,
     tls: settings.tls !== undefined,
   });
-  const closing = [table, vmList, weightStore, endpoints, peers];
+  const closables = [table, vmList, weightStore, endpoints, peers];
   return {
     table,
     vmList,
@@ -47,7 +47,7 @@
     random: new SystemRandom(),
     log: createDaemonLog(settings.log, { daemon: settings.daemonId }),
     close: async () => {
-      await Promise.all(closing.map((port) => port.close()));
+      await Promise.all(closables.map((port) => port.close()));
     },
   };
 }
--- a/packages/kelpspar-daemon/src/create_request_parts.ts
+++ b/packages/kelpspar-daemon/src/create_request_parts.ts
@@ -1,5 +1,5 @@
 import type { DaemonPorts } from "./daemon_ports.ts";
-import type { ConfigurationKeeper } from "./configuration/configuration_manager.ts";
+import type { ConfigurationManager } from "./configuration/configuration_manager.ts";
 import type { Fleet } from "./fleet/fleet.ts";
 import type { RequestMetrics } from "./metrics/request_metrics.ts";
 import type { AskHolder } from "./requests/settlement_outcome.ts";
@@ -19,7 +19,7 @@
 import { RequestService } from "./requests/request_service.ts";
 import { RetryingStageRunner } from "./requests/retrying_stage_runner.ts";
 
-/** What the parts that run requests are made of. */
+/** Dependencies of the components that run requests. */
 export interface RequestPartsOptions {
   readonly settings: Settings;
   readonly ports: DaemonPorts;
@@ -31,10 +31,10 @@
   readonly ledger: KeyLedger;
   readonly metrics: RequestMetrics;
   readonly fleet: Fleet;
-  readonly keeper: ConfigurationKeeper;
+  readonly configurationManager: ConfigurationManager;
 }
 
-/** The parts that run requests. */
+/** The components that run requests. */
 export interface RequestParts {
   readonly claims: ClaimService;
   readonly requests: RequestService;
@@ -42,7 +42,7 @@
   readonly arrivals: ArrivalCheck;
 }
 
-/** Creates the parts that run requests. */
+/** Creates the components that run requests. */
 export function createRequestParts(options: RequestPartsOptions): RequestParts {
   const { settings, ports, configuration, registry, metrics, fleet } = options;
   const { timer, random, log, table } = ports;
@@ -62,7 +62,7 @@
     random,
     observer: metrics,
     onForeignRecord: ({ requestId, attemptId }) =>
-      log.warn("Foreign record dropped", { requestId, attemptId }),
+      log.warn("dropped a record of another request", { requestId, attemptId }),
   });
   const keys = new RequestKeys({ ledger: options.ledger, timer });
   const askHolder = (accountId: string, idempotencyKey: string): AskHolder =>
@@ -73,7 +73,7 @@
     registry,
     maximumRequests: settings.limits.maximumRequests,
     isLeaving: () => !fleet.isServing(),
-    configurationRefusal: () => options.keeper.refusal(),
+    configurationRefusal: () => options.configurationManager.refusal(),
     timer,
     random,
   });
@@ -92,7 +92,7 @@
     abandonedGraceMilliseconds: settings.limits.abandonedGraceMilliseconds,
     onEnd: (context, final) => {
       metrics.onEnd(context, final);
-      log.debug("Request ended", {
+      log.debug("request ended", {
         requestId: context.requestId,
         account: context.account.id,
         result: final.type === "end" ? "ok" : final.result,
@@ -100,7 +100,7 @@
     },
     onRefused: (accountId, error) => {
       metrics.onRefused(accountId, error);
-      log.debug("Request refused", errorDetails(error));
+      log.debug("request refused", errorDetails(error));
     },
   });
   const lookup = new KeyLookup({
@@ -118,7 +118,7 @@
   name: { readonly accountId: string; readonly idempotencyKey: string },
 ): AskHolder {
   return async ({ daemon, operationId }) => {
-    const peer = options.fleet.findIncarnation(daemon);
+    const peer = options.fleet.findAddress(daemon);
     if (peer === undefined) return { type: "silent" };
     try {
       return await options.ports.peers.askClaim(peer, { ...name, operationId });
--- a/packages/kelpspar-daemon/src/create_routes.ts
+++ b/packages/kelpspar-daemon/src/create_routes.ts
@@ -8,41 +8,41 @@
 import { OperatorAccess } from "./front/operator_access.ts";
 import { createOperatorRoutes } from "./front/operator_routes.ts";
 import { ConfigurationApplier } from "./operators/configuration_applier.ts";
-import { takeDrains } from "./operators/apply_newer_drains.ts";
+import { applyNewerDrains } from "./operators/apply_newer_drains.ts";
 import { createOperatorReports } from "./operators/operator_reports.ts";
 
-/** What a daemon's routes answer from. */
+/** Dependencies of a daemon's routes. */
 export interface CreateRoutesOptions {
   readonly settings: Settings;
   readonly ports: DaemonPorts;
   readonly core: DaemonCore;
-  /** Puts an accepted configuration in force here at once. */
+  /** Activates an accepted configuration on this daemon immediately. */
   readonly offer: (row: ConfigurationRow) => void;
 }
 
-/** Every route of a daemon but those of its peers. */
+/** Creates all routes of a daemon except the peer API. */
 export function createRoutes(options: CreateRoutesOptions): readonly Route[] {
   const { core } = options;
   return [
     ...createHealthRoutes({
       notReadyReason: () => {
         if (!core.fleet.isServing()) return "draining";
-        return core.keeper.refusal() === undefined
+        return core.configurationManager.refusal() === undefined
           ? undefined
           : "no_configuration";
       },
     }),
-    ...createCallers(options),
-    ...createOperators(options),
+    ...buildCallerRoutes(options),
+    ...buildOperatorRoutes(options),
   ];
 }
 
-function createCallers(options: CreateRoutesOptions): readonly Route[] {
+function buildCallerRoutes(options: CreateRoutesOptions): readonly Route[] {
   const { settings, ports, core } = options;
   return createCallerRoutes({
     configuration: core.configuration,
     requests: core.requests,
-    whenSettled: () => core.keeper.whenSettled(),
+    waitForConfiguration: () => core.configurationManager.waitWhileHolding(),
     registry: core.registry,
     lookup: core.lookup,
     incarnation: core.incarnation,
@@ -53,7 +53,7 @@
   });
 }
 
-function createOperators(options: CreateRoutesOptions): readonly Route[] {
+function buildOperatorRoutes(options: CreateRoutesOptions): readonly Route[] {
   const { settings, ports, core, offer } = options;
   const { configuration, state, store, drains, registry } = core;
   return createOperatorRoutes({
@@ -86,7 +86,7 @@
       state.read().vms.find((vm) => vm.kind === kind && vm.id === id)
         ?.incarnation,
     onAccepted: offer,
-    onDrains: (next) => takeDrains(state, { drains: next }),
+    onDrains: (next) => applyNewerDrains(state, { drains: next }),
     maximumBodyBytes: settings.limits.maximumBodyBytes,
     bodyTimeoutMilliseconds: settings.limits.bodyTimeoutMilliseconds,
     timer: ports.timer,
--- a/packages/kelpspar-daemon/src/daemon.ts
+++ b/packages/kelpspar-daemon/src/daemon.ts
@@ -1,27 +1,27 @@
 import type { DaemonCore } from "./create_core.ts";
 import type { DaemonPorts } from "./daemon_ports.ts";
 import type { Settings } from "./settings/settings_schema.ts";
-import type { DaemonRoles } from "./start_actors.ts";
+import type { DaemonActors } from "./start_actors.ts";
 import { readFileSync } from "node:fs";
 import { createCore } from "./create_core.ts";
 import { createPeerHandlers } from "./create_peer_handlers.ts";
 import { createRoutes } from "./create_routes.ts";
 import { drainDaemon } from "./drain_daemon.ts";
-import { HttpFront } from "./front/http_server.ts";
+import { HttpServer } from "./front/http_server.ts";
 import { errorDetails } from "./log/daemon_log.ts";
 import { createPeerListener } from "./peers/peer_listener.ts";
 import { PEER_PATH } from "./peers/peer_protocol.ts";
-import { startRoles } from "./start_actors.ts";
+import { startActors } from "./start_actors.ts";
 
-/** A daemon that runs. */
+/** A running daemon. */
 export interface Daemon {
   readonly port: number;
   readonly incarnation: string;
-  /** Stops gracefully; resolves when nothing is in flight. */
+  /** Stops gracefully; resolves when the drain and the shutdown are done. */
   readonly stop: () => Promise<void>;
 }
 
-/** Starts a daemon on its ports. Throws `listen_failed`. */
+/** Starts a daemon. Throws `listen_failed`. */
 export async function startDaemon(
   settings: Settings,
   ports: DaemonPorts,
@@ -29,44 +29,44 @@
   const { limits } = settings;
   let port = settings.port;
   const core = createCore({ settings, ports, port: () => port });
-  const front = createFront({
+  const front = createServer({
     settings,
     ports,
     core,
-    offer: (row) => roles.offer(row),
+    offer: (row) => actors.offer(row),
   });
-  // Peers learn the port from the first digest, so it must be known by then.
-  // No request is answered before this function goes on.
+  // The first digest advertises the port, so it must be known before the actors
+  // start. No request is handled before this function continues.
   port = await front.listen();
-  const roles = startRoles({ settings, ports, core });
+  const actors = startActors({ settings, ports, core });
   return {
     port,
     incarnation: core.incarnation,
     stop: async () => {
-      const stopBy = ports.timer.now() + limits.drainLimitMilliseconds;
+      const stopDeadline = ports.timer.now() + limits.drainLimitMilliseconds;
       await drainDaemon({
         core,
         timer: ports.timer,
-        announce: roles.announce,
+        announce: actors.announce,
         limitMilliseconds: limits.drainLimitMilliseconds,
       });
-      roles.stop();
-      await front.close(Math.max(0, stopBy - ports.timer.now()));
+      actors.stop();
+      await front.close(Math.max(0, stopDeadline - ports.timer.now()));
       await core.metrics.close();
     },
   };
 }
 
-function createFront(options: {
+function createServer(options: {
   readonly settings: Settings;
   readonly ports: DaemonPorts;
   readonly core: DaemonCore;
-  readonly offer: DaemonRoles["offer"];
-}): HttpFront {
+  readonly offer: DaemonActors["offer"];
+}): HttpServer {
   const { settings, ports, core, offer } = options;
   const { limits, tls } = settings;
   const handlers = createPeerHandlers(core, ports);
-  return new HttpFront({
+  return new HttpServer({
     address: settings.address,
     port: settings.port,
     routes: createRoutes({ settings, ports, core, offer }),
@@ -89,6 +89,6 @@
     isClosing: () => core.state.read().isLeaving,
     elsewhere: () => core.fleet.elsewhere(),
     onInternalError: (error) =>
-      ports.log.error("Internal error", errorDetails(error)),
+      ports.log.error("internal error", errorDetails(error)),
   });
 }
--- a/packages/kelpspar-daemon/src/daemon_ports.ts
+++ b/packages/kelpspar-daemon/src/daemon_ports.ts
@@ -8,7 +8,7 @@
 import type { DaemonLog } from "./log/daemon_log.ts";
 import type { PeerClient } from "./peers/peer_client.ts";
 
-/** Everything outside a daemon that it works with; tests pass small fakes. */
+/** A daemon's external dependencies; tests pass fakes. */
 export interface DaemonPorts {
   readonly table: TableService;
   readonly vmList: VmList;
--- a/packages/kelpspar-daemon/src/fleet/fleet.ts
+++ b/packages/kelpspar-daemon/src/fleet/fleet.ts
@@ -8,18 +8,18 @@
   buildAddressAnswer,
   redirectCaller,
 } from "kelpspar-decisions/directory";
-import { takeDrains } from "../operators/apply_newer_drains.ts";
+import { applyNewerDrains } from "../operators/apply_newer_drains.ts";
 import { DaemonMembership } from "kelpspar-decisions/membership";
 
-/** So many digests missed in a row make a daemon suspect. */
-const DIGESTS_UNTIL_SUSPECT = 4;
+/** Consecutive missed digests after which a daemon is suspect. */
+const MISSED_DIGESTS_UNTIL_SUSPECT = 4;
 
-/** This daemon among the others: whom it knows, and what it tells them. */
+/** This daemon's membership view of the fleet, and the digest it publishes. */
 export class Fleet {
   readonly #options: FleetOptions;
   readonly #membership: DaemonMembership;
-  /** Incarnations whose VM refused the last connection. */
-  readonly #refused = new Set<string>();
+  /** Daemon incarnations whose VM refused the last connection. */
+  readonly #refusedIncarnations = new Set<string>();
   #sequence = 0;
   #digest: PeerDigest | undefined;
 
@@ -28,7 +28,7 @@
     this.#membership = new DaemonMembership({
       daemonId: options.daemonId,
       availabilityZone: options.availabilityZone,
-      suspectAfterMilliseconds: DIGESTS_UNTIL_SUSPECT *
+      suspectAfterMilliseconds: MISSED_DIGESTS_UNTIL_SUSPECT *
         options.digestMilliseconds,
     });
   }
@@ -42,28 +42,30 @@
     return this.#membership.members;
   }
 
-  /** Daemons that may run requests, this one included. */
+  /** Number of daemons that may run requests, this one included. */
   get liveDaemons(): number {
     return 1 +
-      this.members.filter((one) =>
-        one.state === "live" && !this.#isRefused(one)
+      this.members.filter((member) =>
+        member.state === "live" && !this.#hasRefusedConnection(member)
       ).length;
   }
 
-  /** The ids of the daemons that work, this one included if it does. */
+  /** The ids of the live daemons that serve, this one included if it does. */
   liveDaemonIds(): readonly string[] {
-    const others = this.#servingMembers().filter((one) => one.state === "live");
-    const ids = others.map((one) => one.daemonId);
+    const others = this.#servingMembers().filter((member) =>
+      member.state === "live"
+    );
+    const ids = others.map((member) => member.daemonId);
     return this.isServing() ? [this.#options.daemonId, ...ids] : ids;
   }
 
-  /** Whom to send digests to. */
+  /** The members to send digests to. */
   targets(): readonly Member[] {
     return this.#membership.digestTargets();
   }
 
-  /** Takes in the VM list. */
-  replaceList(): void {
+  /** Updates the membership from the VM list. */
+  updateVmList(): void {
     const { state, timer } = this.#options;
     const rows = state.read().vms.filter((vm) => vm.kind === "daemon");
     this.#membership.replaceList(
@@ -72,31 +74,31 @@
     );
   }
 
-  /** Judges silence. */
-  sweep(): void {
+  /** Updates the state of members that have been silent for too long. */
+  checkSilence(): void {
     this.#membership.sweep(this.#options.timer.now());
   }
 
   /**
-   * Notes that a daemon's VM refused the connection: its process is gone. What
-   * goes wrong without it: its part of every service stays unused, and callers
-   * are sent to it, until it was silent for long enough to be suspect.
+   * Notes that a daemon's VM refused the connection, so its process is gone.
+   * Otherwise its share of every service would stay unused, and callers would
+   * be redirected to it, until its silence made it suspect.
    */
   refused(peer: PeerAddress): void {
-    const member = this.members.find((one) =>
-      one.address === peer.address && one.port === peer.port
+    const member = this.members.find((candidate) =>
+      candidate.address === peer.address && candidate.port === peer.port
     );
     if (member?.digest === undefined) return;
-    this.#refused.add(member.digest.incarnation);
+    this.#refusedIncarnations.add(member.digest.incarnation);
     this.#options.parts.fleet.forget(member.digest.incarnation);
   }
 
-  /** Takes in a digest. */
-  heard(digest: PeerDigest): void {
+  /** Applies a digest received from a peer. */
+  receiveDigest(digest: PeerDigest): void {
     const { parts, watch, timer } = this.#options;
     const now = timer.now();
-    takeDrains(this.#options.state, digest);
-    this.#refused.delete(digest.member.incarnation);
+    applyNewerDrains(this.#options.state, digest);
+    this.#refusedIncarnations.delete(digest.member.incarnation);
     if (!this.#membership.heard(digest.member, now)) return;
     if (digest.member.state === "leaving") {
       parts.fleet.forget(digest.member.incarnation);
@@ -106,14 +108,14 @@
     watch.heardLoads(digest.member);
   }
 
-  /** The digest of this interval; every peer gets the same one. */
+  /** The digest of this interval, the same for every peer. */
   get digest(): PeerDigest {
     this.#digest ??= this.#createDigest();
     return this.#digest;
   }
 
-  /** Begins another interval: the next digest is made anew. */
-  renewDigest(): void {
+  /** Discards the digest, so that the next read creates a new one. */
+  discardDigest(): void {
     this.#digest = undefined;
   }
 
@@ -154,7 +156,7 @@
     };
   }
 
-  /** Which daemons a caller may use. */
+  /** The daemons that a caller may use. */
   addresses(availabilityZone: string | undefined): AddressAnswer {
     const options = this.#options;
     const { address, incarnation } = options;
@@ -175,7 +177,7 @@
     });
   }
 
-  /** Other daemons for a caller that cannot be served here. */
+  /** Other daemons to redirect a caller to that cannot be served here. */
   elsewhere(): readonly string[] {
     return redirectCaller({
       members: this.#servingMembers(),
@@ -184,42 +186,43 @@
     }).elsewhere;
   }
 
-  /** False once the daemon is stopping, or while operators drain it. */
+  /** False while the daemon is stopping or drained by an operator. */
   isServing(): boolean {
     if (this.#options.state.read().isLeaving) return false;
     return !this.#isDrained(this.#options.daemonId);
   }
 
-  /** Where the daemon of an incarnation is; undefined when it is gone. */
-  findIncarnation(incarnation: string): PeerAddress | undefined {
-    const member = this.members.find((one) =>
-      one.digest?.incarnation === incarnation && one.state !== "gone"
+  /** The address of a daemon incarnation; undefined when it is gone. */
+  findAddress(incarnation: string): PeerAddress | undefined {
+    const member = this.members.find((candidate) =>
+      candidate.digest?.incarnation === incarnation &&
+      candidate.state !== "gone"
     );
     return member?.digest;
   }
 
   #servingMembers(): readonly Member[] {
-    return this.members.filter((one) =>
-      !this.#isDrained(one.daemonId) && !this.#isRefused(one) &&
-      hasConfiguration(one)
+    return this.members.filter((member) =>
+      !this.#isDrained(member.daemonId) &&
+      !this.#hasRefusedConnection(member) && hasConfiguration(member)
     );
   }
 
-  #isRefused(member: Member): boolean {
-    return this.#refused.has(member.digest?.incarnation ?? "");
+  #hasRefusedConnection(member: Member): boolean {
+    return this.#refusedIncarnations.has(member.digest?.incarnation ?? "");
   }
 
-  /** A drain is meant for one VM; the one that takes its place serves. */
+  /** A drain applies to one VM incarnation; its replacement VM serves. */
   #isDrained(daemonId: string): boolean {
     const { drains, vms } = this.#options.state.read();
-    const drained = drains.daemons[daemonId];
-    if (drained === undefined) return false;
+    const drainedIncarnation = drains.daemons[daemonId];
+    if (drainedIncarnation === undefined) return false;
     const vm = vms.find((row) => row.kind === "daemon" && row.id === daemonId);
-    return vm === undefined || vm.incarnation === drained;
+    return vm === undefined || vm.incarnation === drainedIncarnation;
   }
 }
 
-/** A daemon that just started is there before it can serve. */
+/** A daemon that has just started is listed before it can serve. */
 function hasConfiguration(member: Member): boolean {
   return (member.digest?.revision ?? 0) > 0;
 }
--- a/packages/kelpspar-daemon/src/fleet/fleet_options.ts
+++ b/packages/kelpspar-daemon/src/fleet/fleet_options.ts
@@ -5,12 +5,12 @@
 import type { DaemonState } from "../state/daemon_state.ts";
 import type { StateStore } from "../state/state_store.ts";
 
-/** What a daemon's view of the fleet rests on. */
+/** Dependencies of a `Fleet`. */
 export interface FleetOptions {
   readonly daemonId: string;
   readonly incarnation: string;
   readonly address: string;
-  /** The port that callers and daemons connect to, once it is known. */
+  /** The port that callers and daemons connect to; known once listening. */
   readonly port: () => number;
   readonly availabilityZone: string;
   readonly digestMilliseconds: number;
@@ -20,7 +20,7 @@
   readonly watch: EndpointWatch;
   readonly revision: () => number;
   readonly keyEpoch: () => number;
-  /** Share of the requests it may run that are free, 0 to 1. */
+  /** Fraction of the request capacity that is free, 0 to 1. */
   readonly spareShare: () => number;
   readonly addressKeepMilliseconds: () => number;
   readonly timer: TimerService;
--- a/packages/kelpspar-daemon/src/front/answer_client_error.ts
+++ b/packages/kelpspar-daemon/src/front/answer_client_error.ts
@@ -14,18 +14,18 @@
   },
   ERR_HTTP_REQUEST_TIMEOUT: {
     result: "request_too_slow",
-    message: "Cannot wait for the request: it arrives too slowly",
+    message: "Cannot read the request: it arrived too slowly",
   },
 };
 
-const OTHER_ANSWER: ClientErrorAnswer = {
+const DEFAULT_ANSWER: ClientErrorAnswer = {
   result: "malformed_request",
   message: "Cannot read the request: it is not HTTP",
 };
 
 /**
- * Answers a request that never became one (headers too slow, too large or not
- * HTTP) by a numbered failure too, then closes the connection.
+ * Answers a request that could not be parsed (headers too slow, too large or
+ * not HTTP) with a failure record as well, then closes the connection.
  */
 export function answerClientError(
   error: Error & { readonly code?: string },
@@ -35,15 +35,15 @@
     socket.destroy();
     return;
   }
-  const answer = ANSWER_BY_CODE[error.code ?? ""] ?? OTHER_ANSWER;
+  const answer = ANSWER_BY_CODE[error.code ?? ""] ?? DEFAULT_ANSWER;
   const { httpStatus } = RESULT_CODES[answer.result];
   const failure = new KelpsparError(answer.result, answer.message);
   const body = JSON.stringify(toFailureRecord(failure));
   socket.end(
     `HTTP/1.1 ${httpStatus} Refused\r\ncontent-type: application/json\r\n` +
       `content-length: ${body.length}\r\nconnection: close\r\n\r\n${body}`,
-    // Nothing watches a connection whose parser has given up; one that its
-    // caller never closes would stay open for good.
+    // Node.js applies no timeout after a parse error, so a connection that the
+    // caller never closes would stay open forever.
     () => socket.destroy(),
   );
 }
--- a/packages/kelpspar-daemon/src/front/bearer_key.ts
+++ b/packages/kelpspar-daemon/src/front/bearer_key.ts
@@ -2,7 +2,7 @@
 
 const PREFIX = "Bearer ";
 
-/** The key of the `authorization` header; undefined when there is none. */
+/** The bearer key of the `authorization` header; undefined without one. */
 export function bearerKey(request: IncomingMessage): string | undefined {
   const header = request.headers.authorization;
   if (header === undefined || !header.startsWith(PREFIX)) return undefined;
--- a/packages/kelpspar-daemon/src/front/caller_routes.ts
+++ b/packages/kelpspar-daemon/src/front/caller_routes.ts
@@ -19,23 +19,23 @@
 import { sendJson } from "./send_json.ts";
 import { streamAnswer } from "./stream_answer.ts";
 
-/** What the callers' interface answers from. */
+/** Dependencies of the caller routes. */
 export interface CallerRoutesOptions {
   readonly configuration: StateConfigurationReader;
   readonly requests: RequestService;
-  /** Waits, for a moment at most, for a newer configuration on its way. */
-  readonly whenSettled: () => Promise<void>;
+  /** Waits briefly for a newer configuration that is being fetched. */
+  readonly waitForConfiguration: () => Promise<void>;
   readonly registry: RequestRegistry;
   readonly incarnation: string;
   readonly lookup: KeyLookup;
-  /** Which daemons a caller of a zone may use. */
+  /** The daemons that a caller in an availability zone may use. */
   readonly addresses: (availabilityZone: string | undefined) => AddressAnswer;
   readonly maximumBodyBytes: number;
   readonly bodyTimeoutMilliseconds: number;
   readonly timer: TimerService;
 }
 
-/** The routes that callers use. */
+/** Creates the routes of the caller API. */
 export function createCallerRoutes(
   options: CallerRoutesOptions,
 ): readonly Route[] {
@@ -53,12 +53,12 @@
     {
       method: "GET",
       path: "/v1/requests/by-key/:idempotencyKey",
-      handle: (exchange) => lookUp(exchange, options),
+      handle: (exchange) => findByIdempotencyKey(exchange, options),
     },
     {
       method: "GET",
       path: "/v1/requests/:requestId/stream",
-      handle: (exchange) => attach(exchange, options),
+      handle: (exchange) => resumeStream(exchange, options),
     },
     {
       method: "DELETE",
@@ -82,17 +82,17 @@
   options: CallerRoutesOptions,
 ): Promise<void> {
   if (options.configuration.current() === undefined) {
-    // Whose key it is cannot be told, but whether the request may have run
-    // before can be, and the refusal must not deny it.
+    // The caller cannot be authenticated, but a resubmission may already have
+    // run, so the error must not claim that it did not.
     const { resubmission } = await readSubmission(exchange, options);
-    const error = noConfigurationError();
+    const error = createNoConfigurationError();
     throw resubmission ? withoutProof(error) : error;
   }
-  // Keys are checked by the revision that is on its way, not by the one before.
-  await options.whenSettled();
+  // Check the key against the revision being fetched, not the previous one.
+  await options.waitForConfiguration();
   const account = authenticate(exchange, options);
   const request = await readSubmission(exchange, options);
-  // A caller that left meanwhile is served for nobody.
+  // Do not run the request of a caller that has disconnected meanwhile.
   if (exchange.response.destroyed) return;
   const context = options.requests.submit(account, request);
   follow(exchange, options, { context, offset: request.resumeOffset });
@@ -114,11 +114,11 @@
   );
   throw new KelpsparError(
     "malformed_request",
-    `Cannot take the request: ${problems.join("; ")}`,
+    `Cannot parse the request: ${problems.join("; ")}`,
   );
 }
 
-async function attach(
+async function resumeStream(
   exchange: HttpExchange,
   options: CallerRoutesOptions,
 ): Promise<void> {
@@ -127,7 +127,7 @@
   if (!Number.isSafeInteger(offset) || offset < 0) {
     throw new KelpsparError(
       "malformed_request",
-      "Cannot attach: the offset is not a whole number from 0",
+      "Cannot resume the stream: the offset is not a non-negative integer",
     );
   }
   follow(exchange, options, { context, offset });
@@ -142,7 +142,7 @@
   sendJson(exchange.response, { requestId: context.requestId });
 }
 
-async function lookUp(
+async function findByIdempotencyKey(
   exchange: HttpExchange,
   options: CallerRoutesOptions,
 ): Promise<void> {
@@ -189,7 +189,7 @@
   options: CallerRoutesOptions,
 ): AccountConfiguration {
   if (options.configuration.current() === undefined) {
-    throw noConfigurationError();
+    throw createNoConfigurationError();
   }
   const key = bearerKey(exchange.request);
   const account = key === undefined
@@ -202,7 +202,7 @@
   );
 }
 
-function noConfigurationError(): KelpsparError {
+function createNoConfigurationError(): KelpsparError {
   return new KelpsparError(
     "no_configuration",
     "The daemon has no configuration yet",
@@ -219,6 +219,6 @@
   if (context !== undefined) return context;
   throw new KelpsparError(
     "request_not_found",
-    `No request "${requestId}" of this client account is known here`,
+    `This daemon has no request "${requestId}" of this client account`,
   );
 }
--- a/packages/kelpspar-daemon/src/front/health_routes.ts
+++ b/packages/kelpspar-daemon/src/front/health_routes.ts
@@ -2,9 +2,9 @@
 import { KelpsparError } from "kelpspar-shared";
 import { sendJson } from "./send_json.ts";
 
-/** The routes by which a supervisor sees whether the daemon works. */
+/** Creates the liveness and readiness routes for a supervisor. */
 export function createHealthRoutes(options: {
-  /** Why the daemon takes no requests; undefined while it does. */
+  /** Why the daemon accepts no requests; undefined while it does. */
   readonly notReadyReason: () => "draining" | "no_configuration" | undefined;
 }): readonly Route[] {
   return [
@@ -19,7 +19,7 @@
       handle: async ({ response }) => {
         const reason = options.notReadyReason();
         if (reason !== undefined) {
-          throw new KelpsparError(reason, "The daemon takes no requests");
+          throw new KelpsparError(reason, "The daemon accepts no requests");
         }
         sendJson(response, { ready: true });
       },
--- a/packages/kelpspar-daemon/src/front/http_exchange.ts
+++ b/packages/kelpspar-daemon/src/front/http_exchange.ts
@@ -1,10 +1,10 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 
-/** One HTTP request and its response, with the parts of the path it matched. */
+/** An HTTP request and its response, with the parameters of its path. */
 export interface HttpExchange {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
   readonly url: URL;
-  /** The named parts of the path, decoded. */
+  /** The named path parameters, decoded. */
   readonly parameters: Readonly<Record<string, string>>;
 }
--- a/packages/kelpspar-daemon/src/front/http_server.ts
+++ b/packages/kelpspar-daemon/src/front/http_server.ts
@@ -15,12 +15,12 @@
 import { Router } from "./router.ts";
 import { sendFailure } from "./send_json.ts";
 
-/** Where the front listens, its limits and what it answers. */
-export interface HttpFrontOptions {
+/** Address, limits and routes of an `HttpServer`. */
+export interface HttpServerOptions {
   readonly address: string;
   readonly port: number;
   readonly routes: readonly Route[];
-  /** Takes whole paths that start with `prefix`, before the routes. */
+  /** Handles every path under `prefix`, before the routes. */
   readonly mounted?: {
     readonly prefix: string;
     readonly listener: RequestListener;
@@ -31,24 +31,24 @@
   readonly maximumConnections: number;
   readonly tls?: { readonly certificate: string; readonly key: string };
   readonly timer: TimerService;
-  /** True when connections are to be closed after their answer. */
+  /** True when connections are to be closed after the current response. */
   readonly isClosing: () => boolean;
-  /** Other daemons, for answers that send a caller elsewhere. */
+  /** Other daemons, for responses that redirect a caller. */
   readonly elsewhere: () => readonly string[];
   readonly onInternalError: (error: KelpsparError) => void;
 }
 
 const KEEP_ALIVE_MILLISECONDS = 30_000;
-const CLOSE_CHECK_MILLISECONDS = 50;
+const CLOSE_POLL_MILLISECONDS = 50;
 
-/** The listener for callers, operators and other daemons. */
-export class HttpFront {
-  readonly #options: HttpFrontOptions;
+/** The HTTP server for callers, operators and other daemons. */
+export class HttpServer {
+  readonly #options: HttpServerOptions;
   readonly #router: Router;
   readonly #server: Server;
-  #answering = 0;
+  #openResponses = 0;
 
-  constructor(options: HttpFrontOptions) {
+  constructor(options: HttpServerOptions) {
     this.#options = options;
     this.#router = new Router(options.routes);
     this.#server = this.#createServer();
@@ -73,23 +73,23 @@
   }
 
   /**
-   * Stops taking connections and waits for the answers under way. What goes
-   * wrong without the check: a connection that carries no request, or that
-   * became idle a moment later, keeps the process from ending; and so does a
-   * caller that stopped reading, for whom the limit is.
+   * Stops accepting connections and waits for responses in flight. Connections
+   * that carry no request, or become idle later, are closed by a poll, since
+   * they would keep the process alive. The limit closes those of callers that
+   * stopped reading.
    */
   async close(limitMilliseconds: number): Promise<void> {
     const closed = new Promise<void>((resolve) => {
       this.#server.close(() => resolve());
     });
-    const closeUnused = (): void => {
-      if (this.#answering === 0) this.#server.closeAllConnections();
+    const closeUnusedConnections = (): void => {
+      if (this.#openResponses === 0) this.#server.closeAllConnections();
       else this.#server.closeIdleConnections();
     };
-    closeUnused();
+    closeUnusedConnections();
     const { timer } = this.#options;
     const stop = mergeTeardowns(
-      timer.registerInterval(closeUnused, CLOSE_CHECK_MILLISECONDS),
+      timer.registerInterval(closeUnusedConnections, CLOSE_POLL_MILLISECONDS),
       timer.registerTimeout(
         () => this.#server.closeAllConnections(),
         limitMilliseconds,
@@ -102,14 +102,14 @@
   #createServer(): Server {
     const options = this.#options;
     const listener: RequestListener = (request, response) =>
-      void this.#answer(request, response);
+      void this.#handle(request, response);
     const limits = {
       maxHeaderSize: options.maximumHeaderBytes,
       headersTimeout: options.headersTimeoutMilliseconds,
       requestTimeout: options.requestTimeoutMilliseconds,
       keepAliveTimeout: KEEP_ALIVE_MILLISECONDS,
       connectionsCheckingInterval: 1_000,
-      // Node.js would refuse a request without a host by an empty body.
+      // Node.js would reject a request without a host with an empty body.
       requireHostHeader: false,
     };
     const server: Server = options.tls === undefined
@@ -126,7 +126,7 @@
     server.on(
       "checkExpectation",
       (_request, response: ServerResponse) =>
-        this.#fail(response, unmetExpectation()),
+        this.#fail(response, createExpectationError()),
     );
     server.on(
       "connect",
@@ -136,12 +136,12 @@
     return server;
   }
 
-  async #answer(
+  async #handle(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
-    this.#answering++;
-    response.on("close", () => this.#answering--);
+    this.#openResponses++;
+    response.on("close", () => this.#openResponses--);
     response.on("error", () => response.destroy());
     const { mounted, isClosing } = this.#options;
     if (isClosing()) response.setHeader("connection", "close");
@@ -172,37 +172,40 @@
       this.#options.onInternalError(error);
     }
     if (response.headersSent) {
-      // A stream that cannot go on is cut, never ended as if it were whole.
+      // Abort a failed stream, so that it does not look complete.
       response.destroy();
       return;
     }
     const elsewhere = this.#options.elsewhere();
-    sendFailure(response, error, needsElsewhere(error) ? { elsewhere } : {});
+    sendFailure(response, error, isRedirect(error) ? { elsewhere } : {});
   }
 }
 
-/** Throws `malformed_request` where HTTP/1.1 demands a host. */
+/** Throws `malformed_request` for an HTTP/1.1 request without a host. */
 function requireHost(request: IncomingMessage): void {
   if (request.httpVersion !== "1.1") return;
   if (request.headers.host !== undefined) return;
-  throw new KelpsparError("malformed_request", "The request names no host");
+  throw new KelpsparError(
+    "malformed_request",
+    "The request has no Host header",
+  );
 }
 
-function unmetExpectation(): KelpsparError {
+function createExpectationError(): KelpsparError {
   return new KelpsparError(
     "malformed_request",
-    "The request expects what cannot be met",
+    "The request's Expect header is not supported",
   );
 }
 
-/** Throws `malformed_request` for what only looks like a path. */
+/** Throws `malformed_request` for a path that is not a valid URL path. */
 function parseUrl(path: string): URL {
   const text = `http://localhost${path}`;
   if (path.startsWith("/") && URL.canParse(text)) return new URL(text);
-  throw new KelpsparError("malformed_request", "The request names no path");
+  throw new KelpsparError("malformed_request", "The request has no valid path");
 }
 
-function needsElsewhere(error: KelpsparError): boolean {
+function isRedirect(error: KelpsparError): boolean {
   return error.result === "draining" || error.result === "no_configuration" ||
     error.result === "wrong_daemon";
 }
--- a/packages/kelpspar-daemon/src/front/operator_access.ts
+++ b/packages/kelpspar-daemon/src/front/operator_access.ts
@@ -7,22 +7,22 @@
 import { equalInConstantTime, KelpsparError, sha256 } from "kelpspar-shared";
 import { bearerKey } from "./bearer_key.ts";
 
-/** An operator who showed a valid key. */
-export type KnownOperator = Pick<OperatorConfiguration, "id" | "role">;
+/** An operator authenticated by a valid key. */
+export type AuthenticatedOperator = Pick<OperatorConfiguration, "id" | "role">;
 
-/** Whom operators' keys are compared with. */
+/** Sources of the operators' key hashes. */
 export interface OperatorAccessOptions {
   readonly configuration: StateConfigurationReader;
   readonly bootstrapOperatorKeyHash: string | undefined;
 }
 
-const ROLE_RANKS: Readonly<Record<OperatorRole, number>> = {
+const ROLE_LEVELS: Readonly<Record<OperatorRole, number>> = {
   viewer: 0,
   operator: 1,
   administrator: 2,
 };
 
-/** Says what an operator's key allows. */
+/** Authenticates operators by key and authorizes them by role. */
 export class OperatorAccess {
   readonly #options: OperatorAccessOptions;
 
@@ -31,7 +31,7 @@
   }
 
   /** Throws `unknown_operator_key` or `operator_role`. */
-  authorize(exchange: HttpExchange, role: OperatorRole): KnownOperator {
+  authorize(exchange: HttpExchange, role: OperatorRole): AuthenticatedOperator {
     const operator = this.#find(exchange);
     if (operator === undefined) {
       throw new KelpsparError(
@@ -39,18 +39,18 @@
         "No operator has this key",
       );
     }
-    if (ROLE_RANKS[operator.role] >= ROLE_RANKS[role]) return operator;
+    if (ROLE_LEVELS[operator.role] >= ROLE_LEVELS[role]) return operator;
     throw new KelpsparError(
       "operator_role",
-      `Operator "${operator.id}" is a ${operator.role}; this needs ${role}`,
+      `Operator "${operator.id}" has role "${operator.role}"; this requires "${role}"`,
     );
   }
 
   /**
-   * Until the first configuration names operators, the key whose hash stands
-   * in the settings may apply one; after that it opens nothing.
+   * The bootstrap key, whose hash is in the settings, is valid only until the
+   * first configuration is active.
    */
-  #find(exchange: HttpExchange): KnownOperator | undefined {
+  #find(exchange: HttpExchange): AuthenticatedOperator | undefined {
     const key = bearerKey(exchange.request);
     if (key === undefined) return undefined;
     const { configuration, bootstrapOperatorKeyHash: hash } = this.#options;
--- a/packages/kelpspar-daemon/src/front/operator_routes.ts
+++ b/packages/kelpspar-daemon/src/front/operator_routes.ts
@@ -16,7 +16,7 @@
 import { parseJsonBody, readBody } from "./read_json_body.ts";
 import { sendJson } from "./send_json.ts";
 
-/** What the operators' interface answers from. */
+/** Dependencies of the operator routes. */
 export interface OperatorRoutesOptions {
   readonly access: OperatorAccess;
   readonly applier: ConfigurationApplier;
@@ -25,7 +25,7 @@
   readonly registry: RequestRegistry;
   readonly reports: OperatorReports;
   readonly current: () => ConfigurationRow | undefined;
-  /** The VM incarnation of an endpoint or daemon; undefined if unknown. */
+  /** The VM incarnation of an endpoint or daemon; undefined if not listed. */
   readonly incarnationOf: (kind: DrainKind, id: string) => string | undefined;
   readonly onAccepted: (row: ConfigurationRow) => void;
   readonly onDrains: (drains: Drains) => void;
@@ -34,7 +34,7 @@
   readonly timer: TimerService;
 }
 
-const MOST_REVISIONS = 100;
+const MAXIMUM_REVISIONS = 100;
 
 const applyBodySchema = z.strictObject({
   configuration: z.unknown(),
@@ -47,7 +47,7 @@
   id: z.string().min(1),
 });
 
-/** The routes that operators use. */
+/** Creates the routes of the operator API. */
 export function createOperatorRoutes(
   options: OperatorRoutesOptions,
 ): readonly Route[] {
@@ -114,7 +114,7 @@
   if (context === undefined) {
     throw new KelpsparError(
       "request_not_found",
-      `No request "${requestId}" is known at this daemon`,
+      `This daemon has no request "${requestId}"`,
     );
   }
   sendJson(exchange.response, reportRequest(context));
@@ -127,7 +127,10 @@
   options.access.authorize(exchange, "viewer");
   const row = options.current();
   if (row === undefined) {
-    throw new KelpsparError("no_configuration", "No configuration is in force");
+    throw new KelpsparError(
+      "no_configuration",
+      "The daemon has no active configuration",
+    );
   }
   sendJson(exchange.response, row);
 }
@@ -137,11 +140,14 @@
   options: OperatorRoutesOptions,
 ): Promise<void> {
   options.access.authorize(exchange, "viewer");
-  const asked = Number(exchange.url.searchParams.get("limit") ?? 20);
-  const limit = Math.min(MOST_REVISIONS, Math.max(1, Math.floor(asked) || 1));
+  const requestedLimit = Number(exchange.url.searchParams.get("limit") ?? 20);
+  const limit = Math.min(
+    MAXIMUM_REVISIONS,
+    Math.max(1, Math.floor(requestedLimit) || 1),
+  );
   const rows = await options.store.history(limit);
   sendJson(exchange.response, {
-    revisions: rows.map(({ configuration: _left, ...row }) => row),
+    revisions: rows.map(({ configuration: _omitted, ...row }) => row),
   });
 }
 
@@ -151,7 +157,7 @@
 ): Promise<void> {
   options.access.authorize(exchange, "viewer");
   const changeId = exchange.parameters["changeId"] ?? "";
-  const rows = await options.store.history(MOST_REVISIONS);
+  const rows = await options.store.history(MAXIMUM_REVISIONS);
   const row = rows.find((candidate) => candidate.changeId === changeId);
   sendJson(
     exchange.response,
@@ -166,9 +172,9 @@
   options: OperatorRoutesOptions,
 ): Promise<void> {
   const operator = options.access.authorize(exchange, "administrator");
-  const body = await readChecked(exchange, options, applyBodySchema);
+  const body = await readValidatedBody(exchange, options, applyBodySchema);
   const parsed = parseConfiguration(body.configuration);
-  if (!parsed.ok) return sendProblems(exchange, parsed.errors);
+  if (!parsed.ok) return sendConfigurationErrors(exchange, parsed.errors);
   const row = await options.applier.apply({ ...body, operator: operator.id });
   options.onAccepted(row);
   sendJson(exchange.response, { revision: row.revision });
@@ -179,10 +185,17 @@
   options: OperatorRoutesOptions,
 ): Promise<void> {
   options.access.authorize(exchange, "operator");
-  const { kind, id } = await readChecked(exchange, options, drainBodySchema);
+  const { kind, id } = await readValidatedBody(
+    exchange,
+    options,
+    drainBodySchema,
+  );
   const incarnation = options.incarnationOf(kind, id);
   if (incarnation === undefined) {
-    throw new KelpsparError("malformed_request", `There is no ${kind} "${id}"`);
+    throw new KelpsparError(
+      "malformed_request",
+      `Cannot drain ${kind} "${id}": the VM list does not contain it`,
+    );
   }
   const drains = await options.drains.drain({ kind, id, incarnation });
   options.onDrains(drains);
@@ -198,7 +211,7 @@
   if (!target.success) {
     throw new KelpsparError(
       "malformed_request",
-      "Only endpoints and daemons are drained",
+      "Cannot end the drain: only endpoints and daemons can be drained",
     );
   }
   const drains = await options.drains.undrain(target.data);
@@ -206,7 +219,7 @@
   sendJson(exchange.response, drains);
 }
 
-async function readChecked<Body>(
+async function readValidatedBody<Body>(
   exchange: HttpExchange,
   options: OperatorRoutesOptions,
   schema: z.ZodType<Body>,
@@ -223,17 +236,17 @@
   );
   throw new KelpsparError(
     "malformed_request",
-    `Cannot take the command: ${problems.join("; ")}`,
+    `Cannot parse the command: ${problems.join("; ")}`,
   );
 }
 
-function sendProblems(
+function sendConfigurationErrors(
   exchange: HttpExchange,
   errors: readonly unknown[],
 ): void {
   const error = new KelpsparError(
     "configuration_invalid",
-    `Cannot apply: the configuration has ${errors.length} errors`,
+    `Cannot apply the configuration: it has ${errors.length} errors`,
   );
   const body = { ...toFailureRecord(error), errors };
   sendJson(exchange.response, body, RESULT_CODES[error.result].httpStatus);
--- a/packages/kelpspar-daemon/src/front/read_json_body.ts
+++ b/packages/kelpspar-daemon/src/front/read_json_body.ts
@@ -3,7 +3,7 @@
 import { Buffer } from "node:buffer";
 import { KelpsparError } from "kelpspar-shared";
 
-/** Limits of a body. */
+/** Size and time limits of a request body. */
 export interface ReadBodyOptions {
   readonly maximumBytes: number;
   /** How long the body may take to arrive, milliseconds. */
@@ -12,7 +12,7 @@
 }
 
 /**
- * Reads a body whole. Throws `body_too_large`, `request_too_slow` or
+ * Reads a whole request body. Throws `body_too_large`, `request_too_slow` or
  * `malformed_request`.
  */
 export async function readBody(
@@ -39,16 +39,16 @@
     });
     request.on("error", (cause) => {
       stopTimer();
-      reject(cutOff(cause));
+      reject(connectionLost(cause));
     });
     request.on("aborted", () => {
       stopTimer();
-      reject(cutOff(undefined));
+      reject(connectionLost(undefined));
     });
   });
 }
 
-/** Reads JSON. Throws `malformed_request` for text that is not JSON. */
+/** Parses JSON. Throws `malformed_request` for text that is not JSON. */
 export function parseJsonBody(text: string): unknown {
   try {
     return JSON.parse(text);
@@ -64,21 +64,21 @@
 function tooLarge(options: ReadBodyOptions): KelpsparError {
   return new KelpsparError(
     "body_too_large",
-    `Cannot take the body: it is larger than ${options.maximumBytes} bytes`,
+    `Cannot accept the body: it is larger than ${options.maximumBytes} bytes`,
   );
 }
 
 function tooSlow(options: ReadBodyOptions): KelpsparError {
   return new KelpsparError(
     "request_too_slow",
-    `Cannot wait for the body: it took longer than ${options.timeoutMilliseconds} ms`,
+    `Cannot read the body: it took longer than ${options.timeoutMilliseconds} ms`,
   );
 }
 
-function cutOff(cause: unknown): KelpsparError {
+function connectionLost(cause: unknown): KelpsparError {
   return new KelpsparError(
     "malformed_request",
-    "Cannot read the body: the connection was cut",
+    "Cannot read the body: the connection was closed",
     cause === undefined ? {} : { cause },
   );
 }
--- a/packages/kelpspar-daemon/src/front/router.ts
+++ b/packages/kelpspar-daemon/src/front/router.ts
@@ -4,32 +4,32 @@
 
 interface CompiledRoute {
   readonly route: Route;
-  readonly parts: readonly string[];
+  readonly segments: readonly string[];
 }
 
-/** A route that answers an exchange. */
+/** The route of a request and the parameters of its path. */
 export interface RouteMatch {
   readonly route: Route;
   readonly parameters: HttpExchange["parameters"];
 }
 
-/** Finds the route of a method and path. */
+/** Matches requests to routes by method and path. */
 export class Router {
   readonly #routes: readonly CompiledRoute[];
 
   constructor(routes: readonly Route[]) {
     this.#routes = routes.map((route) => ({
       route,
-      parts: route.path.split("/"),
+      segments: route.path.split("/"),
     }));
   }
 
   /** Throws `unknown_path` or `method_not_allowed`. */
   match(method: string, path: string): RouteMatch {
-    const parts = path.split("/");
+    const segments = path.split("/");
     let isPathKnown = false;
     for (const compiled of this.#routes) {
-      const parameters = matchParts(compiled.parts, parts);
+      const parameters = matchSegments(compiled.segments, segments);
       if (parameters === undefined) continue;
       isPathKnown = true;
       if (compiled.route.method === method) {
@@ -39,23 +39,23 @@
     if (isPathKnown) {
       throw new KelpsparError(
         "method_not_allowed",
-        `"${path}" does not take method "${method}"`,
+        `Path "${path}" does not support method "${method}"`,
       );
     }
-    throw new KelpsparError("unknown_path", `There is no "${path}"`);
+    throw new KelpsparError("unknown_path", `Path "${path}" does not exist`);
   }
 }
 
-function matchParts(
+function matchSegments(
   pattern: readonly string[],
-  parts: readonly string[],
+  segments: readonly string[],
 ): Readonly<Record<string, string>> | undefined {
-  if (pattern.length !== parts.length) return undefined;
+  if (pattern.length !== segments.length) return undefined;
   const parameters: Record<string, string> = {};
   for (const [index, expected] of pattern.entries()) {
-    const part = parts[index] ?? "";
+    const part = segments[index] ?? "";
     if (expected.startsWith(":")) {
-      const decoded = decodePart(part);
+      const decoded = decodeSegment(part);
       if (decoded === undefined) return undefined;
       parameters[expected.slice(1)] = decoded;
     } else if (expected !== part) {
@@ -65,7 +65,7 @@
   return parameters;
 }
 
-function decodePart(part: string): string | undefined {
+function decodeSegment(part: string): string | undefined {
   try {
     return decodeURIComponent(part);
   } catch {
--- a/packages/kelpspar-daemon/src/front/send_json.ts
+++ b/packages/kelpspar-daemon/src/front/send_json.ts
@@ -5,7 +5,7 @@
 
 const STATUS_OK = 200;
 
-/** Sends a whole JSON answer. */
+/** Sends a JSON response. */
 export function sendJson(
   response: ServerResponse,
   body: unknown,
@@ -20,7 +20,7 @@
   response.end(text);
 }
 
-/** Sends a failure as JSON with the status of its result code. */
+/** Sends an error as a failure record with the status of its result code. */
 export function sendFailure(
   response: ServerResponse,
   error: KelpsparError,
--- a/packages/kelpspar-daemon/src/front/stream_answer.ts
+++ b/packages/kelpspar-daemon/src/front/stream_answer.ts
@@ -3,10 +3,10 @@
 import type { AnswerLog } from "../requests/answer_log.ts";
 
 const STATUS_OK = 200;
-/** A caller that takes nothing for so long is given up on. */
-const STALLED_READER_MILLISECONDS = 30_000;
+/** How long a caller may stop reading before its connection is destroyed. */
+const STALLED_CALLER_TIMEOUT_MILLISECONDS = 30_000;
 
-/** Which part of an answer to stream. */
+/** The answer's first record and the offset to stream from. */
 export interface StreamAnswerOptions {
   readonly accepted: AcceptedRecord;
   readonly offset: number;
@@ -14,10 +14,10 @@
 }
 
 /**
- * Streams an answer as newline-delimited JSON until its final record. All
- * chunks that wait are written at once, and a caller that reads slowly is
- * waited for, so that its answer is not piled up in the socket's buffer.
- * Returns the teardown; it is run by itself when the stream ends.
+ * Streams an answer as newline-delimited JSON until its final record. Pending
+ * chunks are written in one write, and backpressure from a slow caller is
+ * respected, so that its answer does not accumulate in the socket's buffer.
+ * Returns the teardown, which also runs when the stream ends.
  */
 export function streamAnswer(
   log: AnswerLog,
@@ -25,14 +25,14 @@
   options: StreamAnswerOptions,
 ): () => void {
   let offset = options.offset;
-  let isWaiting = false;
+  let isBlocked = false;
   response.writeHead(STATUS_OK, { "content-type": "application/x-ndjson" });
   let pending = JSON.stringify(options.accepted) + "\n";
 
-  const watchStalled = (): () => void => {
+  const startStallTimeout = (): () => void => {
     const stopTimer = options.timer.registerTimeout(
       () => response.destroy(),
-      STALLED_READER_MILLISECONDS,
+      STALLED_CALLER_TIMEOUT_MILLISECONDS,
     );
     response.once("close", stopTimer);
     return () => {
@@ -41,7 +41,7 @@
     };
   };
   const flush = (): void => {
-    if (isWaiting || response.writableEnded) return;
+    if (isBlocked || response.writableEnded) return;
     for (const chunk of log.readFrom(offset)) {
       pending += JSON.stringify(chunk) + "\n";
       offset = chunk.offset + chunk.text.length;
@@ -49,7 +49,7 @@
     if (log.final !== undefined) {
       pending += JSON.stringify(log.final) + "\n";
       stop();
-      watchStalled();
+      startStallTimeout();
       response.end(pending);
       return;
     }
@@ -57,11 +57,11 @@
     const text = pending;
     pending = "";
     if (response.write(text)) return;
-    isWaiting = true;
-    const stopWatch = watchStalled();
+    isBlocked = true;
+    const stopStallTimeout = startStallTimeout();
     response.once("drain", () => {
-      stopWatch();
-      isWaiting = false;
+      stopStallTimeout();
+      isBlocked = false;
       flush();
     });
   };
--- a/packages/kelpspar-daemon/src/log/daemon_log.ts
+++ b/packages/kelpspar-daemon/src/log/daemon_log.ts
@@ -11,12 +11,12 @@
   debug(message: string, details?: LogDetails): void;
 }
 
-/** What a log line says besides its message; never text of callers. */
+/** Structured fields of a log line; never contain text of callers. */
 export type LogDetails = Readonly<
   Record<string, string | number | boolean | undefined>
 >;
 
-const LEVELS: Readonly<Record<Settings["log"]["level"], LogLevel>> = {
+const CONSOLA_LEVELS: Readonly<Record<Settings["log"]["level"], LogLevel>> = {
   error: 0,
   warn: 1,
   info: 3,
@@ -36,27 +36,29 @@
   },
 };
 
-/** Creates a log that writes to standard error by consola. */
+/** Creates a log that writes to standard error through consola. */
 export function createDaemonLog(
   settings: Settings["log"],
-  bound: LogDetails = {},
+  baseDetails: LogDetails = {},
 ): DaemonLog {
   const consola = createConsola({
-    level: LEVELS[settings.level],
+    level: CONSOLA_LEVELS[settings.level],
     stdout: process.stderr,
     ...(settings.format === "json" ? { reporters: [JSON_REPORTER] } : {}),
   });
   return {
     error: (message, details) =>
-      consola.error(message, { ...bound, ...details }),
-    warn: (message, details) => consola.warn(message, { ...bound, ...details }),
-    info: (message, details) => consola.info(message, { ...bound, ...details }),
+      consola.error(message, { ...baseDetails, ...details }),
+    warn: (message, details) =>
+      consola.warn(message, { ...baseDetails, ...details }),
+    info: (message, details) =>
+      consola.info(message, { ...baseDetails, ...details }),
     debug: (message, details) =>
-      consola.debug(message, { ...bound, ...details }),
+      consola.debug(message, { ...baseDetails, ...details }),
   };
 }
 
-/** What a log line says of an error. */
+/** The log fields that describe an error. */
 export function errorDetails(error: KelpsparError): LogDetails {
   return { code: error.code, result: error.result, reason: error.message };
 }
--- a/packages/kelpspar-daemon/src/main.ts
+++ b/packages/kelpspar-daemon/src/main.ts
@@ -54,13 +54,13 @@
       incarnation: daemon.incarnation,
     }) + "\n",
   );
-  await stopSignal();
+  await waitForStopSignal();
   await daemon.stop();
   await ports.close();
 }
 
-/** Resolves at the first signal; later ones change nothing. */
-function stopSignal(): Promise<void> {
+/** Resolves at the first SIGTERM or SIGINT; later signals are ignored. */
+function waitForStopSignal(): Promise<void> {
   return new Promise((resolve) => {
     process.on("SIGTERM", () => resolve());
     process.on("SIGINT", () => resolve());
--- a/packages/kelpspar-daemon/src/metrics/daemon_metrics.ts
+++ b/packages/kelpspar-daemon/src/metrics/daemon_metrics.ts
@@ -2,13 +2,13 @@
 import { build } from "hdr-histogram-js";
 import { StatsD } from "hot-shots";
 
-const LARGEST_MILLISECONDS = 3_600_000;
+const HIGHEST_TRACKABLE_VALUE = 3_600_000;
 const PERCENTILES = [50, 95, 99] as const;
 
-/** What a metric is told apart by. */
+/** The tags that identify a series of a metric. */
 export type MetricTags = Readonly<Record<string, string>>;
 
-/** A histogram's figures, milliseconds or whatever its name says. */
+/** Summary of a histogram, in the unit that its name states. */
 export interface HistogramSummary {
   readonly name: string;
   readonly tags: MetricTags;
@@ -20,19 +20,19 @@
   readonly maximum: number;
 }
 
-interface KeptHistogram {
+interface TaggedHistogram {
   readonly name: string;
   readonly tags: MetricTags;
   readonly histogram: ReturnType<typeof build>;
 }
 
 /**
- * Counts and histograms by client account, class and stage: sent to StatsD as
- * they come, and kept here so that operators can ask for them.
+ * Counters and histograms by client account, class and stage. They are sent to
+ * StatsD immediately and aggregated here for the operator API.
  */
 export class DaemonMetrics {
   readonly #client: StatsD | undefined;
-  readonly #histograms = new Map<string, KeptHistogram>();
+  readonly #histograms = new Map<string, TaggedHistogram>();
   readonly #counts = new Map<string, number>();
 
   constructor(settings: Settings["metrics"]) {
@@ -42,43 +42,43 @@
       port: settings.statsdPort,
       prefix: settings.prefix,
       maxBufferSize: 1_400,
-      // A metric that cannot be sent is lost; it never stops a request.
+      // A metric that cannot be sent is dropped and never fails a request.
       errorHandler: () => {},
     });
   }
 
   count(name: string, tags: MetricTags): void {
-    const key = keyOf(name, tags);
+    const key = toMetricKey(name, tags);
     this.#counts.set(key, (this.#counts.get(key) ?? 0) + 1);
     this.#client?.increment(name, 1, { ...tags });
   }
 
-  /** Adds an amount to a histogram. */
+  /** Records a value in a histogram. */
   record(name: string, value: number, tags: MetricTags): void {
     this.#client?.distribution(name, value, { ...tags });
-    const key = keyOf(name, tags);
-    let kept = this.#histograms.get(key);
-    if (kept === undefined) {
+    const key = toMetricKey(name, tags);
+    let entry = this.#histograms.get(key);
+    if (entry === undefined) {
       const histogram = build({
-        highestTrackableValue: LARGEST_MILLISECONDS,
+        highestTrackableValue: HIGHEST_TRACKABLE_VALUE,
         numberOfSignificantValueDigits: 2,
         bitBucketSize: 32,
       });
-      kept = { name, tags, histogram };
-      this.#histograms.set(key, kept);
+      entry = { name, tags, histogram };
+      this.#histograms.set(key, entry);
     }
-    const whole = Math.round(
-      Math.min(LARGEST_MILLISECONDS, Math.max(0, value)),
+    const rounded = Math.round(
+      Math.min(HIGHEST_TRACKABLE_VALUE, Math.max(0, value)),
     );
-    kept.histogram.recordValue(whole);
+    entry.histogram.recordValue(rounded);
   }
 
-  /** How often `count` was called with these tags. */
-  countOf(name: string, tags: MetricTags): number {
-    return this.#counts.get(keyOf(name, tags)) ?? 0;
+  /** The value of a counter. */
+  counterValue(name: string, tags: MetricTags): number {
+    return this.#counts.get(toMetricKey(name, tags)) ?? 0;
   }
 
-  /** Every histogram kept here. */
+  /** Summaries of all histograms. */
   summaries(): readonly HistogramSummary[] {
     return [...this.#histograms.values()].map(({ name, tags, histogram }) => {
       const [p50, p95, p99] = PERCENTILES.map((percentile) =>
@@ -97,7 +97,7 @@
     });
   }
 
-  /** Sends what is left and closes the socket. */
+  /** Flushes buffered metrics and closes the socket. */
   async close(): Promise<void> {
     const client = this.#client;
     if (client === undefined) return;
@@ -105,6 +105,6 @@
   }
 }
 
-function keyOf(name: string, tags: MetricTags): string {
+function toMetricKey(name: string, tags: MetricTags): string {
   return `${name}|${Object.values(tags).join("|")}`;
 }
--- a/packages/kelpspar-daemon/src/metrics/request_metrics.ts
+++ b/packages/kelpspar-daemon/src/metrics/request_metrics.ts
@@ -6,14 +6,14 @@
 import type { DaemonMetrics, MetricTags } from "./daemon_metrics.ts";
 import type { KelpsparError, TimerService } from "kelpspar-shared";
 
-/** What became of a client account's requests here. */
+/** Counts of a client account's requests by outcome on this daemon. */
 export interface AccountTally {
   completed: number;
   failed: number;
   refused: number;
 }
 
-/** Measures requests and their stages. */
+/** Records metrics of requests and their stages. */
 export class RequestMetrics implements StageObserver {
   readonly #metrics: DaemonMetrics;
   readonly #timer: TimerService;
@@ -27,10 +27,10 @@
     this.#timer = options.timer;
   }
 
-  /** What became of an account's requests. */
-  tallyOf(accountId: string): AccountTally {
-    const known = this.#tallies.get(accountId);
-    if (known !== undefined) return known;
+  /** The request counts of a client account. */
+  accountTally(accountId: string): AccountTally {
+    const existing = this.#tallies.get(accountId);
+    if (existing !== undefined) return existing;
     const tally = { completed: 0, failed: 0, refused: 0 };
     this.#tallies.set(accountId, tally);
     return tally;
@@ -40,7 +40,7 @@
     const tags = { account: context.account.id, class: context.pipeline.id };
     const milliseconds = this.#timer.now() - context.arrivedAt;
     const isWhole = final.type === "end";
-    const tally = this.tallyOf(context.account.id);
+    const tally = this.accountTally(context.account.id);
     if (isWhole) tally.completed++;
     else tally.failed++;
     this.#metrics.count("requests", {
@@ -62,7 +62,7 @@
   }
 
   onRefused(accountId: string, error: KelpsparError): void {
-    this.tallyOf(accountId).refused++;
+    this.accountTally(accountId).refused++;
     this.#metrics.count("refusals", {
       account: accountId,
       result: error.result,
@@ -82,25 +82,25 @@
     attempt: { readonly outcome: string },
   ): void {
     this.#metrics.count("attempts", {
-      ...tagsOf(task),
+      ...toStageTags(task),
       outcome: attempt.outcome,
     });
   }
 
   onRetry(task: StageTask): void {
-    this.#metrics.count("retries", tagsOf(task));
+    this.#metrics.count("retries", toStageTags(task));
   }
 
   onHedge(task: StageTask): void {
-    this.#metrics.count("hedges", tagsOf(task));
+    this.#metrics.count("hedges", toStageTags(task));
   }
 
   onStageEnd(task: StageTask, milliseconds: number): void {
-    this.#metrics.record("stage_milliseconds", milliseconds, tagsOf(task));
+    this.#metrics.record("stage_milliseconds", milliseconds, toStageTags(task));
   }
 }
 
-function tagsOf(task: StageTask): MetricTags {
+function toStageTags(task: StageTask): MetricTags {
   return {
     account: task.context.account.id,
     class: task.context.pipeline.id,
--- a/packages/kelpspar-daemon/src/operators/apply_newer_drains.ts
+++ b/packages/kelpspar-daemon/src/operators/apply_newer_drains.ts
@@ -1,27 +1,27 @@
 import type { DaemonState } from "../state/daemon_state.ts";
 import type { StateStore } from "../state/state_store.ts";
 
-/** Rows of the table `drains`, as the table or a peer has them. */
-export type OfferedDrains = Partial<
+/** Rows of the table `drains`, read from the table or received from a peer. */
+export type DrainsUpdate = Partial<
   Pick<DaemonState, "drains" | "takenOut">
 >;
 
 /**
- * Takes rows that are newer than those known. What goes wrong otherwise: a
- * peer that lags, or a read that was overtaken, brings an old row back, and a
- * drained endpoint receives calls again.
+ * Applies rows that are newer than the current ones. Otherwise a stale peer or
+ * an out-of-order read would restore an old row, and a drained endpoint would
+ * receive calls again.
  */
-export function takeDrains(
+export function applyNewerDrains(
   state: StateStore<DaemonState>,
-  offered: OfferedDrains,
+  drainsUpdate: DrainsUpdate,
 ): void {
-  const { drains, takenOut } = offered;
-  const known = state.read();
-  // An update that changes nothing would make its listeners work.
-  if (drains !== undefined && drains.version > known.drains.version) {
+  const { drains, takenOut } = drainsUpdate;
+  const current = state.read();
+  // Skip updates without a change, since each one runs the listeners.
+  if (drains !== undefined && drains.version > current.drains.version) {
     state.update(() => ({ drains }));
   }
-  if (takenOut !== undefined && takenOut.version > known.takenOut.version) {
+  if (takenOut !== undefined && takenOut.version > current.takenOut.version) {
     state.update(() => ({ takenOut }));
   }
 }
--- a/packages/kelpspar-daemon/src/operators/configuration_applier.ts
+++ b/packages/kelpspar-daemon/src/operators/configuration_applier.ts
@@ -19,19 +19,19 @@
 import { ConfigurationStore } from "../configuration/configuration_store.ts";
 import { KelpsparError, toKelpsparError } from "kelpspar-shared";
 
-const PATIENCE_MILLISECONDS = 5_000;
-const RESEND_MILLISECONDS = 100;
+const APPLY_TIMEOUT_MILLISECONDS = 5_000;
+const RESEND_DELAY_MILLISECONDS = 100;
 
-/** A change of the configuration as an operator asks for it. */
+/** A configuration change requested by an operator. */
 export interface ConfigurationChangeRequest {
   readonly configuration: unknown;
-  /** The revision the change was made from; 0 for the first. */
+  /** The revision that the change is based on; 0 for the first. */
   readonly expectedRevision: number;
   readonly changeId: string;
   readonly operator: string;
 }
 
-/** What changes are applied with. */
+/** Dependencies of a `ConfigurationApplier`. */
 export interface ConfigurationApplierOptions {
   readonly table: TableService;
   readonly timer: TimerService;
@@ -39,9 +39,9 @@
 }
 
 /**
- * Accepts changes of the configuration by compare-and-set on one row, so that
- * of operators who race one wins and the others learn of it. All decisions are
- * those of kelpspar-decisions; here they meet the table.
+ * Accepts configuration changes by compare-and-set on one row, so that of
+ * concurrent changes one is accepted and the others get a conflict. The decision
+ * logic is in kelpspar-decisions; this class executes it against the table.
  */
 export class ConfigurationApplier {
   readonly #options: ConfigurationApplierOptions;
@@ -65,8 +65,8 @@
   }
 
   /**
-   * Reads back what was accepted: a change id that was used before names what
-   * was accepted then, whatever stands in this one.
+   * Reads the accepted row back. If the change id was used before, the row has
+   * the configuration that was accepted then, not that of this request.
    */
   async #readAccepted(
     change: ConfigurationChangeRequest,
@@ -95,21 +95,21 @@
   }
 
   async #run(first: ApplyStep): Promise<ApplyOutcome> {
-    const giveUpAt = this.#options.timer.now() + PATIENCE_MILLISECONDS;
+    const deadline = this.#options.timer.now() + APPLY_TIMEOUT_MILLISECONDS;
     let step = first;
     for (;;) {
       const [action] = step.actions;
       if (action === undefined) return { type: "unconfirmed" };
       if (action.type === "finish") return action.outcome;
-      const isOver = this.#options.timer.now() >= giveUpAt;
-      const event = isOver
+      const isTimedOut = this.#options.timer.now() >= deadline;
+      const event = isTimedOut
         ? { type: "give_up" } as const
-        : await this.#act(step.attempt, action);
+        : await this.#execute(step.attempt, action);
       step = advanceApply(step.attempt, event);
     }
   }
 
-  async #act(
+  async #execute(
     attempt: ApplyAttempt,
     action: Exclude<ApplyAction, { readonly type: "finish" }>,
   ): Promise<ApplyEvent> {
@@ -123,9 +123,9 @@
       return { type: "history", found: toFoundRevision(row) };
     } catch (thrown) {
       const error = toKelpsparError(thrown, "write_unknown");
-      // Only the table's own word proves that nothing was written.
-      const isProved = error.result === "table_unavailable";
-      return { type: isProved ? "unavailable" : "unknown" };
+      // Only this answer of the table proves that nothing was written.
+      const isNotWritten = error.result === "table_unavailable";
+      return { type: isNotWritten ? "unavailable" : "unknown" };
     }
   }
 
@@ -134,7 +134,7 @@
     await new Promise<void>((resolve) => {
       timer.registerTimeout(
         resolve,
-        RESEND_MILLISECONDS * (0.5 + random.next()),
+        RESEND_DELAY_MILLISECONDS * (0.5 + random.next()),
       );
     });
     return { type: "resend" };
@@ -149,17 +149,17 @@
   if (outcome.type === "conflict") {
     return new KelpsparError(
       "revision_conflict",
-      `Cannot apply ${name} on revision ${change.expectedRevision}: revision ${outcome.revision} is in force`,
+      `Cannot apply ${name} to revision ${change.expectedRevision}: revision ${outcome.revision} is active`,
     );
   }
   if (outcome.type === "not_written") {
     return new KelpsparError(
       "store_unavailable",
-      `Cannot apply ${name}: the table service never took it`,
+      `Cannot apply ${name}: the table service did not accept the write`,
     );
   }
   return new KelpsparError(
     "apply_unconfirmed",
-    `Whether ${name} was accepted is not known yet: look it up by its id`,
+    `Cannot confirm ${name}: it may have been accepted; look it up by its id`,
   );
 }
--- a/packages/kelpspar-daemon/src/operators/drain_store.ts
+++ b/packages/kelpspar-daemon/src/operators/drain_store.ts
@@ -4,9 +4,9 @@
 import { DRAIN_FIELDS, drainsSchema, NO_DRAINS } from "./drains.ts";
 
 const TABLE = "drains";
-const MOST_TRIES = 5;
+const MAXIMUM_ATTEMPTS = 5;
 
-/** What to drain, or to drain no more. */
+/** The endpoint or daemon to drain. */
 export interface DrainTarget {
   readonly kind: DrainKind;
   readonly id: string;
@@ -14,10 +14,10 @@
   readonly incarnation: string;
 }
 
-/** Drains in the platform's table service: operators', or those of orders. */
+/** Drains in the table service, set either by operators or by orders. */
 export class DrainStore {
   readonly #table: TableService;
-  /** The row's name, to be read along with others. */
+  /** The key of the row, for reading it together with others. */
   readonly key: TableKey;
 
   constructor(options: {
@@ -29,38 +29,38 @@
     this.key = { table: TABLE, key: options.key };
   }
 
-  /** Reads a row; a row that cannot be understood drains nothing. */
+  /** Parses a row; an invalid row drains nothing. */
   parse(row: TableRow | null): Drains {
     const content = drainsSchema.safeParse(row?.value).data ?? NO_DRAINS;
     return { ...content, version: row?.version ?? 0 };
   }
 
-  /** Drains; returns what is drained then. Throws `store_unavailable`. */
+  /** Adds a drain; returns the updated drains. Throws `store_unavailable`. */
   drain(target: DrainTarget): Promise<Drains> {
     const field = DRAIN_FIELDS[target.kind];
-    return this.#change((drains) => ({
+    return this.#update((drains) => ({
       ...drains,
       [field]: { ...drains[field], [target.id]: target.incarnation },
     }));
   }
 
-  /** Takes a drain back; no error when there is none. */
+  /** Removes a drain; does nothing when there is none. */
   undrain(target: Pick<DrainTarget, "kind" | "id">): Promise<Drains> {
     const field = DRAIN_FIELDS[target.kind];
-    return this.#change((drains) => {
+    return this.#update((drains) => {
       const { [target.id]: _removed, ...rest } = drains[field];
       return { ...drains, [field]: rest };
     });
   }
 
   /**
-   * Changes the row by compare-and-set. A change is the same when made twice,
-   * so that one whose answer was lost is simply made again.
+   * Updates the row by compare-and-set. Updates are idempotent, so one whose
+   * answer was lost is retried.
    */
-  async #change(
+  async #update(
     change: (drains: DrainsContent) => DrainsContent,
   ): Promise<Drains> {
-    for (let tries = 0; tries < MOST_TRIES; tries++) {
+    for (let attempt = 0; attempt < MAXIMUM_ATTEMPTS; attempt++) {
       const [row = null] = await this.#table.read([this.key]);
       const { version: expectedVersion, ...content } = this.parse(row);
       const value = change(content);
@@ -72,16 +72,16 @@
           return { ...value, version };
         }
       } catch (thrown) {
-        if (!isUnknown(thrown)) throw thrown;
+        if (!isUnknownWrite(thrown)) throw thrown;
       }
     }
     throw new KelpsparError(
       "store_unavailable",
-      `Cannot change the drains: ${MOST_TRIES} tries were in vain`,
+      `Cannot update the drains: all ${MAXIMUM_ATTEMPTS} attempts failed`,
     );
   }
 }
 
-function isUnknown(thrown: unknown): boolean {
+function isUnknownWrite(thrown: unknown): boolean {
   return thrown instanceof KelpsparError && thrown.result === "write_unknown";
 }
--- a/packages/kelpspar-daemon/src/operators/operator_reports.ts
+++ b/packages/kelpspar-daemon/src/operators/operator_reports.ts
@@ -8,7 +8,7 @@
 import type { TimerService } from "kelpspar-shared";
 import process from "node:process";
 
-/** What operators' reports are made from. */
+/** Sources of the operator reports. */
 export interface OperatorReportsOptions {
   readonly daemonId: string;
   readonly incarnation: string;
@@ -26,10 +26,10 @@
   readonly startedAt: number;
 }
 
-/** Reports by their path below `/v1/operator/`. */
+/** Reports by their path under `/v1/operator/`. */
 export type OperatorReports = Readonly<Record<string, () => unknown>>;
 
-/** The reports that operators read. */
+/** Creates the reports of the operator API. */
 export function createOperatorReports(
   options: OperatorReportsOptions,
 ): OperatorReports {
@@ -73,7 +73,7 @@
   };
 }
 
-/** What the process itself takes, so that its cost can be followed. */
+/** CPU time and memory of the daemon process. */
 function reportProcess(): {
   readonly processorMilliseconds: number;
   readonly memoryBytes: number;
@@ -98,8 +98,8 @@
   }
   const total = [...usage.values()].reduce((sum, rate) => sum + rate, 0);
   const accounts = [...configuration.accounts().values()].map((account) => {
-    const tally = requestMetrics.tallyOf(account.id);
-    const answered = tally.completed + tally.failed + tally.refused;
+    const tally = requestMetrics.accountTally(account.id);
+    const ended = tally.completed + tally.failed + tally.refused;
     return {
       id: account.id,
       share: account.share,
@@ -107,7 +107,7 @@
       running: running.get(account.id) ?? 0,
       usageShare: total === 0 ? 0 : (usage.get(account.id) ?? 0) / total,
       ...tally,
-      attainment: answered === 0 ? 1 : tally.completed / answered,
+      attainment: ended === 0 ? 1 : tally.completed / ended,
     };
   });
   return { accounts };
--- a/packages/kelpspar-daemon/src/operators/request_report.ts
+++ b/packages/kelpspar-daemon/src/operators/request_report.ts
@@ -1,6 +1,6 @@
 import type { RequestContext } from "../requests/request_context.ts";
 
-/** What operators are told of one request; its text stays with its caller. */
+/** Creates the operator report of a request; omits the request's text. */
 export function reportRequest(context: RequestContext): unknown {
   const { final } = context.log;
   return {
--- a/packages/kelpspar-daemon/src/orders/engine_group_controller.ts
+++ b/packages/kelpspar-daemon/src/orders/engine_group_controller.ts
@@ -1,7 +1,7 @@
 import type { PlannedEngine, PlannerStep } from "kelpspar-decisions/leases";
 import type { ListedVm } from "kelpspar-backends";
 import type { DesiredEngineState } from "kelpspar-shared";
-import type { EngineGroupOptions } from "./engine_group_controller_options.ts";
+import type { EngineGroupControllerOptions } from "./engine_group_controller_options.ts";
 import {
   grantKey,
   planEngineTargets,
@@ -15,20 +15,20 @@
 type OrderedEngine = NonNullable<PlannedEngine["ordered"]>;
 
 /**
- * Brings the engines of one group to the state that the configuration wants,
- * while this daemon holds the group's lease: a few at a time, out of routing
- * first, at the weight store's rate.
+ * Brings the engines of one group to the state that the configuration requires,
+ * while this daemon holds the group's lease. It changes a few engines at a time,
+ * takes each out of routing first, and respects the weight store's rate limit.
  */
-export class EngineGroup {
-  readonly #options: EngineGroupOptions;
+export class EngineGroupController {
+  readonly #options: EngineGroupControllerOptions;
   readonly #lease: GroupLease;
-  readonly #ordered = new Map<string, OrderedEngine>();
+  readonly #lastOrders = new Map<string, OrderedEngine>();
   readonly #takenOutAt = new Map<string, number>();
   readonly #grants = new Map<string, number>();
-  readonly #grantsRetryAt = new Map<string, number>();
+  readonly #grantRetryAt = new Map<string, number>();
   #isPlanning = false;
 
-  constructor(options: EngineGroupOptions) {
+  constructor(options: EngineGroupControllerOptions) {
     this.#options = options;
     this.#lease = new GroupLease({
       group: options.service,
@@ -38,28 +38,28 @@
     });
   }
 
-  /** Follows the lease; to be called several times a second. */
+  /** Advances the lease; call several times a second. */
   tick(): void {
     this.#lease.tick();
   }
 
   /**
-   * Gives the lease back, unless an order may be on its way: then it lapses,
-   * and the next holder waits long enough for that order.
+   * Releases the lease, unless an order may be in flight. In that case the lease
+   * expires, and the next holder waits long enough for that order.
    */
   stop(): void {
     if (!this.#isPlanning) this.#lease.stop();
   }
 
-  /** Takes the next steps, if this daemon holds the lease. */
+  /** Executes the next steps if this daemon holds the lease. */
   async plan(): Promise<void> {
     if (this.#isPlanning || this.#lease.fencingNumber() === undefined) return;
     this.#isPlanning = true;
     try {
-      for (const step of this.#steps()) await this.#take(step);
+      for (const step of this.#planSteps()) await this.#execute(step);
     } catch (thrown) {
       const error = toKelpsparError(thrown);
-      this.#options.log.warn("Engine step failed", errorDetails(error));
+      this.#options.log.warn("engine group step failed", errorDetails(error));
     } finally {
       this.#isPlanning = false;
     }
@@ -72,13 +72,13 @@
     );
   }
 
-  #steps(): readonly PlannerStep[] {
+  #planSteps(): readonly PlannerStep[] {
     const { configuration, service, timer } = this.#options;
     const wanted = configuration.services().get(service)?.models ?? [];
     const models = (configuration.current()?.models ?? []).filter((model) =>
       wanted.includes(model.id)
     );
-    // An engine pool that names no models is not the system's to order.
+    // Engine groups without configured models are not managed by kelpspar.
     if (models.length === 0) return [];
     const vms = this.#engines();
     const targets = planEngineTargets(
@@ -89,9 +89,13 @@
       now: timer.now(),
       engines: vms.flatMap((vm) => {
         const desired = targets.get(vm.id);
-        return desired === undefined ? [] : [this.#describe(vm, desired)];
+        return desired === undefined
+          ? []
+          : [this.#toPlannedEngine(vm, desired)];
       }),
-      minimumReady: new Map(models.map((one) => [one.id, one.minimumReady])),
+      minimumReady: new Map(
+        models.map((model) => [model.id, model.minimumReady]),
+      ),
       grants: this.#grants,
     });
   }
@@ -100,11 +104,11 @@
     return this.#options.watch.reportOf(endpointId)?.report.role ?? "any";
   }
 
-  #describe(vm: ListedVm, desired: DesiredEngineState): PlannedEngine {
+  #toPlannedEngine(vm: ListedVm, desired: DesiredEngineState): PlannedEngine {
     const { watch, parts } = this.#options;
     const known = watch.reportOf(vm.id);
-    const takenOutAt = this.#noteTakenOut(vm);
-    const ordered = this.#ordered.get(vm.id);
+    const takenOutAt = this.#trackTakenOut(vm);
+    const ordered = this.#lastOrders.get(vm.id);
     return {
       endpointId: vm.id,
       availabilityZone: vm.availabilityZone,
@@ -118,8 +122,8 @@
     };
   }
 
-  /** Since when an engine is out, as far as this holder knows. */
-  #noteTakenOut(vm: ListedVm): number | undefined {
+  /** When an engine was taken out of routing, as known to this lease holder. */
+  #trackTakenOut(vm: ListedVm): number | undefined {
     const { state, timer } = this.#options;
     const { takenOut } = state.read();
     if (takenOut.endpoints[vm.id] !== vm.incarnation) {
@@ -128,12 +132,12 @@
     }
     const known = this.#takenOutAt.get(vm.id);
     if (known !== undefined) return known;
-    // Another holder took it out; count from now, which is never too early.
+    // Taken out by another holder: counting from now never ends a wait too early.
     this.#takenOutAt.set(vm.id, timer.now());
     return timer.now();
   }
 
-  async #take(step: PlannerStep): Promise<void> {
+  async #execute(step: PlannerStep): Promise<void> {
     await this.#handlers[step.type](step as never);
   }
 
@@ -143,26 +147,26 @@
     ) => Promise<void>;
   } = {
     request_grant: (step) => this.#requestGrant(step.model, step.version),
-    take_out: (step) => this.#takeOut(step.endpointId),
-    put_back: (step) => this.#putBack(step.endpointId),
-    order: (step) => this.#order(step),
+    take_out: (step) => this.#takeOutOfRouting(step.endpointId),
+    put_back: (step) => this.#returnToRouting(step.endpointId),
+    order: (step) => this.#sendOrder(step),
     wait: () => Promise.resolve(),
   };
 
   async #requestGrant(model: string, version: string): Promise<void> {
     const { weightStore, timer } = this.#options;
     const key = grantKey(model, version);
-    if (timer.now() < (this.#grantsRetryAt.get(key) ?? 0)) return;
+    if (timer.now() < (this.#grantRetryAt.get(key) ?? 0)) return;
     const grant = await weightStore.requestLoad(model, version);
     if (grant.granted) {
       this.#grants.set(key, (this.#grants.get(key) ?? 0) + 1);
       return;
     }
     const retryAt = timer.now() + grant.retryAfterMilliseconds;
-    this.#grantsRetryAt.set(key, retryAt);
+    this.#grantRetryAt.set(key, retryAt);
   }
 
-  async #takeOut(endpointId: string): Promise<void> {
+  async #takeOutOfRouting(endpointId: string): Promise<void> {
     const { takenOut, onTakenOut, timer } = this.#options;
     const vm = this.#engines().find(({ id }) => id === endpointId);
     if (vm === undefined) return;
@@ -173,28 +177,28 @@
     this.#takenOutAt.set(endpointId, timer.now());
   }
 
-  async #putBack(endpointId: string): Promise<void> {
+  async #returnToRouting(endpointId: string): Promise<void> {
     const { takenOut, onTakenOut } = this.#options;
     onTakenOut(await takenOut.undrain({ kind: "endpoint", id: endpointId }));
     this.#takenOutAt.delete(endpointId);
   }
 
-  async #order(
+  async #sendOrder(
     step: Extract<PlannerStep, { readonly type: "order" }>,
   ): Promise<void> {
     const { endpointId, desired } = step;
     const { endpoints, log, service, timer } = this.#options;
     const vm = this.#engines().find(({ id }) => id === endpointId);
-    // Asked right before the order leaves: the lease may have lapsed since the
-    // plan was made, and an endpoint that ignores the number cannot tell.
+    // Read right before the order is sent: the lease may have expired since
+    // planning, and an endpoint that ignores fencing numbers cannot reject it.
     const fencingNumber = this.#lease.fencingNumber();
     if (vm === undefined || fencingNumber === undefined) return;
     for (const key of step.grants) {
       this.#grants.set(key, (this.#grants.get(key) ?? 1) - 1);
     }
-    this.#ordered.set(endpointId, { desired, at: timer.now() });
+    this.#lastOrders.set(endpointId, { desired, at: timer.now() });
     const order = { group: service, fencingNumber, desired };
     await endpoints.order(toEndpointAddress(vm), order);
-    log.info("Engine ordered", { endpoint: endpointId, fencingNumber });
+    log.info("engine order sent", { endpoint: endpointId, fencingNumber });
   }
 }
--- a/packages/kelpspar-daemon/src/orders/engine_group_controller_options.ts
+++ b/packages/kelpspar-daemon/src/orders/engine_group_controller_options.ts
@@ -13,9 +13,9 @@
 import type { DaemonState } from "../state/daemon_state.ts";
 import type { StateStore } from "../state/state_store.ts";
 
-/** What the control of an engine group works on. */
-export interface EngineGroupOptions {
-  /** The engine service; it is the group's name as well. */
+/** Dependencies of an `EngineGroupController`. */
+export interface EngineGroupControllerOptions {
+  /** The engine service, which is also the group's name. */
   readonly service: string;
   readonly incarnation: string;
   readonly state: StateStore<DaemonState>;
@@ -25,7 +25,7 @@
   readonly endpoints: EndpointClient;
   readonly table: TableService;
   readonly weightStore: WeightStore;
-  /** Engines that are out of routing because an order is due. */
+  /** Engines taken out of routing for a pending order. */
   readonly takenOut: DrainStore;
   readonly timer: TimerService;
   readonly log: DaemonLog;
--- a/packages/kelpspar-daemon/src/orders/group_lease.ts
+++ b/packages/kelpspar-daemon/src/orders/group_lease.ts
@@ -15,7 +15,7 @@
 } from "kelpspar-decisions/leases";
 import { toKelpsparError } from "kelpspar-shared";
 
-/** Whose lease it is and where it is kept. */
+/** The engine group, this lease holder and the table of the lease. */
 export interface GroupLeaseOptions {
   readonly group: string;
   readonly holder: string;
@@ -24,8 +24,8 @@
 }
 
 /**
- * One daemon's part in the lease of an engine group. All decisions are those
- * of kelpspar-decisions; here they meet the table.
+ * One daemon's side of the lease of an engine group. The decision logic is in
+ * kelpspar-decisions; this class executes it against the table.
  */
 export class GroupLease {
   readonly #options: GroupLeaseOptions;
@@ -34,14 +34,15 @@
   constructor(options: GroupLeaseOptions) {
     this.#options = options;
     // Engines that ignore fencing numbers may be listed at any time, so every
-    // taker waits as they need: one longest order more, when a holder dies.
+    // takeover assumes them: after a holder's death it waits for one longest
+    // order in addition.
     this.#state = watchLease(options.holder, {
       now: options.timer.now(),
       terms: { hasUncheckedEndpoints: true },
     });
   }
 
-  /** To be called several times a second: a gap counts as a pause. */
+  /** Call several times a second: a gap is treated as a process pause. */
   tick(): void {
     const { timer } = this.#options;
     this.#advance({
@@ -51,15 +52,15 @@
     });
   }
 
-  /** Gives the lease back; only when no order is on its way. */
+  /** Releases the lease; only allowed while no order is in flight. */
   stop(): void {
     this.#advance({ type: "stop", now: this.#options.timer.now() });
     this.tick();
   }
 
   /**
-   * The number to put into an order, asked for right before it is sent;
-   * undefined when the lease is not held.
+   * The fencing number for an order; undefined when the lease is not held. Read
+   * it right before the order is sent.
    */
   fencingNumber(): number | undefined {
     return fencingNumberForOrder(this.#state, this.#options.timer.now());
@@ -95,7 +96,7 @@
       const found = toFoundLease(row);
       this.#advance({ type: "seen", now: timer.now(), found });
     } catch {
-      // The next tick asks again.
+      // The next tick retries the read.
     }
   }
 
@@ -110,8 +111,8 @@
       this.#advance(this.#toEvent(result));
     } catch (thrown) {
       const error = toKelpsparError(thrown, "write_unknown");
-      const isProved = error.result === "table_unavailable";
-      const type = isProved ? "unavailable" : "unknown";
+      const isNotWritten = error.result === "table_unavailable";
+      const type = isNotWritten ? "unavailable" : "unknown";
       this.#advance({ type, now: this.#options.timer.now() });
     }
   }
--- a/packages/kelpspar-daemon/src/orders/start_engine_group_controllers.ts
+++ b/packages/kelpspar-daemon/src/orders/start_engine_group_controllers.ts
@@ -1,52 +1,59 @@
-import type { EngineGroupOptions } from "./engine_group_controller_options.ts";
+import type { EngineGroupControllerOptions } from "./engine_group_controller_options.ts";
 import { RendezvousNodes } from "kelpspar-decisions/routing";
 import { mergeTeardowns } from "../state/merge_teardowns.ts";
-import { EngineGroup } from "./engine_group_controller.ts";
+import { EngineGroupController } from "./engine_group_controller.ts";
 
 const TICK_MILLISECONDS = 250;
-const CANDIDATES = 3;
+const CANDIDATE_COUNT = 3;
 
-/** What the role that orders engines works on. */
-export interface OrdersRoleOptions extends Omit<EngineGroupOptions, "service"> {
+/** Dependencies of the engine controller controllers. */
+export interface EngineGroupControllersOptions
+  extends Omit<EngineGroupControllerOptions, "service"> {
   readonly daemonId: string;
-  /** Every daemon that works, this one included. */
+  /** The ids of the live daemons that serve, this one included if it does. */
   readonly liveDaemonIds: () => readonly string[];
   readonly planMilliseconds: number;
 }
 
 /**
- * Controls the engine groups. Of a large fleet only a few daemons look after
- * each group's lease, the same few for all, so that its row is not read by
- * hundreds. Returns the teardown.
+ * Starts a controller for each engine group for which this daemon is a
+ * candidate. Rendezvous hashing selects a few candidates per group, the same on
+ * every daemon, so that hundreds of daemons do not poll each lease row.
+ * Returns the teardown.
  */
-export function startOrdersRole(options: OrdersRoleOptions): () => void {
+export function startEngineGroupControllers(
+  options: EngineGroupControllersOptions,
+): () => void {
   const { timer, configuration } = options;
-  const groups = new Map<string, EngineGroup>();
+  const controllers = new Map<string, EngineGroupController>();
   const isCandidate = (service: string): boolean =>
-    new RendezvousNodes(options.liveDaemonIds()).best(service, CANDIDATES)
+    new RendezvousNodes(options.liveDaemonIds()).best(service, CANDIDATE_COUNT)
       .includes(options.daemonId);
   const follow = (): void => {
     for (const [id, service] of configuration.services()) {
-      const isOurs = service.kind === "engine" && isCandidate(id);
-      if (isOurs && !groups.has(id)) {
-        groups.set(id, new EngineGroup({ ...options, service: id }));
+      const isControlled = service.kind === "engine" && isCandidate(id);
+      if (isControlled && !controllers.has(id)) {
+        controllers.set(
+          id,
+          new EngineGroupController({ ...options, service: id }),
+        );
       }
-      if (isOurs || !groups.has(id)) continue;
-      groups.get(id)?.stop();
-      groups.delete(id);
+      if (isControlled || !controllers.has(id)) continue;
+      controllers.get(id)?.stop();
+      controllers.delete(id);
     }
   };
   const stopAll = (): void => {
-    for (const group of groups.values()) group.stop();
+    for (const group of controllers.values()) group.stop();
   };
   return mergeTeardowns(
     stopAll,
     timer.registerInterval(() => {
       follow();
-      for (const group of groups.values()) group.tick();
+      for (const group of controllers.values()) group.tick();
     }, TICK_MILLISECONDS),
     timer.registerInterval(() => {
-      for (const group of groups.values()) void group.plan();
+      for (const group of controllers.values()) void group.plan();
     }, options.planMilliseconds),
   );
 }
--- a/packages/kelpspar-daemon/src/peers/peer_client.ts
+++ b/packages/kelpspar-daemon/src/peers/peer_client.ts
@@ -4,15 +4,15 @@
 import type { ClaimInquiry } from "./claim_inquiry.ts";
 import type { PeerDigest } from "./peer_digest.ts";
 
-/** Where another daemon is. */
+/** The address of another daemon. */
 export type PeerAddress = HostAddress;
 
-/** Calls to other daemons. Each throws `peer_unavailable`. */
+/** Calls to other daemons. Each method throws `peer_unavailable`. */
 export interface PeerClient {
-  /** Gives a digest and gets the other's. */
+  /** Sends a digest and returns the peer's. */
   exchange(peer: PeerAddress, digest: PeerDigest): Promise<PeerDigest>;
-  /** The configuration in force there; null while it has none. */
+  /** The peer's active configuration; null while it has none. */
   configuration(peer: PeerAddress): Promise<ConfigurationRow | null>;
-  /** Asks the daemon that holds a claim what became of it. */
+  /** Asks the daemon that holds a claim for the claim's state. */
   askClaim(peer: PeerAddress, inquiry: ClaimInquiry): Promise<OwnerAnswer>;
 }
--- a/packages/kelpspar-daemon/src/peers/peer_digest.ts
+++ b/packages/kelpspar-daemon/src/peers/peer_digest.ts
@@ -18,11 +18,11 @@
   role: z.enum(["any", "prefill", "decode", "service"]),
 });
 
-/** What a daemon says of itself and of the endpoints it watches. */
+/** A daemon's state and the loads of the endpoints that it polls. */
 const memberSchema = z.strictObject({
   daemonId: z.string(),
   incarnation: z.string(),
-  /** Grows with each digest of an incarnation. */
+  /** Incremented with each digest of an incarnation. */
   sequence: z.number().int(),
   address: z.string(),
   port: z.number().int(),
@@ -30,7 +30,7 @@
   availabilityZone: z.string(),
   state: z.enum(["serving", "leaving"]),
   keyEpoch: z.number().int(),
-  /** Revision of the configuration in force there. */
+  /** The daemon's active configuration revision. */
   revision: z.number().int(),
   spareShare: z.number(),
   loads: z.strictObject({
@@ -53,7 +53,7 @@
   }),
 });
 
-/** What a daemon's accounts ask of the services that the fleet shares. */
+/** The demand of a daemon's client accounts for each shared service. */
 const demandSchema = z.strictObject({
   scope: z.enum(["daemon", "zone"]),
   incarnation: z.string(),
@@ -76,17 +76,17 @@
   ...drainsSchema.shape,
 });
 
-/** What a daemon tells its peers every digest interval. */
+/** The digest that a daemon sends to its peers every digest interval. */
 export const peerDigestSchema = z.strictObject({
   member: memberSchema,
   demands: z.array(demandSchema),
   /**
-   * What operators and orders took out. Passed on, since a store that goes
-   * down right after a drain would keep it from all but one daemon.
+   * Drains by operators and orders. They are gossiped because a store outage
+   * right after a drain would otherwise hide it from all daemons but one.
    */
   drains: drainsRowSchema,
   takenOut: drainsRowSchema,
 });
 
-/** A digest as sent between daemons. */
+/** A digest exchanged between daemons. */
 export type PeerDigest = z.infer<typeof peerDigestSchema>;
--- a/packages/kelpspar-daemon/src/peers/peer_listener.ts
+++ b/packages/kelpspar-daemon/src/peers/peer_listener.ts
@@ -6,7 +6,7 @@
 
 const MAXIMUM_BODY_BYTES = 1024 * 1024;
 
-/** Creates the listener that answers other daemons under `PEER_PATH`. */
+/** Creates the listener for calls of other daemons under `PEER_PATH`. */
 export function createPeerListener(
   handlers: PeerHandlers,
   options: { readonly secret: string },
@@ -17,8 +17,12 @@
     maxBodySize: MAXIMUM_BODY_BYTES,
     createContext: ({ req }) => {
       const header = req.headers[PEER_SECRET_HEADER];
-      const shownSecret = typeof header === "string" ? header : "";
-      return { shownSecret, secret: options.secret, handlers };
+      const presentedSecret = typeof header === "string" ? header : "";
+      return {
+        presentedSecret,
+        secret: options.secret,
+        handlers,
+      };
     },
   });
 }
--- a/packages/kelpspar-daemon/src/peers/peer_protocol.ts
+++ b/packages/kelpspar-daemon/src/peers/peer_protocol.ts
@@ -1,4 +1,4 @@
-/** The path under which a daemon answers its peers. */
+/** The path prefix of the peer API. */
 export const PEER_PATH = "/peer";
 
 /** The header that carries the daemons' shared secret. */
--- a/packages/kelpspar-daemon/src/peers/peer_router.ts
+++ b/packages/kelpspar-daemon/src/peers/peer_router.ts
@@ -7,28 +7,28 @@
 import { claimInquirySchema } from "./claim_inquiry.ts";
 import { peerDigestSchema } from "./peer_digest.ts";
 
-/** Answers other daemons. */
+/** Handlers for calls of other daemons. */
 export interface PeerHandlers {
   exchange(digest: PeerDigest): PeerDigest;
   configuration(): ConfigurationRow | null;
   askClaim(inquiry: ClaimInquiry): OwnerAnswer;
 }
 
-/** What a call from another daemon carries besides its input. */
+/** Context of a call from another daemon. */
 export interface PeerCallContext {
-  /** The secret the caller showed; empty when it showed none. */
-  readonly shownSecret: string;
+  /** The secret that the caller presented; empty if none. */
+  readonly presentedSecret: string;
   readonly secret: string;
   readonly handlers: PeerHandlers;
 }
 
-// Otherwise refusals carry the stack trace to anyone who reaches the port.
+// Development mode would include stack traces in error responses.
 const trpc = initTRPC.context<PeerCallContext>().create({ isDev: false });
 
-// Without the secret any process that reaches the port could hand out a
-// configuration or read another account's claims.
+// Without the secret, any process that can reach the port could inject a
+// configuration or read the claims of a client account.
 const procedure = trpc.procedure.use(({ ctx, next }) => {
-  if (equalInConstantTime(ctx.shownSecret, ctx.secret)) return next();
+  if (equalInConstantTime(ctx.presentedSecret, ctx.secret)) return next();
   throw new TRPCError({ code: "UNAUTHORIZED" });
 });
 
@@ -43,5 +43,5 @@
   ),
 });
 
-/** The type by which tRPC's client knows the router. */
+/** The router's type, for the tRPC client. */
 export type PeerRouter = typeof peerRouter;
--- a/packages/kelpspar-daemon/src/peers/trpc_peer_client.ts
+++ b/packages/kelpspar-daemon/src/peers/trpc_peer_client.ts
@@ -15,20 +15,20 @@
 
 const DEFAULT_TIMEOUT_MILLISECONDS = 400;
 
-/** How other daemons are called. */
+/** Options of a `TrpcPeerClient`. */
 export interface TrpcPeerClientOptions {
   readonly secret: string;
   readonly timer: TimerService;
-  /** How long a call may take, milliseconds; default 400. */
+  /** Timeout of a call in milliseconds; default 400. */
   readonly timeoutMilliseconds?: number;
-  /** Accepts the daemons' own certificates. */
+  /** Uses HTTPS; self-signed certificates are accepted. */
   readonly tls?: boolean;
 }
 
 /**
- * Calls other daemons by tRPC. A call that times out destroys the connections
- * to that peer, since one that went silent for good would fail every later
- * call while the peer is well.
+ * Calls other daemons through tRPC. A call that fails or times out destroys the
+ * connections to that peer, since a connection that stays silent would fail
+ * every later call although the peer is healthy.
  */
 export class TrpcPeerClient implements PeerClient {
   readonly #options: TrpcPeerClientOptions;
@@ -103,7 +103,7 @@
       const reason = cause instanceof Error ? cause.message : String(cause);
       throw new KelpsparError(
         "peer_unavailable",
-        `Daemon ${peer.address}:${peer.port} did not answer: ${reason}`,
+        `Cannot call daemon ${peer.address}:${peer.port}: ${reason}`,
         { cause },
       );
     } finally {
