--- a/packages/kelpspar-daemon/src/settings/parse_settings.ts
+++ b/packages/kelpspar-daemon/src/settings/parse_settings.ts
@@ -3,8 +3,8 @@
 import { settingsSchema } from "./settings_schema.ts";
 
 /**
- * Checks the text of a settings file. Throws `settings_unreadable` for text
- * that is not JSON and `settings_invalid` with every error and its path.
+ * Parses and validates a settings file. Throws `settings_unreadable` for text
+ * that is not JSON, and `settings_invalid` with every error and its path.
  */
 export function parseSettings(text: string): Settings {
   const result = settingsSchema.safeParse(parseJson(text));
@@ -14,7 +14,7 @@
   );
   throw new KelpsparError(
     "settings_invalid",
-    `Cannot use the settings: ${problems.join("; ")}`,
+    `Cannot validate the settings: ${problems.join("; ")}`,
   );
 }
 
@@ -24,7 +24,7 @@
   } catch (cause) {
     throw new KelpsparError(
       "settings_unreadable",
-      "Cannot read the settings: the file is not JSON",
+      "Cannot parse the settings file: it is not JSON",
       { cause },
     );
   }
--- a/packages/kelpspar-daemon/src/settings/settings_schema.ts
+++ b/packages/kelpspar-daemon/src/settings/settings_schema.ts
@@ -4,17 +4,17 @@
 const portSchema = z.number().int().min(0).max(65_535);
 const originSchema = z.url({ protocol: /^http$/ });
 
-/** Where the parts of the platform are, as `http://address:port`. */
+/** Origins of the platform's services, as `http://address:port`. */
 const platformSchema = z.strictObject({
   tableOrigin: originSchema,
   objectOrigin: originSchema,
   weightOrigin: originSchema,
   vmListOrigin: originSchema,
-  /** How long a call to the platform may take, milliseconds. */
+  /** Timeout of a call to the platform, in milliseconds. */
   timeoutMilliseconds: z.number().int().min(10).default(500),
 });
 
-/** Limits of one daemon; each has a default. */
+/** Limits of one daemon. */
 const limitsSchema = z.strictObject({
   maximumBodyBytes: z.number().int().min(1_024).default(4 * 1024 * 1024),
   maximumHeaderBytes: z.number().int().min(1_024).default(16_384),
@@ -23,14 +23,14 @@
   maximumConnections: z.number().int().min(1).default(20_000),
   maximumRequests: z.number().int().min(1).default(10_000),
   maximumAnswerBytes: z.number().int().min(1_024).default(8 * 1024 * 1024),
-  /** How long a request goes on after its caller went away, milliseconds. */
+  /** How long a request runs after its caller disconnected, in milliseconds. */
   abandonedGraceMilliseconds: z.number().int().min(0).default(2_000),
-  /** The longest a planned stop may take, milliseconds. */
+  /** Maximum duration of a planned stop, in milliseconds. */
   drainLimitMilliseconds: z.number().int().min(1_000).default(3_700_000),
   keptResultBytes: z.number().int().min(0).default(64 * 1024 * 1024),
 });
 
-/** How often the daemon looks and tells, milliseconds. */
+/** Polling, digest and batching intervals, in milliseconds. */
 const intervalsSchema = z.strictObject({
   configurationPollMilliseconds: z.number().int().min(50).default(2_000),
   vmListPollMilliseconds: z.number().int().min(50).default(1_000),
@@ -41,7 +41,7 @@
 });
 
 const metricsSchema = z.strictObject({
-  /** StatsD over UDP; absent sends nothing. */
+  /** StatsD over UDP; without an address, no metrics are sent. */
   statsdAddress: addressSchema.optional(),
   statsdPort: portSchema.default(8_125),
   prefix: z.string().default("kelpspar."),
@@ -60,17 +60,17 @@
 /** The settings file of a daemon. */
 export const settingsSchema = z.strictObject({
   daemonId: z.string().min(1).max(100).regex(/^[A-Za-z0-9._-]+$/),
-  /** The IP number to listen on and to be reached at. */
+  /** The IP address to listen on and to advertise. */
   address: addressSchema,
-  /** 0 takes any free port, for tests. */
+  /** 0 selects any free port, for tests. */
   port: portSchema,
   availabilityZone: z.string().min(1).max(100),
   platform: platformSchema,
-  /** Other daemons to ask first, as `address:port`. */
+  /** Daemons to contact before the VM list is known, as `address:port`. */
   seeds: z.array(z.string().regex(/^.+:\d+$/)).default([]),
-  /** Shared by the daemons of a site; proves a daemon to its peers. */
+  /** Shared secret that authenticates the daemons of a site to each other. */
   peerSecret: z.string().min(16),
-  /** SHA-256 of the key that may apply the first configuration. */
+  /** SHA-256 of the bootstrap key, which may apply the first configuration. */
   bootstrapOperatorKeyHash: z.string().regex(/^[0-9a-f]{64}$/).optional(),
   limits: limitsSchema.prefault({}),
   intervals: intervalsSchema.prefault({}),
@@ -79,5 +79,5 @@
   tls: tlsSchema.optional(),
 });
 
-/** Settings as checked, with every default filled in. */
+/** Validated settings, with defaults filled in. */
 export type Settings = z.infer<typeof settingsSchema>;
--- a/packages/kelpspar-daemon/src/start_actors.ts
+++ b/packages/kelpspar-daemon/src/start_actors.ts
@@ -4,68 +4,69 @@
 import type { ConfigurationRow } from "./configuration/configuration_row.ts";
 import { parseHost } from "kelpspar-shared";
 import { start, stop } from "nact";
-import { startConfigurationRole } from "./actors/configuration_actor.ts";
-import { startEndpointsRole } from "./actors/endpoints_actor.ts";
-import { startFleetRole } from "./actors/fleet_actor.ts";
-import { startVmListRole } from "./actors/vm_list_actor.ts";
-import { startOrdersRole } from "./orders/start_engine_group_controllers.ts";
-import { takeDrains } from "./operators/apply_newer_drains.ts";
+import { startConfigurationActor } from "./actors/configuration_actor.ts";
+import { startEndpointsActor } from "./actors/endpoints_actor.ts";
+import { startFleetActor } from "./actors/fleet_actor.ts";
+import { startVmListActor } from "./actors/vm_list_actor.ts";
+import { startEngineGroupControllers } from "./orders/start_engine_group_controllers.ts";
+import { applyNewerDrains } from "./operators/apply_newer_drains.ts";
 import { mergeTeardowns } from "./state/merge_teardowns.ts";
 
-/** What a daemon does by itself, beside answering. */
-export interface DaemonRoles {
-  /** Puts a configuration in force here if it is newer. */
+/** The background actors and controllers of a daemon. */
+export interface DaemonActors {
+  /** Activates a configuration if it is newer than the active one. */
   readonly offer: (row: ConfigurationRow) => void;
-  /** Tells every peer at once. */
+  /** Sends the digest to every peer at once. */
   readonly announce: () => Promise<void>;
   readonly stop: () => void;
 }
 
-/** Starts a daemon's roles as actors. */
-export function startRoles(options: {
+/** Starts a daemon's actors and engine group controllers. */
+export function startActors(options: {
   readonly settings: Settings;
   readonly ports: DaemonPorts;
   readonly core: DaemonCore;
-}): DaemonRoles {
+}): DaemonActors {
   const { settings, ports, core } = options;
   const { intervals } = settings;
   const { state, configuration, fleet } = core;
   const { timer, random, log } = ports;
   const system = start();
-  const roleOptions = { system, state, timer, random, log };
-  const configurationRole = startConfigurationRole({
-    ...roleOptions,
+  const actorOptions = { system, state, timer, random, log };
+  const configurationActor = startConfigurationActor({
+    ...actorOptions,
     table: ports.table,
     store: core.store,
     drains: core.drains,
     takenOut: core.takenOut,
-    keeper: core.keeper,
+    manager: core.configurationManager,
     pollMilliseconds: intervals.configurationPollMilliseconds,
   });
-  const stopList = state.registerListener((now, before) => {
-    if (now.vms !== before.vms) fleet.replaceList();
+  const stopVmListListener = state.registerListener((now, before) => {
+    if (now.vms !== before.vms) fleet.updateVmList();
   });
-  const stopEndpoints = startEndpointsRole({
-    ...roleOptions,
+  const stopEndpoints = startEndpointsActor({
+    ...actorOptions,
     watch: core.watch,
     loadPollMilliseconds: intervals.loadPollMilliseconds,
   });
-  const stopVmList = startVmListRole({
-    ...roleOptions,
+  const stopVmList = startVmListActor({
+    ...actorOptions,
     vmList: ports.vmList,
     pollMilliseconds: intervals.vmListPollMilliseconds,
   });
-  const fleetRole = startFleetRole({
-    ...roleOptions,
+  const fleetActor = startFleetActor({
+    ...actorOptions,
     fleet,
     peers: ports.peers,
     seeds: settings.seeds.map(parseHost),
     digestMilliseconds: intervals.digestMilliseconds,
-    offer: configurationRole.offer,
+    offer: configurationActor.offer,
     revision: () => configuration.revision(),
-    noteProof: (revision, prover) => core.keeper.noteProof(revision, prover),
+    noteAcceptedRevision: (revision, prover) =>
+      core.configurationManager.noteAcceptedRevision(revision, prover),
   });
-  const stopOrders = startOrdersRole({
+  const stopControllers = startEngineGroupControllers({
     ...ports,
     daemonId: settings.daemonId,
     incarnation: core.incarnation,
@@ -74,22 +75,22 @@
     parts: core.parts,
     watch: core.watch,
     takenOut: core.takenOut,
-    onTakenOut: (takenOut) => takeDrains(state, { takenOut }),
+    onTakenOut: (takenOut) => applyNewerDrains(state, { takenOut }),
     liveDaemonIds: () => fleet.liveDaemonIds(),
     planMilliseconds: intervals.ordersMilliseconds,
   });
   return {
-    offer: configurationRole.offer,
-    announce: fleetRole.announce,
+    offer: configurationActor.offer,
+    announce: fleetActor.announce,
     stop: mergeTeardowns(
       () => stop(system),
       core.start(),
-      configurationRole.stop,
-      stopList,
+      configurationActor.stop,
+      stopVmListListener,
       stopEndpoints,
       stopVmList,
-      fleetRole.stop,
-      stopOrders,
+      fleetActor.stop,
+      stopControllers,
     ),
   };
 }
--- a/packages/kelpspar-daemon/src/state/configuration_reader.ts
+++ b/packages/kelpspar-daemon/src/state/configuration_reader.ts
@@ -4,7 +4,7 @@
   ServiceConfiguration,
 } from "kelpspar-configuration";
 
-/** Reads the configuration in force; each call sees the newest revision. */
+/** Reads the active configuration; each call sees the newest revision. */
 export interface ConfigurationIndexReader {
   /** 0 while the daemon has no configuration. */
   revision(): number;
--- a/packages/kelpspar-daemon/src/state/daemon_state.ts
+++ b/packages/kelpspar-daemon/src/state/daemon_state.ts
@@ -4,23 +4,23 @@
 import type { Drains } from "../operators/drains.ts";
 import { NO_DRAINS } from "../operators/drains.ts";
 
-/** What the whole daemon shares: one immutable snapshot. */
+/** The shared state of a daemon, as one immutable snapshot. */
 export interface DaemonState {
-  /** The configuration in force, as stored; undefined until the first. */
+  /** The active configuration as stored; undefined before the first. */
   readonly configurationRow: ConfigurationRow | undefined;
-  /** The same, checked; always of `configurationRow`. */
+  /** The parsed configuration of `configurationRow`. */
   readonly configuration: Configuration | undefined;
-  /** The VM list as last seen, which lags. */
+  /** The VM list as last polled; it may be stale. */
   readonly vms: readonly ListedVm[];
-  /** What operators drain. */
+  /** Endpoints and daemons drained by operators. */
   readonly drains: Drains;
-  /** Engines that are out of routing because an order is due. */
+  /** Engines taken out of routing for a pending order. */
   readonly takenOut: Drains;
-  /** True once the daemon is to stop: it takes no new requests. */
+  /** True once the daemon is stopping and refuses new requests. */
   readonly isLeaving: boolean;
 }
 
-/** The state of a daemon that just started. */
+/** The initial state of a daemon. */
 export function createDaemonState(): DaemonState {
   return {
     configurationRow: undefined,
--- a/packages/kelpspar-daemon/src/state/state_configuration_reader.ts
+++ b/packages/kelpspar-daemon/src/state/state_configuration_reader.ts
@@ -9,10 +9,10 @@
 import type { StateStore } from "./state_store.ts";
 import { sha256 } from "kelpspar-shared";
 
-/** Indexes each revision once and answers from the index of the newest. */
+/** Reads the active configuration through an index built once per revision. */
 export class StateConfigurationReader implements ConfigurationIndexReader {
   readonly #state: StateStore<DaemonState>;
-  #indexed: Configuration | undefined;
+  #indexedConfiguration: Configuration | undefined;
   #services: ReadonlyMap<string, ServiceConfiguration> = new Map();
   #accounts: ReadonlyMap<string, AccountConfiguration> = new Map();
   #accountsByKeyHash: ReadonlyMap<string, AccountConfiguration> = new Map();
@@ -30,25 +30,25 @@
   }
 
   services(): ReadonlyMap<string, ServiceConfiguration> {
-    this.#index();
+    this.#refreshIndex();
     return this.#services;
   }
 
   accounts(): ReadonlyMap<string, AccountConfiguration> {
-    this.#index();
+    this.#refreshIndex();
     return this.#accounts;
   }
 
   /**
-   * Finds the client account of a caller key. The look-up is by the key's
-   * SHA-256, so the time it takes tells nothing of a key.
+   * Finds the client account of a caller key. The lookup uses the key's SHA-256,
+   * so that its timing reveals nothing about a key.
    */
   accountOfKey(key: string): AccountConfiguration | undefined {
-    this.#index();
+    this.#refreshIndex();
     return this.#accountsByKeyHash.get(sha256(key));
   }
 
-  /** Finds the operator of a key, by its SHA-256 too. */
+  /** Finds the operator of a key, also by its SHA-256. */
   operatorOfKey(key: string): OperatorConfiguration | undefined {
     const hash = sha256(key);
     return this.current()?.operators.find((operator) =>
@@ -56,10 +56,13 @@
     );
   }
 
-  #index(): void {
+  #refreshIndex(): void {
     const configuration = this.current();
-    if (configuration === undefined || configuration === this.#indexed) return;
-    this.#indexed = configuration;
+    if (
+      configuration === undefined ||
+      configuration === this.#indexedConfiguration
+    ) return;
+    this.#indexedConfiguration = configuration;
     this.#services = mapById(configuration.services);
     this.#accounts = mapById(configuration.accounts);
     this.#accountsByKeyHash = new Map(
--- a/packages/kelpspar-daemon/src/state/state_store.ts
+++ b/packages/kelpspar-daemon/src/state/state_store.ts
@@ -1,36 +1,35 @@
 import { invariant } from "kelpspar-shared";
 
-/** Told of each finished snapshot and of the one before it. */
+/** Called with each new snapshot and the previous one. */
 export type StateListener<State> = (state: State, before: State) => void;
 
 /**
- * Holds one immutable snapshot. Changes happen inside one update, and
- * listeners see only finished snapshots, so no reader meets a state that is
- * half changed.
+ * Holds one immutable snapshot. It changes only through `update`, and listeners
+ * get only finished snapshots, so no reader sees a partial update.
  */
 export class StateStore<State extends object> {
   #state: State;
-  #updating = false;
+  #isUpdating = false;
   readonly #listeners = new Set<StateListener<State>>();
 
   constructor(initialState: State) {
     this.#state = Object.freeze(initialState);
   }
 
-  /** The snapshot in force. */
+  /** The current snapshot. */
   read(): State {
     return this.#state;
   }
 
   /** Replaces fields of the snapshot; `change` must not call `update`. */
   update(change: (state: State) => Partial<State>): void {
-    invariant(!this.#updating, 9001);
+    invariant(!this.#isUpdating, 9001);
     const before = this.#state;
-    this.#updating = true;
+    this.#isUpdating = true;
     try {
       this.#state = Object.freeze({ ...before, ...change(before) });
     } finally {
-      this.#updating = false;
+      this.#isUpdating = false;
     }
     for (const listener of this.#listeners) listener(this.#state, before);
   }
--- a/packages/kelpspar-scenarios/src/mutants/configuration_mutants.ts
+++ b/packages/kelpspar-scenarios/src/mutants/configuration_mutants.ts
@@ -11,9 +11,9 @@
     name: "lower_revisions_accepted",
     removes: "Only a higher revision comes into force",
     mutation: {
-      core: ({ keeper, state, configuration }) => {
-        const offer = keeper.offer.bind(keeper);
-        keeper.offer = (row, source) => {
+      core: ({ configurationManager, state, configuration }) => {
+        const offer = configurationManager.offer.bind(configurationManager);
+        configurationManager.offer = (row, source) => {
           offer(row, source);
           if (row.revision >= configuration.revision()) return;
           state.update(() => ({ configurationRow: row }));
@@ -67,9 +67,9 @@
     name: "revisions_not_followed",
     removes: "Daemons learn of revisions from the store or from peers",
     mutation: {
-      core: ({ keeper, configuration }) => {
-        const offer = keeper.offer.bind(keeper);
-        keeper.offer = (row, source) => {
+      core: ({ configurationManager, configuration }) => {
+        const offer = configurationManager.offer.bind(configurationManager);
+        configurationManager.offer = (row, source) => {
           if (configuration.revision() === 0) offer(row, source);
         };
       },
--- a/packages/kelpspar-scenarios/src/world/callers/ask_daemon.ts
+++ b/packages/kelpspar-scenarios/src/world/callers/ask_daemon.ts
@@ -23,10 +23,10 @@
 ): Promise<
   { readonly context: RequestContext } | { readonly result: KeptAnswer }
 > {
-  const { lookup, requests, keeper } = daemon.core;
+  const { lookup, requests, configurationManager } = daemon.core;
   const { account, request, isLookUp } = question;
   if (!isLookUp) {
-    await keeper.whenSettled();
+    await configurationManager.waitWhileHolding();
     return { context: requests.submit(account, request) };
   }
   const found = await lookup.find(account, request.idempotencyKey ?? "");
--- a/packages/kelpspar-scenarios/src/world/daemon/world_daemon.ts
+++ b/packages/kelpspar-scenarios/src/world/daemon/world_daemon.ts
@@ -1,7 +1,7 @@
 import type {
+  DaemonActors,
   DaemonCore,
   DaemonPorts,
-  DaemonRoles,
   PeerHandlers,
   Settings,
 } from "kelpspar-daemon";
@@ -12,7 +12,7 @@
   createCore,
   createPeerHandlers,
   drainDaemon,
-  startRoles,
+  startActors,
 } from "kelpspar-daemon";
 import { CollectingLog } from "./collecting_log.ts";
 import { DaemonProcess } from "./daemon_process.ts";
@@ -37,7 +37,7 @@
   readonly process: DaemonProcess;
   readonly ports: DaemonPorts;
   readonly core: DaemonCore;
-  readonly roles: DaemonRoles;
+  readonly roles: DaemonActors;
   readonly handlers: PeerHandlers;
   readonly log = new CollectingLog();
   /** Each revision that came into force here, and when. */
@@ -75,7 +75,7 @@
     });
     mutation.core?.(this.core);
     this.handlers = createPeerHandlers(this.core, changed);
-    this.roles = startRoles({ settings, ports: changed, core: this.core });
+    this.roles = startActors({ settings, ports: changed, core: this.core });
   }
 
   get daemonId(): string {
