--- a/packages/kelpspar-backends/src/table/http_table_service.ts
+++ b/packages/kelpspar-backends/src/table/http_table_service.ts
@@ -67,7 +67,7 @@
         body,
       });
       if (answer.status === STATUS_OK) return answer.body;
-      throw refused(`query "${path}"`, answer.status);
+      throw refused(`ask "${path}"`, answer.status);
     } catch (error) {
       throw toTableError(error);
     }
--- a/packages/kelpspar-configuration/src/__tests__/unit/parse_configuration_test.ts
+++ b/packages/kelpspar-configuration/src/__tests__/unit/parse_configuration_test.ts
@@ -41,7 +41,7 @@
     "accounts[3].callerKeyHashes[0]: A key hash is a SHA-256 in 64 hexadecimal digits",
     'operators[0].role: Invalid option: expected one of "viewer"|"operator"|"administrator"',
     'services[4]["typed wrong"]: Unrecognized key',
-    'accounts[5].callerKeyHashes[1]: Duplicate of "accounts[5].callerKeyHashes[0]"',
+    'accounts[5].callerKeyHashes[1]: Stands at "accounts[5].callerKeyHashes[0]" too',
     'services[4].models[0]: No model has the id "absent"',
     'pipelines[1].stages[1].service: No service has the id "absent"',
     'pipelines[1].accounts[4].account: No account has the id "nobody"',
@@ -60,7 +60,7 @@
   for (const id of ["twice", "tillbrook-growers"]) {
     const account = { id, share: 0.01, callerKeyHashes: [HASH] };
     const errors = errorsOf({ accounts: [account, account] });
-    expect(errors.filter((error) => error.includes(".id: Duplicate of")).length)
+    expect(errors.filter((error) => error.includes(".id: Stands at")).length)
       .toEqual(1);
   }
 });
--- a/packages/kelpspar-configuration/src/checks/check_duplicates.ts
+++ b/packages/kelpspar-configuration/src/checks/check_duplicates.ts
@@ -96,7 +96,7 @@
     const place = formatPath(path);
     const earlier = first.get(name);
     if (earlier === undefined) first.set(name, place);
-    else problems.push({ path: place, message: `Duplicate of "${earlier}"` });
+    else problems.push({ path: place, message: `Stands at "${earlier}" too` });
   }
   return problems;
 }
--- a/packages/kelpspar-daemon/src/configuration/configuration_manager.ts
+++ b/packages/kelpspar-daemon/src/configuration/configuration_manager.ts
@@ -95,7 +95,7 @@
       "no_configuration",
       hasNoRevision
         ? "The daemon has no configuration yet"
-        : `Revision ${this.#tracker.highestKnown} is active but has not reached this daemon yet`,
+        : `Revision ${this.#tracker.highestKnown} is in force and not here yet`,
     );
   }
 }
--- a/packages/kelpspar-daemon/src/configuration/configuration_store.ts
+++ b/packages/kelpspar-daemon/src/configuration/configuration_store.ts
@@ -76,6 +76,6 @@
   if (parsed.success) return { row: parsed.data, version: row.version };
   throw new KelpsparError(
     "table_unavailable",
-    `Cannot read row "${row.table}/${row.key}": it is not a valid configuration row`,
+    `Cannot read row "${row.table}/${row.key}": it is no configuration`,
   );
 }
--- a/packages/kelpspar-daemon/src/front/answer_client_error.ts
+++ b/packages/kelpspar-daemon/src/front/answer_client_error.ts
@@ -14,7 +14,7 @@
   },
   ERR_HTTP_REQUEST_TIMEOUT: {
     result: "request_too_slow",
-    message: "Cannot read the request: it arrived too slowly",
+    message: "Cannot wait for the request: it arrives too slowly",
   },
 };
 
--- a/packages/kelpspar-daemon/src/front/caller_routes.ts
+++ b/packages/kelpspar-daemon/src/front/caller_routes.ts
@@ -114,7 +114,7 @@
   );
   throw new KelpsparError(
     "malformed_request",
-    `Cannot parse the request: ${problems.join("; ")}`,
+    `Cannot take the request: ${problems.join("; ")}`,
   );
 }
 
@@ -127,7 +127,7 @@
   if (!Number.isSafeInteger(offset) || offset < 0) {
     throw new KelpsparError(
       "malformed_request",
-      "Cannot resume the stream: the offset is not a non-negative integer",
+      "Cannot attach: the offset is not a whole number from 0",
     );
   }
   follow(exchange, options, { context, offset });
@@ -219,6 +219,6 @@
   if (context !== undefined) return context;
   throw new KelpsparError(
     "request_not_found",
-    `This daemon has no request "${requestId}" of this client account`,
+    `No request "${requestId}" of this client account is known here`,
   );
 }
--- a/packages/kelpspar-daemon/src/front/health_routes.ts
+++ b/packages/kelpspar-daemon/src/front/health_routes.ts
@@ -19,7 +19,7 @@
       handle: async ({ response }) => {
         const reason = options.notReadyReason();
         if (reason !== undefined) {
-          throw new KelpsparError(reason, "The daemon accepts no requests");
+          throw new KelpsparError(reason, "The daemon takes no requests");
         }
         sendJson(response, { ready: true });
       },
--- a/packages/kelpspar-daemon/src/front/http_server.ts
+++ b/packages/kelpspar-daemon/src/front/http_server.ts
@@ -187,14 +187,14 @@
   if (request.headers.host !== undefined) return;
   throw new KelpsparError(
     "malformed_request",
-    "The request has no Host header",
+    "The request names no host",
   );
 }
 
 function createExpectationError(): KelpsparError {
   return new KelpsparError(
     "malformed_request",
-    "The request's Expect header is not supported",
+    "The request expects what cannot be met",
   );
 }
 
@@ -202,7 +202,7 @@
 function parseUrl(path: string): URL {
   const text = `http://localhost${path}`;
   if (path.startsWith("/") && URL.canParse(text)) return new URL(text);
-  throw new KelpsparError("malformed_request", "The request has no valid path");
+  throw new KelpsparError("malformed_request", "The request names no path");
 }
 
 function isRedirect(error: KelpsparError): boolean {
--- a/packages/kelpspar-daemon/src/front/operator_access.ts
+++ b/packages/kelpspar-daemon/src/front/operator_access.ts
@@ -42,7 +42,7 @@
     if (ROLE_LEVELS[operator.role] >= ROLE_LEVELS[role]) return operator;
     throw new KelpsparError(
       "operator_role",
-      `Operator "${operator.id}" has role "${operator.role}"; this requires "${role}"`,
+      `Operator "${operator.id}" is a ${operator.role}; this needs ${role}`,
     );
   }
 
--- a/packages/kelpspar-daemon/src/front/operator_routes.ts
+++ b/packages/kelpspar-daemon/src/front/operator_routes.ts
@@ -114,7 +114,7 @@
   if (context === undefined) {
     throw new KelpsparError(
       "request_not_found",
-      `This daemon has no request "${requestId}"`,
+      `No request "${requestId}" is known at this daemon`,
     );
   }
   sendJson(exchange.response, reportRequest(context));
@@ -129,7 +129,7 @@
   if (row === undefined) {
     throw new KelpsparError(
       "no_configuration",
-      "The daemon has no active configuration",
+      "No configuration is in force",
     );
   }
   sendJson(exchange.response, row);
@@ -194,7 +194,7 @@
   if (incarnation === undefined) {
     throw new KelpsparError(
       "malformed_request",
-      `Cannot drain ${kind} "${id}": the VM list does not contain it`,
+      `There is no ${kind} "${id}"`,
     );
   }
   const drains = await options.drains.drain({ kind, id, incarnation });
@@ -211,7 +211,7 @@
   if (!target.success) {
     throw new KelpsparError(
       "malformed_request",
-      "Cannot end the drain: only endpoints and daemons can be drained",
+      "Only endpoints and daemons are drained",
     );
   }
   const drains = await options.drains.undrain(target.data);
@@ -236,7 +236,7 @@
   );
   throw new KelpsparError(
     "malformed_request",
-    `Cannot parse the command: ${problems.join("; ")}`,
+    `Cannot take the command: ${problems.join("; ")}`,
   );
 }
 
@@ -246,7 +246,7 @@
 ): void {
   const error = new KelpsparError(
     "configuration_invalid",
-    `Cannot apply the configuration: it has ${errors.length} errors`,
+    `Cannot apply: the configuration has ${errors.length} errors`,
   );
   const body = { ...toFailureRecord(error), errors };
   sendJson(exchange.response, body, RESULT_CODES[error.result].httpStatus);
--- a/packages/kelpspar-daemon/src/front/read_json_body.ts
+++ b/packages/kelpspar-daemon/src/front/read_json_body.ts
@@ -64,21 +64,21 @@
 function tooLarge(options: ReadBodyOptions): KelpsparError {
   return new KelpsparError(
     "body_too_large",
-    `Cannot accept the body: it is larger than ${options.maximumBytes} bytes`,
+    `Cannot take the body: it is larger than ${options.maximumBytes} bytes`,
   );
 }
 
 function tooSlow(options: ReadBodyOptions): KelpsparError {
   return new KelpsparError(
     "request_too_slow",
-    `Cannot read the body: it took longer than ${options.timeoutMilliseconds} ms`,
+    `Cannot wait for the body: it took longer than ${options.timeoutMilliseconds} ms`,
   );
 }
 
 function connectionLost(cause: unknown): KelpsparError {
   return new KelpsparError(
     "malformed_request",
-    "Cannot read the body: the connection was closed",
+    "Cannot read the body: the connection was cut",
     cause === undefined ? {} : { cause },
   );
 }
--- a/packages/kelpspar-daemon/src/front/router.ts
+++ b/packages/kelpspar-daemon/src/front/router.ts
@@ -39,10 +39,10 @@
     if (isPathKnown) {
       throw new KelpsparError(
         "method_not_allowed",
-        `Path "${path}" does not support method "${method}"`,
+        `"${path}" does not take method "${method}"`,
       );
     }
-    throw new KelpsparError("unknown_path", `Path "${path}" does not exist`);
+    throw new KelpsparError("unknown_path", `There is no "${path}"`);
   }
 }
 
--- a/packages/kelpspar-daemon/src/operators/configuration_applier.ts
+++ b/packages/kelpspar-daemon/src/operators/configuration_applier.ts
@@ -149,17 +149,17 @@
   if (outcome.type === "conflict") {
     return new KelpsparError(
       "revision_conflict",
-      `Cannot apply ${name} to revision ${change.expectedRevision}: revision ${outcome.revision} is active`,
+      `Cannot apply ${name} on revision ${change.expectedRevision}: revision ${outcome.revision} is in force`,
     );
   }
   if (outcome.type === "not_written") {
     return new KelpsparError(
       "store_unavailable",
-      `Cannot apply ${name}: the table service did not accept the write`,
+      `Cannot apply ${name}: the table service never took it`,
     );
   }
   return new KelpsparError(
     "apply_unconfirmed",
-    `Cannot confirm ${name}: it may have been accepted; look it up by its id`,
+    `Whether ${name} was accepted is not known yet: look it up by its id`,
   );
 }
--- a/packages/kelpspar-daemon/src/operators/drain_store.ts
+++ b/packages/kelpspar-daemon/src/operators/drain_store.ts
@@ -77,7 +77,7 @@
     }
     throw new KelpsparError(
       "store_unavailable",
-      `Cannot update the drains: all ${MAXIMUM_ATTEMPTS} attempts failed`,
+      `Cannot change the drains: ${MAXIMUM_ATTEMPTS} tries were in vain`,
     );
   }
 }
--- a/packages/kelpspar-daemon/src/peers/trpc_peer_client.ts
+++ b/packages/kelpspar-daemon/src/peers/trpc_peer_client.ts
@@ -103,7 +103,7 @@
       const reason = cause instanceof Error ? cause.message : String(cause);
       throw new KelpsparError(
         "peer_unavailable",
-        `Cannot call daemon ${peer.address}:${peer.port}: ${reason}`,
+        `Daemon ${peer.address}:${peer.port} did not answer: ${reason}`,
         { cause },
       );
     } finally {
--- a/packages/kelpspar-daemon/src/requests/hedged_call.ts
+++ b/packages/kelpspar-daemon/src/requests/hedged_call.ts
@@ -182,7 +182,7 @@
   }
 
   #cancel(loser: RunningAttempt, isFirstWinner: boolean): void {
-    loser.abort.abort(new Error("Another attempt completed first"));
+    loser.abort.abort(new Error("another attempt was faster"));
     void loser.done.then(({ plan, attempt }) => {
       settleAttempt(this.#services, this.#task, {
         plan,
--- a/packages/kelpspar-daemon/src/requests/key_lookup.ts
+++ b/packages/kelpspar-daemon/src/requests/key_lookup.ts
@@ -53,13 +53,13 @@
     if (bound?.incarnation === this.#options.incarnation) {
       throw new KelpsparError(
         "request_not_found",
-        "No request has this idempotency key, or its record has expired",
+        "No request has this idempotency key, or it is no longer remembered",
       );
     }
     if (bound !== undefined) {
       throw new KelpsparError(
         "wrong_daemon",
-        "The idempotency key is bound to another daemon, and this daemon has no record of it",
+        "The idempotency key is bound to a daemon, and this one knows nothing of it",
       );
     }
     const found = await this.#findInTable(account.id, idempotencyKey);
--- a/packages/kelpspar-daemon/src/requests/pipeline_runner.ts
+++ b/packages/kelpspar-daemon/src/requests/pipeline_runner.ts
@@ -66,7 +66,7 @@
     if (service === undefined) {
       throw new KelpsparError(
         "no_endpoint",
-        `Stage "${run.stage.id}" names service "${run.stage.service}", which is not in the configuration in force`,
+        `Stage "${run.stage.id}" names service "${run.stage.service}", which the configuration in force lacks`,
       );
     }
     run.context.expectedCallTeardowns.get(run.stage.id)?.();
--- a/packages/kelpspar-daemon/src/requests/request_admission.ts
+++ b/packages/kelpspar-daemon/src/requests/request_admission.ts
@@ -58,7 +58,7 @@
     if (registry.running >= maximumRequests) {
       throw new ResultError(
         "overloaded",
-        `The daemon already runs its maximum of ${maximumRequests} requests`,
+        `The daemon runs ${maximumRequests} requests, as many as it may`,
         { retryAfterMilliseconds: this.jitteredRetryAfter() },
       );
     }
@@ -87,7 +87,7 @@
   createStoreError(): KelpsparError {
     return new ResultError(
       "store_unavailable",
-      "The claim that guarantees at most one run of the request cannot be stored now",
+      "The claim that makes the request run once cannot be stored now",
       { retryAfterMilliseconds: this.jitteredRetryAfter() },
     );
   }
@@ -111,7 +111,7 @@
     if (decision.run) return;
     throw new ResultError(
       decision.reason,
-      `Request through pipeline "${pipeline.id}" cannot complete within ${request.deadlineMilliseconds} ms`,
+      `Request through pipeline "${pipeline.id}" would not end within ${request.deadlineMilliseconds} ms`,
       { retryAfterMilliseconds: decision.retryAfterMilliseconds },
     );
   }
--- a/packages/kelpspar-daemon/src/requests/request_service.ts
+++ b/packages/kelpspar-daemon/src/requests/request_service.ts
@@ -97,7 +97,7 @@
     if (context.log.readers > 0 || context.log.final !== undefined) return;
     timer.registerTimeout(() => {
       if (context.log.readers > 0) return;
-      this.cancel(context, "its caller disconnected");
+      this.cancel(context, "its caller went away");
     }, abandonedGraceMilliseconds);
   }
 
@@ -152,7 +152,7 @@
       }
       throw new ResultError(
         "outcome_unknown",
-        "The running request of this idempotency key is not found",
+        "The request's run is not found",
       );
     }
     if (decision.type === "completed") {
@@ -167,7 +167,7 @@
     }
     throw new ResultError(
       decision.result,
-      "This daemon cannot run a request with this idempotency key",
+      "The idempotency key cannot be run here",
       { retryAfterMilliseconds: this.#options.admission.jitteredRetryAfter() },
     );
   }
--- a/packages/kelpspar-daemon/src/requests/resolve_settlement.ts
+++ b/packages/kelpspar-daemon/src/requests/resolve_settlement.ts
@@ -63,7 +63,7 @@
   return {
     error: new KelpsparError(
       "outcome_unknown",
-      "Another daemon claimed the idempotency key, and the outcome of its request is unknown",
+      "Another daemon claimed the idempotency key and its outcome is not known",
       { retryAfterMilliseconds },
     ),
   };
--- a/packages/kelpspar-daemon/src/requests/stage_attempt.ts
+++ b/packages/kelpspar-daemon/src/requests/stage_attempt.ts
@@ -94,7 +94,7 @@
   if (isWhole(options.progress, follow.end)) return follow.end;
   throw new ResultError(
     "endpoint_failed",
-    `Endpoint "${options.endpoint.endpointId}" ended stage "${options.call.stageId}" before its result was complete`,
+    `Endpoint "${options.endpoint.endpointId}" ended stage "${options.call.stageId}" before its result was whole`,
   );
 }
 
--- a/packages/kelpspar-daemon/src/requests/stage_run.ts
+++ b/packages/kelpspar-daemon/src/requests/stage_run.ts
@@ -109,7 +109,7 @@
     signal.throwIfAborted();
     throw new ResultError(
       "store_unavailable",
-      `Stage "${this.#task.stage.id}" cannot run: its claim is not confirmed or was given up`,
+      `Stage "${this.#task.stage.id}" may not run: its claim was given up`,
     );
   }
 
@@ -153,7 +153,7 @@
         error: error ??
           new ResultError(
             "endpoint_failed",
-            "The stream ended without an end record",
+            "No end record",
           ),
       };
     }
--- a/packages/kelpspar-gateway/src/fleet/peer_client.ts
+++ b/packages/kelpspar-gateway/src/fleet/peer_client.ts
@@ -167,7 +167,7 @@
     const timeout = new Promise<never>((_, reject) => {
       stopTimer = this.#timer.registerTimeout(() => {
         this.#silentConnections.reportOverdueCall(peer, connection, answer);
-        reject(new Error("Call to peer timed out"));
+        reject(new Error("timed out"));
       }, timeoutMilliseconds);
     });
     try {
--- a/packages/kelpspar-gateway/src/gateway_daemon.ts
+++ b/packages/kelpspar-gateway/src/gateway_daemon.ts
@@ -217,7 +217,7 @@
         if (this.#tables !== undefined) {
           return this.#tables.answer(request, signal);
         }
-        throw new Error("This daemon doesn't follow the store's tables yet");
+        throw new Error("The store's tables aren't followed here yet");
       },
       shareCrashes: (page) => crashes.sync.answer(page),
       shareNotices: (page) => noticeSync.answer(page),
--- a/packages/kelpspar-gateway/src/requests/read_body.ts
+++ b/packages/kelpspar-gateway/src/requests/read_body.ts
@@ -12,7 +12,7 @@
     length += bytes.length;
     if (length > MAXIMUM_ANSWER_BYTES) {
       throw new Error(
-        `Answer body exceeds the maximum of ${MAXIMUM_ANSWER_BYTES} bytes`,
+        `The answer is larger than ${MAXIMUM_ANSWER_BYTES} bytes`,
       );
     }
     chunks.push(bytes);
--- a/packages/kelpspar-peers/src/peer_link.ts
+++ b/packages/kelpspar-peers/src/peer_link.ts
@@ -69,7 +69,7 @@
   const envelope: unknown = JSON.parse(await body.text());
   if (isEnvelope(envelope)) return envelope;
   throw new Error(
-    `Cannot read the response of peer "${origin}": it is not a tRPC envelope`,
+    `Peer ${origin} gave an answer that is none of tRPC's`,
   );
 }
 
