--- a/packages/kelpspar-scenarios/src/guards/guards.ts
+++ b/packages/kelpspar-scenarios/src/guards/guards.ts
@@ -88,7 +88,7 @@
   {
     name: "a stale read takes no endpoint out",
     file: "platform/src/runner_list.ts",
-    code: "if (!this.#isNews(id, version)) return;",
+    code: "if (!this.#isNewer(id, version)) return;",
     without: "",
     noticedBy: `${PLATFORM_TESTS}/list_outage_test.ts`,
   },
@@ -271,7 +271,7 @@
   {
     name: "entries that a copy lacks are believed for a while",
     file: "platform/src/runner_list.ts",
-    code: "this.#options.lapses.restored();",
+    code: "this.#options.gracePeriod.restored();",
     without: "",
     noticedBy: `${PLATFORM_TESTS}/store_restore_test.ts`,
   },
