--- a/deploy/build.mjs
+++ b/deploy/build.mjs
@@ -1,5 +1,5 @@
-// Bundles the daemon into one file, which starts faster than many, and keeps
-// the code that Node.js compiles for it.
+// Bundles the daemon into one file, which starts faster than separate modules,
+// and caches the code that Node.js compiles for it.
 import { execFileSync } from "node:child_process";
 import { copyFileSync, readFileSync, rmSync } from "node:fs";
 import { fileURLToPath } from "node:url";
@@ -7,8 +7,8 @@
 
 const BUNDLE = "target/daemon.cjs";
 
-/** Leaves out what the daemon never uses; see undici_agent.cjs. */
-const lessOfUndici = {
+/** Omits modules that the daemon never uses; see undici_agent.cjs. */
+const reducedUndici = {
   name: "less-of-undici",
   setup(bundle) {
     const agent = fileURLToPath(new URL("undici_agent.cjs", import.meta.url));
@@ -19,15 +19,15 @@
 };
 
 /**
- * Options of Node.js that the daemon is run with. Code that was compiled under
- * others is refused at its start, and compiled again.
+ * Reads the Node.js options that the daemon runs with. Node.js rejects cached
+ * code that was compiled under other options and compiles the bundle again.
  */
 function readNodeOptions() {
-  const deployment = readFileSync("deploy/system.toml", "utf8");
+  const systemConfiguration = readFileSync("deploy/system.toml", "utf8");
   const command = /^run = "node (.*) target\/start_daemon\.cjs"$/m.exec(
-    deployment,
+    systemConfiguration,
   );
-  if (command === null) throw new Error("No run of the daemon in system.toml");
+  if (command === null) throw new Error("No daemon command in deploy/system.toml");
   return command[1].split(" ");
 }
 
@@ -39,12 +39,12 @@
   target: "node20",
   format: "cjs",
   conditions: ["source"],
-  plugins: [lessOfUndici],
+  plugins: [reducedUndici],
   sourcemap: false,
   minifySyntax: true,
   minifyWhitespace: true,
   logLevel: "warning",
-  // A function of what a file is given, which start_daemon.cjs calls.
+  // Wraps the bundle in a CommonJS function that start_daemon.cjs calls.
   banner: { js: "(function(require,module,exports){" },
   footer: { js: "})" },
 });
@@ -57,6 +57,6 @@
     { stdio: ["ignore", "ignore", "inherit"] },
   );
 } catch (error) {
-  // The daemon starts without it, only later.
-  console.warn(`Compiled code was not kept: ${error.message}`);
+  // Without the cache, the daemon only starts more slowly.
+  console.warn(`Compiled code could not be cached: ${error.message}`);
 }
--- a/deploy/keep_code.cjs
+++ b/deploy/keep_code.cjs
@@ -1,5 +1,5 @@
-// Runs the daemon for a moment, away from any fleet, and keeps the code that
-// was compiled for it, so that `start_daemon.cjs` needn't compile it again.
+// Runs the daemon briefly without a fleet and writes its compiled code to a
+// cache file, so that `start_daemon.cjs` needn't compile it again.
 "use strict";
 
 const { mkdtempSync, rmSync, writeFileSync } = require("node:fs");
@@ -7,11 +7,11 @@
 const { tmpdir } = require("node:os");
 const { join } = require("node:path");
 
-/** Long enough for the daemon to listen and ask its store, milliseconds. */
+/** Long enough for the daemon to listen and call its store. */
 const RUN_MILLISECONDS = 1_500;
-/** Any free port of loopback. */
+/** Any free loopback port. */
 const LISTEN = "127.0.0.1:0";
-/** Nothing listens there. */
+/** A port on which nothing listens. */
 const NO_STORE = "127.0.0.1:1";
 
 const server = createServer().listen(0, "127.0.0.1", () => {
@@ -19,7 +19,7 @@
   server.close(() => run(port));
 });
 
-/** `metricsPort` is a free port: a daemon's settings must name one. */
+/** `metricsPort` must be a free port, since the settings require a number. */
 function run(metricsPort) {
   const folder = mkdtempSync(join(tmpdir(), "kelpspar-"));
   const settings = join(folder, "settings.json");
--- a/deploy/no_http2.cjs
+++ b/deploy/no_http2.cjs
@@ -1,4 +1,4 @@
-// Stands for node:http2, which takes 18 ms of a start and is never spoken.
+// Replaces node:http2, which takes 18 ms to load and is never used.
 "use strict";
 
 module.exports = { constants: {} };
--- a/deploy/start_daemon.cjs
+++ b/deploy/start_daemon.cjs
@@ -1,5 +1,5 @@
-// Starts the bundle with the code that the build compiled. Compiling it anew
-// takes a third of a start, and a daemon that was killed is away meanwhile.
+// Starts the bundle with the code that the build compiled. Compiling it again
+// takes a third of the startup time, during which a killed daemon is missing.
 "use strict";
 
 const { readFileSync } = require("node:fs");
@@ -8,7 +8,7 @@
 
 const BUNDLE = join(__dirname, "daemon.cjs");
 
-/** Absent while the build makes it; the bundle is compiled then. */
+/** Returns undefined while the build creates the file; then the bundle is compiled. */
 function readCompiledCode() {
   try {
     return readFileSync(`${BUNDLE}.code`);
@@ -18,8 +18,8 @@
   }
 }
 
-// Code that another version of Node.js compiled is refused by it, and the
-// bundle compiled again.
+// Node.js rejects code that another version compiled, and compiles the bundle
+// again.
 const script = new Script(readFileSync(BUNDLE, "utf8"), {
   filename: BUNDLE,
   cachedData: readCompiledCode(),
--- a/deploy/undici_agent.cjs
+++ b/deploy/undici_agent.cjs
@@ -1,5 +1,5 @@
-// What of undici the daemon uses. The package's own entry loads its fetch,
-// mocks, caches and sockets as well, a third of the daemon's start.
+// Exports the parts of undici that the daemon uses. The package's entry point
+// also loads fetch, mocks, caches and WebSockets: a third of the startup time.
 "use strict";
 
 const Dispatcher = require("undici/lib/dispatcher/dispatcher.js");
--- a/tools/ensure_installed.mjs
+++ b/tools/ensure_installed.mjs
@@ -1,5 +1,5 @@
-// `npm test` and `npm run demo` must work in a fresh clone, where nothing is
-// installed yet; this installs from the lock file only when that is so.
+// Installs the dependencies from the lock file if they are missing, so that
+// `npm test` and `npm run demo` work in a fresh clone.
 import { spawnSync } from "node:child_process";
 import { existsSync } from "node:fs";
 import process from "node:process";
--- a/tools/run_tests.ts
+++ b/tools/run_tests.ts
@@ -1,41 +1,43 @@
-// Runs test files. A failing test that KNOWN-RED.txt lists is printed and
-// passed over; any other failure ends the run with exit code 1. A line of that
-// file begins with the name of the test, followed by " | ".
+// Runs test files. A failing test that is listed in KNOWN-RED.txt is printed
+// and tolerated; any other failure sets exit code 1. Each line of that file
+// starts with the name of a test, followed by " | ".
 import { existsSync, readFileSync } from "node:fs";
 import { resolve } from "node:path";
 import process from "node:process";
 import { run } from "node:test";
 import { spec } from "node:test/reporters";
 
-const LIST = "KNOWN-RED.txt";
-const MOST_LISTED = 3;
+const KNOWN_FAILURES_FILE = "KNOWN-RED.txt";
+const MAXIMUM_KNOWN_FAILURES = 3;
 
-/** Lines of the list by the name of their test. */
-function readListed(): ReadonlyMap<string, string> {
-  if (!existsSync(LIST)) return new Map();
-  const lines = readFileSync(LIST, "utf8").split("\n").filter(Boolean);
-  if (lines.length > MOST_LISTED) {
+/** Reads the lines of the list, keyed by test name. */
+function readKnownFailures(): ReadonlyMap<string, string> {
+  if (!existsSync(KNOWN_FAILURES_FILE)) return new Map();
+  const lines = readFileSync(KNOWN_FAILURES_FILE, "utf8").split("\n").filter(
+    Boolean,
+  );
+  if (lines.length > MAXIMUM_KNOWN_FAILURES) {
     throw new Error(
-      `"${LIST}" has ${lines.length} lines, ${MOST_LISTED} at most`,
+      `"${KNOWN_FAILURES_FILE}" has ${lines.length} lines, more than ${MAXIMUM_KNOWN_FAILURES}`,
     );
   }
   return new Map(lines.map((line) => [line.split(" | ")[0] ?? line, line]));
 }
 
-const listed = readListed();
+const listed = readKnownFailures();
 const red = new Set<string>();
-const unlisted = new Set<string>();
+const others = new Set<string>();
 
 run({
   files: process.argv.slice(2).map((file) => resolve(file)),
   concurrency: true,
 })
   .on("test:fail", ({ name, details }) => {
-    // A group fails with its members; those tell which.
+    // A suite fails with its subtests, which are reported themselves.
     const { failureType } = details.error as { readonly failureType?: string };
     if (failureType === "subtestsFailed") return;
     if (listed.has(name)) red.add(name);
-    else unlisted.add(name);
+    else others.add(name);
   })
   .compose(new spec())
   .on("end", () => {
@@ -45,7 +47,7 @@
     for (const name of listed.keys()) {
       if (!red.has(name)) process.stdout.write(`listed, not red: ${name}\n`);
     }
-    for (const name of unlisted) process.stdout.write(`failed: ${name}\n`);
-    if (unlisted.size > 0) process.exitCode = 1;
+    for (const name of others) process.stdout.write(`failed: ${name}\n`);
+    if (others.size > 0) process.exitCode = 1;
   })
   .pipe(process.stdout);
