--- a/packages/kelpspar-scenarios/src/guards/guards.ts
+++ b/packages/kelpspar-scenarios/src/guards/guards.ts
@@ -26,14 +26,14 @@
     code:
       "if (bornAt === retiredBornAt) return this.#upsertRetired(entry, now);",
     without: "",
-    noticedBy: `${GATEWAY_TESTS}/endpoint_book_test.ts`,
+    noticedBy: `${GATEWAY_TESTS}/endpoint_registry_test.ts`,
   },
   {
     name: "an entry that stays missing is gone",
     file: `${GATEWAY}/endpoints/endpoint_registry.ts`,
     code: "expiresAt !== undefined && expiresAt <= now",
     without: "expiresAt !== undefined && expiresAt < 0",
-    noticedBy: `${GATEWAY_TESTS}/endpoint_book_test.ts`,
+    noticedBy: `${GATEWAY_TESTS}/endpoint_registry_test.ts`,
   },
   {
     name: "a removal is believed no longer than the bound of leaving",
@@ -41,28 +41,28 @@
     code:
       "Math.min(REAPPEARANCE_MILLISECONDS, drainMilliseconds - sendMilliseconds)",
     without: "REAPPEARANCE_MILLISECONDS",
-    noticedBy: `${GATEWAY_TESTS}/lapse_window_test.ts`,
+    noticedBy: `${GATEWAY_TESTS}/missing_entry_grace_period_test.ts`,
   },
   {
     name: "a return that was noticed late counts from the last failed call",
     file: `${GATEWAY}/endpoints/missing_entry_grace_period.ts`,
     code: "unavailableAt + contactMilliseconds - sendMilliseconds,",
     without: "",
-    noticedBy: `${GATEWAY_TESTS}/lapse_window_test.ts`,
+    noticedBy: `${GATEWAY_TESTS}/missing_entry_grace_period_test.ts`,
   },
   {
     name: "a single failed call tells nothing of when the list was away",
     file: `${GATEWAY}/endpoints/missing_entry_grace_period.ts`,
     code: "this.#failedCalls === 1 ? this.#answeredAt : this.#failedCallAt",
     without: "this.#failedCallAt",
-    noticedBy: `${GATEWAY_TESTS}/lapse_window_test.ts`,
+    noticedBy: `${GATEWAY_TESTS}/missing_entry_grace_period_test.ts`,
   },
   {
     name: "a call for the list waits no longer than the bounds allow",
     file: `${GATEWAY}/endpoints/list_timing.ts`,
     code: "Math.min(left, MAXIMUM_WAIT_MILLISECONDS)",
     without: "MAXIMUM_WAIT_MILLISECONDS",
-    noticedBy: `${GATEWAY_TESTS}/list_times_test.ts`,
+    noticedBy: `${GATEWAY_TESTS}/list_timing_test.ts`,
   },
   {
     name: "a kind that gets next to nothing goes first",
@@ -203,14 +203,14 @@
     file: `${GATEWAY}/endpoints/endpoint_registry.ts`,
     code: 'if (bornAt < latestBornAt) return "earlier_life";',
     without: "",
-    noticedBy: `${GATEWAY_TESTS}/endpoint_book_test.ts`,
+    noticedBy: `${GATEWAY_TESTS}/endpoint_registry_test.ts`,
   },
   {
     name: "a later life is a new endpoint",
     file: `${GATEWAY}/endpoints/endpoint_registry.ts`,
     code: "if (known !== undefined && bornAt > known.entry.bornAt) {",
     without: "if (known !== undefined && bornAt < 0) {",
-    noticedBy: `${GATEWAY_TESTS}/endpoint_book_test.ts`,
+    noticedBy: `${GATEWAY_TESTS}/endpoint_registry_test.ts`,
   },
   {
     name: "an entry in an unknown state names no endpoint",
