--- a/packages/kelpspar-gateway/src/__tests__/support/play_limited_load.ts
+++ b/packages/kelpspar-gateway/src/__tests__/support/play_limited_load.ts
@@ -48,25 +48,25 @@
     pieces: undefined,
     engineSlots: load.isModel === true ? 64 : undefined,
   }]);
-  const book = createBook(load.endpoints);
-  const endpoints = book.availableFor(SERVICE);
+  const registry = createRegistry(load.endpoints);
+  const endpoints = registry.availableFor(SERVICE);
   const sentAt = endpoints.map((): number[] => []);
-  const createGate = (chooser: EndpointChooser): EndpointRateLimiter =>
+  const createRateLimiter = (chooser: EndpointChooser): EndpointRateLimiter =>
     new EndpointRateLimiter({
       chooser,
       configuration,
       limits,
       random,
-      sharers: () =>
+      senderCount: () =>
         chooser === "daemon" ? load.visibleDaemons ?? load.daemons : 1,
     });
   const daemons = Array.from(
     { length: load.daemons },
-    () => createGate("daemon"),
+    () => createRateLimiter("daemon"),
   );
   const coordinators = Array.from(
     { length: load.coordinators ?? 1 },
-    () => createGate("coordinator"),
+    () => createRateLimiter("coordinator"),
   );
   let asked = 0;
   let due = 0;
@@ -76,20 +76,23 @@
     }
     const { restartEveryMilliseconds: every } = load;
     if (every !== undefined && now > 0 && now % every === 0) {
-      daemons[(now / every) % load.daemons] = createGate("daemon");
+      daemons[(now / every) % load.daemons] = createRateLimiter("daemon");
     }
     due += load.perSecondAt(now) * STEP_MILLISECONDS / MILLISECONDS_PER_SECOND;
     for (; due >= 1; due--) {
       asked++;
       const index = random.nextInteger(load.daemons);
       const coordinator = coordinators[index % coordinators.length];
-      const gates = [daemons[index], coordinator] as EndpointRateLimiter[];
-      const sent = send(endpoints, gates, now);
+      const rateLimiters = [
+        daemons[index],
+        coordinator,
+      ] as EndpointRateLimiter[];
+      const sent = send(endpoints, rateLimiters, now);
       if (sent !== undefined) sentAt[sent]?.push(now);
     }
     // Each daemon checks every endpoint, whether it uses it or not.
-    for (const gate of daemons) {
-      for (const endpoint of endpoints) gate.isWithinLimit(endpoint, now);
+    for (const limiter of daemons) {
+      for (const endpoint of endpoints) limiter.isWithinLimit(endpoint, now);
     }
   }
   return { sentAt, asked };
@@ -108,25 +111,25 @@
 
 function send(
   endpoints: readonly EndpointState[],
-  gates: readonly EndpointRateLimiter[],
+  rateLimiters: readonly EndpointRateLimiter[],
   now: number,
 ): number | undefined {
-  for (const gate of gates) {
+  for (const rateLimiter of rateLimiters) {
     const index = endpoints.findIndex((endpoint) =>
-      gate.isWithinLimit(endpoint, now)
+      rateLimiter.isWithinLimit(endpoint, now)
     );
     const chosen = endpoints[index];
     if (chosen === undefined) continue;
-    gate.recordRequest(chosen, now);
+    rateLimiter.recordRequest(chosen, now);
     return index;
   }
   return undefined;
 }
 
-function createBook(endpoints: number): EndpointRegistry {
-  const book = new EndpointRegistry();
+function createRegistry(endpoints: number): EndpointRegistry {
+  const registry = new EndpointRegistry();
   for (let index = 0; index < endpoints; index++) {
-    book.upsert({
+    registry.upsert({
       id: `i${index}`,
       bornAt: 1,
       service: SERVICE,
@@ -136,5 +139,5 @@
       isDraining: false,
     }, 0);
   }
-  return book;
+  return registry;
 }
--- a/packages/kelpspar-gateway/src/__tests__/support/play_stage_load.ts
+++ b/packages/kelpspar-gateway/src/__tests__/support/play_stage_load.ts
@@ -83,7 +83,7 @@
   const timer = new ManualTimer();
   const random = new SeededRandom(load.seed);
   const configuration = new ActiveConfiguration();
-  const book = new EndpointRegistry();
+  const registry = new EndpointRegistry();
   const stagesOf = new Map<string, readonly ChainStage[]>();
   const client = new SimulatedStages({
     services: load.services,
@@ -98,14 +98,14 @@
   const log = { info: () => {}, warn: () => {} };
   const coordinator = new PieceCoordinator({
     configuration,
-    book,
+    registry,
     client,
-    gate: new EndpointRateLimiter({
+    rateLimiter: new EndpointRateLimiter({
       chooser: "coordinator",
       limits: new EndpointLimits(),
       configuration,
       random: new SeededRandom(2),
-      sharers: () => 1,
+      senderCount: () => 1,
     }),
     timer,
     log,
@@ -133,7 +133,7 @@
   });
   for (const { name, zones } of load.services) {
     for (const [index, zone] of zones.entries()) {
-      book.upsert({
+      registry.upsert({
         id: `${name}-${index}`,
         bornAt: 0,
         service: name,
--- a/packages/kelpspar-gateway/src/__tests__/support/request_world.ts
+++ b/packages/kelpspar-gateway/src/__tests__/support/request_world.ts
@@ -122,7 +122,7 @@
 ): World {
   const timer = new ManualTimer();
   const configuration = new ActiveConfiguration();
-  const initialConfiguration = {
+  const initial = {
     version: 1,
     routes: [{ ...ROUTE, ...options.route }],
     services: [],
@@ -134,9 +134,7 @@
     },
     accounts: [{ name: "acme", callerKeys: ["key"], priority: undefined }],
   };
-  if (options.isConfigured !== false) {
-    configuration.applyIfNewer(initialConfiguration);
-  }
+  if (options.isConfigured !== false) configuration.applyIfNewer(initial);
   const endpointRegistry = new EndpointRegistry();
   for (const id of ["i1", "i2", "i3"]) {
     endpointRegistry.upsert({
@@ -172,12 +170,12 @@
     configuration,
     endpointRegistry,
     endpoints,
-    gate: new EndpointRateLimiter({
+    rateLimiter: new EndpointRateLimiter({
       chooser: "daemon",
       limits: options.limits ?? new EndpointLimits(),
       configuration,
       random: new SeededRandom(2),
-      sharers: () => 1,
+      senderCount: () => 1,
     }),
     crashes: new CrashDetector({ endpoints, quarantine, timer, log }),
     quarantine,
--- a/packages/kelpspar-gateway/src/__tests__/unit/endpoint_rate_limiter_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/endpoint_rate_limiter_test.ts
@@ -46,11 +46,11 @@
   };
 }
 
-function createGate(
+function createRateLimiter(
   chooser: EndpointChooser,
   options: {
     readonly limit?: number | undefined;
-    readonly sharers?: number;
+    readonly senderCount?: number;
     readonly limits?: EndpointLimits;
     readonly random?: SeededRandom;
   },
@@ -60,14 +60,14 @@
     limits: options.limits ?? new EndpointLimits(),
     configuration: configure("limit" in options ? options.limit : COLD_LIMIT),
     random: options.random ?? new SeededRandom(1),
-    sharers: () => options.sharers ?? 1,
+    senderCount: () => options.senderCount ?? 1,
   });
 }
 
 /** Endpoints chosen by one daemon with an unlimited supply of requests. */
 function playChoices(
   registry: EndpointRegistry,
-  gate: EndpointRateLimiter,
+  rateLimiter: EndpointRateLimiter,
 ): readonly string[] {
   const chosen: string[] = [];
   for (let now = 0; now < 1_000; now += 10) {
@@ -78,10 +78,10 @@
       affinity: undefined,
       random: new SeededRandom(now),
       now,
-      isWithinLimit: (endpoint) => gate.isWithinLimit(endpoint, now),
+      isWithinLimit: (endpoint) => rateLimiter.isWithinLimit(endpoint, now),
     });
     if (choice === undefined) continue;
-    gate.recordRequest(choice.endpoint, now);
+    rateLimiter.recordRequest(choice.endpoint, now);
     choice.endpoint.inFlight++;
     chosen.push(choice.endpoint.entry.id);
   }
@@ -93,7 +93,7 @@
   const registry = new EndpointRegistry();
   registry.upsert(entry("warm", "plain"), 0);
   registry.upsert(entry("cold", "plain", COLD_MILLISECONDS), 0);
-  const chosen = playChoices(registry, createGate("daemon", {}));
+  const chosen = playChoices(registry, createRateLimiter("daemon", {}));
   const cold = chosen.filter((id) => id === "cold").length;
   expect(chosen.length).toEqual(100);
   expect(cold > 0 && cold <= MOST_IN_A_SECOND).toEqual(true);
@@ -103,8 +103,8 @@
 test("a cold endpoint of a service without a limit is used like any other", () => {
   const registry = new EndpointRegistry();
   registry.upsert(entry("cold", "plain", COLD_MILLISECONDS), 0);
-  const gate = createGate("daemon", { limit: undefined });
-  expect(playChoices(registry, gate).length).toEqual(100);
+  const rateLimiter = createRateLimiter("daemon", { limit: undefined });
+  expect(playChoices(registry, rateLimiter).length).toEqual(100);
 });
 
 // Guards against a coordinator that places a burst at endpoints that have just
@@ -115,17 +115,17 @@
   registry.upsert(entry("cold", "model", COLD_MILLISECONDS), 0);
   const timer = new ManualTimer();
   const configuration = configure(COLD_LIMIT);
-  const gate = createGate("coordinator", {});
+  const rateLimiter = createRateLimiter("coordinator", {});
   const placement = new ReaderPlacement({
     configuration,
-    book: registry,
+    registry,
     timer,
-    gate,
+    rateLimiter,
   });
   const random = new SeededRandom(7);
   const daemons = Array.from(
     { length: 85 },
-    () => createGate("daemon", { sharers: 85, random }),
+    () => createRateLimiter("daemon", { senderCount: 85, random }),
   );
   const sentAt: number[] = [];
   const cold = registry.find("cold");
@@ -136,9 +136,9 @@
     const isCold = placed.type === "placed" &&
       placed.place.endpointId === "cold";
     if (isCold) sentAt.push(now);
-    for (const gate of daemons) {
-      if (!gate.isWithinLimit(cold, timer.now())) continue;
-      gate.recordRequest(cold, timer.now());
+    for (const rateLimiter of daemons) {
+      if (!rateLimiter.isWithinLimit(cold, timer.now())) continue;
+      rateLimiter.recordRequest(cold, timer.now());
       sentAt.push(now);
     }
     timer.jump(10);
--- a/packages/kelpspar-gateway/src/__tests__/unit/limited_chains_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/limited_chains_test.ts
@@ -39,7 +39,7 @@
   pieces: number,
 ): Promise<Play> {
   const timer = new ManualTimer();
-  const book = new EndpointRegistry();
+  const registry = new EndpointRegistry();
   const limits = new EndpointLimits();
   const configuration = configure();
   const ids = ["stage-0", "stage-1"];
@@ -55,21 +55,21 @@
       slots: 1,
       isDraining: false,
     };
-    book.upsert(entry, 0);
+    registry.upsert(entry, 0);
     if (limited.includes(id)) limits.record(entry, LIMIT, 0);
   }
   const callsAt = new Map<string, number[]>();
   const placedAt = new Map<string, number[]>();
   const coordinator = new PieceCoordinator({
     configuration,
-    book,
+    registry,
     timer,
-    gate: new EndpointRateLimiter({
+    rateLimiter: new EndpointRateLimiter({
       chooser: "coordinator",
       configuration,
       limits,
       random: new SeededRandom(3),
-      sharers: () => 1,
+      senderCount: () => 1,
     }),
     client: {
       runPieces: ({ endpoint, pieces }: PieceCall) => {
--- a/packages/kelpspar-gateway/src/__tests__/unit/limited_endpoint_probes_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/limited_endpoint_probes_test.ts
@@ -20,7 +20,9 @@
   let limitedId = "none";
   const probes = new LimitedEndpointProbes({
     endpointRegistry,
-    gate: { limitOf: ({ entry }) => entry.id === limitedId ? 1 : undefined },
+    rateLimiter: {
+      limitOf: ({ entry }) => entry.id === limitedId ? 1 : undefined,
+    },
   });
   expect(probes.tryStartProbe("plain", 0)).toEqual(false);
   limitedId = "i2";
--- a/packages/kelpspar-gateway/src/__tests__/unit/piece_coordinator_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/piece_coordinator_test.ts
@@ -77,7 +77,7 @@
 interface World {
   readonly timer: ManualTimer;
   readonly client: ManualPieceClient;
-  readonly book: EndpointRegistry;
+  readonly registry: EndpointRegistry;
   readonly run: (attemptId: string, pieces: readonly number[]) => void;
   /** Outcomes of chains by attempt. */
   readonly outcomes: ReadonlyMap<string, string>;
@@ -86,7 +86,7 @@
 function createWorld(room = 10_000): World {
   const timer = new ManualTimer();
   const client = new ManualPieceClient();
-  const book = new EndpointRegistry();
+  const registry = new EndpointRegistry();
   const configuration = new ActiveConfiguration();
   const services = { encode: terms(1, room), rerank: terms(6, room) };
   configuration.applyIfNewer({
@@ -106,7 +106,7 @@
     accounts: undefined,
   });
   for (const id of ["encode-0", "encode-1", "rerank-0"]) {
-    book.upsert({
+    registry.upsert({
       id,
       bornAt: 0,
       service: id.slice(0, -2),
@@ -124,14 +124,14 @@
   });
   const coordinator = new PieceCoordinator({
     configuration,
-    book,
+    registry,
     client,
-    gate: new EndpointRateLimiter({
+    rateLimiter: new EndpointRateLimiter({
       chooser: "coordinator",
       limits: new EndpointLimits(),
       configuration,
       random: new SeededRandom(2),
-      sharers: () => 1,
+      senderCount: () => 1,
     }),
     timer,
     budget,
@@ -169,7 +169,7 @@
       )
     );
   };
-  return { timer, client, book, run, outcomes };
+  return { timer, client, registry, run, outcomes };
 }
 
 test("a piece is never sent with only some of its inputs", async () => {
@@ -177,14 +177,14 @@
   // for a busy endpoint, the maker of one input crashes, and the endpoint becomes
   // free before that input is made again. The result would be made from half of
   // the request's inputs.
-  const { timer, client, book, run } = createWorld();
+  const { timer, client, registry, run } = createWorld();
   run("other", [0, 1]);
   run("a", [2, 1]);
   await timer.settle();
   client.make("encode-0");
   client.make("encode-1");
   await timer.settle();
-  book.retire({ id: "encode-1", bornAt: 0 });
+  registry.retire({ id: "encode-1", bornAt: 0 });
   await timer.settle();
   client.make("rerank-0");
   await timer.advance(100);
@@ -204,14 +204,14 @@
   // Guards against treating a leaving endpoint as gone: the call in flight is
   // aborted and its results are made again elsewhere, so chains take one call
   // longer and stage work is wasted.
-  const { timer, client, book, run } = createWorld();
+  const { timer, client, registry, run } = createWorld();
   run("a", [2, 1]);
   await timer.settle();
   client.make("encode-0");
   await timer.settle();
   for (const id of ["encode-0", "encode-1"]) {
-    const entry = book.find(id)?.entry;
-    if (entry !== undefined) book.upsert({ ...entry, isDraining: true }, 0);
+    const entry = registry.find(id)?.entry;
+    if (entry !== undefined) registry.upsert({ ...entry, isDraining: true }, 0);
   }
   await timer.settle();
   client.make("encode-1");
@@ -251,10 +251,10 @@
 
 // Guards against pieces that are sent to a zone under evacuation.
 test("pieces aren't sent to endpoints of an evacuated zone", async () => {
-  const { timer, client, book, run } = createWorld();
-  const known = book.find("encode-0")?.entry;
-  if (known !== undefined) book.upsert({ ...known, zone: "b" }, 0);
-  book.setEvacuatedZones(new Set(["b"]), 0);
+  const { timer, client, registry, run } = createWorld();
+  const known = registry.find("encode-0")?.entry;
+  if (known !== undefined) registry.upsert({ ...known, zone: "b" }, 0);
+  registry.setEvacuatedZones(new Set(["b"]), 0);
   run("a", [2, 0]);
   await timer.advance(100);
   const sentTo = client.open.map(({ call }) => call.endpoint.id);
@@ -263,12 +263,12 @@
 
 // Guards against callers that wait for pieces that no endpoint may make.
 test("chains fail when all zones of a service that they wait for are evacuated", async () => {
-  const { timer, client, book, run, outcomes } = createWorld();
+  const { timer, client, registry, run, outcomes } = createWorld();
   run("served", [1, 0]);
   run("other", [1, 0]);
   run("waits", [1, 0]);
   await timer.advance(10);
-  book.setEvacuatedZones(new Set(["a"]), 0);
+  registry.setEvacuatedZones(new Set(["a"]), 0);
   await timer.advance(10);
   expect(outcomes.get("waits")).toEqual("no_endpoint");
   client.make("encode-0");
--- a/packages/kelpspar-gateway/src/__tests__/unit/prompt_home_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/prompt_home_test.ts
@@ -26,19 +26,19 @@
 
 /** Placement of a coordinator that just started and knows no cached prompts. */
 function createPlacement(): ReaderPlacement {
-  const book = new EndpointRegistry();
-  for (let index = 0; index < ENDPOINTS; index++) book.upsert(entry(index), 0);
+  const registry = new EndpointRegistry();
+  for (let i = 0; i < ENDPOINTS; i++) registry.upsert(entry(i), 0);
   const configuration = new ActiveConfiguration();
   return new ReaderPlacement({
     configuration,
-    book,
+    registry,
     timer: new ManualTimer(),
-    gate: new EndpointRateLimiter({
+    rateLimiter: new EndpointRateLimiter({
       chooser: "coordinator",
       limits: new EndpointLimits(),
       configuration,
       random: new SeededRandom(1),
-      sharers: () => 1,
+      senderCount: () => 1,
     }),
   });
 }
--- a/packages/kelpspar-gateway/src/__tests__/unit/reading_plan_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/reading_plan_test.ts
@@ -102,9 +102,11 @@
   for (const drainMilliseconds of [2_600, 3_000, 4_000, 8_000]) {
     const times = relayTimes({ drainMilliseconds, sendMilliseconds });
     if (times === undefined) throw new Error("No time to relay");
-    const ownCall = times.fallbackJitterMilliseconds + times.limitMilliseconds;
-    const readerDisconnected = times.paceMilliseconds + times.waitMilliseconds +
-      times.limitMilliseconds;
+    const ownCall = times.fallbackJitterMilliseconds +
+      times.callTimeoutMilliseconds;
+    const readerDisconnected = times.pollIntervalMilliseconds +
+      times.waitMilliseconds +
+      times.callTimeoutMilliseconds;
     const readerStalled = times.followWaitMilliseconds +
       times.followTimeoutMilliseconds;
     for (const detection of [readerDisconnected, readerStalled]) {
@@ -112,7 +114,7 @@
         .toEqual(true);
     }
     // A reader answers its followers after each answer of the store.
-    const cycle = times.paceMilliseconds + times.waitMilliseconds;
+    const cycle = times.pollIntervalMilliseconds + times.waitMilliseconds;
     expect(cycle < times.followWaitMilliseconds).toEqual(true);
   }
   expect(relayTimes({ drainMilliseconds: 2_000, sendMilliseconds }))
--- a/packages/kelpspar-gateway/src/endpoints/endpoint_rate_limiter.ts
+++ b/packages/kelpspar-gateway/src/endpoints/endpoint_rate_limiter.ts
@@ -18,7 +18,7 @@
   readonly limits: Pick<EndpointLimits, "limitOf">;
   readonly random: RandomSource;
   /** Number of daemons that choose in this role, including this one. */
-  readonly sharers: () => number;
+  readonly senderCount: () => number;
 }
 
 /** Kind of a service, which determines who chooses its endpoints. */
@@ -82,7 +82,7 @@
   rateOf(endpoint: EndpointState, now: number): number | undefined {
     const limit = this.limitOf(endpoint, now);
     if (limit === undefined) return undefined;
-    return limit * this.#roleShare(endpoint) / this.#options.sharers();
+    return limit * this.#roleShare(endpoint) / this.#options.senderCount();
   }
 
   /** Whether the endpoint has no limit or may get a request now. */
@@ -96,7 +96,7 @@
     if (limit === undefined) return 0;
     return this.#pace.delayFor(endpoint.entry.id, {
       perSecond: limit * this.#roleShare(endpoint),
-      senders: this.#options.sharers(),
+      senders: this.#options.senderCount(),
       now,
     });
   }
--- a/packages/kelpspar-gateway/src/endpoints/list_timing.ts
+++ b/packages/kelpspar-gateway/src/endpoints/list_timing.ts
@@ -7,17 +7,17 @@
   /** Time from the choice of an endpoint until a request arrives there. */
   readonly sendMilliseconds: number;
   /** Longest backoff after a first failed call. */
-  readonly pauseMilliseconds: number;
+  readonly backoffMilliseconds: number;
 }
 
 /** Timing of the calls that read the list. */
 export interface ListTiming {
   /** Minimum time between the starts of two calls. */
-  readonly paceMilliseconds: number;
+  readonly pollIntervalMilliseconds: number;
   /** How long a call waits for a change (long poll). */
   readonly waitMilliseconds: number;
   /** Timeout of a call beyond `waitMilliseconds`. */
-  readonly limitMilliseconds: number;
+  readonly callTimeoutMilliseconds: number;
 }
 
 /**
@@ -46,14 +46,15 @@
  * meanwhile would get requests.
  */
 export function computeListTiming(bounds: ListTimingBounds): ListTiming {
-  const paceMilliseconds = bounds.drainMilliseconds * INTERVAL_SHARE;
+  const pollIntervalMilliseconds = bounds.drainMilliseconds * INTERVAL_SHARE;
   const left = bounds.contactMilliseconds - bounds.sendMilliseconds -
-    paceMilliseconds - CALL_TIMEOUT_MILLISECONDS - bounds.pauseMilliseconds -
+    pollIntervalMilliseconds - CALL_TIMEOUT_MILLISECONDS -
+    bounds.backoffMilliseconds -
     ANSWER_MARGIN_MILLISECONDS;
   const wait = Math.min(left, MAXIMUM_WAIT_MILLISECONDS);
   return {
-    paceMilliseconds,
+    pollIntervalMilliseconds,
     waitMilliseconds: Math.max(wait, MINIMUM_WAIT_MILLISECONDS),
-    limitMilliseconds: CALL_TIMEOUT_MILLISECONDS,
+    callTimeoutMilliseconds: CALL_TIMEOUT_MILLISECONDS,
   };
 }
--- a/packages/kelpspar-gateway/src/gateway_daemon.ts
+++ b/packages/kelpspar-gateway/src/gateway_daemon.ts
@@ -108,7 +108,7 @@
     const { self, timer, log } = options;
     this.anomalies = new AnomalyLog(log, this.metrics);
     this.era = new StoreEra({ timer, anomalies: this.anomalies });
-    const { configuration, registry: book, limits, era } = this;
+    const { configuration, registry, limits, era } = this;
     const storeAge = (): number =>
       Math.min(timer.now() - this.#tablesConfirmedAt, Number.MAX_SAFE_INTEGER);
     const membership = new FleetMembership(options);
@@ -145,7 +145,7 @@
       random: options.random,
       storeAge,
     });
-    const sharers: Readonly<Record<EndpointChooser, () => number>> = {
+    const senderCounts: Readonly<Record<EndpointChooser, () => number>> = {
       // A daemon that receives pieces without seeing itself as the coordinator
       // shares the endpoints with all daemons that may be in the same position.
       coordinator: () =>
@@ -154,18 +154,18 @@
           : membership.size + 1,
       daemon: () => membership.size + 1,
     };
-    const gate = (chooser: EndpointChooser): EndpointRateLimiter =>
+    const createRateLimiter = (chooser: EndpointChooser): EndpointRateLimiter =>
       new EndpointRateLimiter({
         chooser,
         configuration,
         limits,
         random: options.random,
-        sharers: () => sharers[chooser](),
+        senderCount: () => senderCounts[chooser](),
       });
     const coordinator = new PieceCoordinator({
       configuration,
-      book,
-      gate: gate("coordinator"),
+      registry,
+      rateLimiter: createRateLimiter("coordinator"),
       client: options.pieces,
       timer,
       budget,
@@ -183,9 +183,9 @@
     });
     const service = new RequestService({
       configuration,
-      endpointRegistry: book,
+      endpointRegistry: registry,
       endpoints: options.endpoints,
-      gate: gate("daemon"),
+      rateLimiter: createRateLimiter("daemon"),
       chainRunner: chains,
       budget,
       crashes: crashes.detector,
@@ -229,7 +229,7 @@
     options.notices.registerListener(
       createNoticeListener({
         ...options,
-        registry: book,
+        registry,
         limits,
         leavings,
         anomalies: this.anomalies,
@@ -249,7 +249,7 @@
     await listen(this.#peerServer, self.peer);
     await this.#front.listen(self.front);
     this.#fleet.register();
-    this.greet(seeds);
+    this.exchangeWithAll(seeds);
   }
 
   /** Sweeps missing entries until none is left. */
@@ -277,7 +277,7 @@
   }
 
   /** Exchanges digests with daemons that may run at `peers`. */
-  greet(peers: readonly string[]): void {
+  exchangeWithAll(peers: readonly string[]): void {
     const { self } = this.#options;
     this.#fleet.exchangeWithAll(peers.filter((peer) => peer !== self.peer));
   }
--- a/packages/kelpspar-gateway/src/pieces/call_target.ts
+++ b/packages/kelpspar-gateway/src/pieces/call_target.ts
@@ -24,19 +24,19 @@
   isRoomPolled = false;
   /** Set once the endpoint is gone; results that it still returns are lost. */
   isGone = false;
-  readonly #gate: EndpointRateLimiter;
+  readonly #rateLimiter: EndpointRateLimiter;
   readonly #results = new Map<string, KeptResult>();
 
-  constructor(endpoint: EndpointState, gate: EndpointRateLimiter) {
+  constructor(endpoint: EndpointState, rateLimiter: EndpointRateLimiter) {
     this.endpoint = endpoint;
-    this.#gate = gate;
+    this.#rateLimiter = rateLimiter;
   }
 
   /** True when another call may start. */
   isFree(terms: PieceTerms, now: number): boolean {
     return this.calls.size < terms.slots && this.pausedUntil <= now &&
       this.endpoint.remainingPauseMilliseconds(now) === 0 &&
-      this.#gate.isWithinLimit(this.endpoint, now);
+      this.#rateLimiter.isWithinLimit(this.endpoint, now);
   }
 
   /** Time until another call may start, milliseconds. */
@@ -46,7 +46,7 @@
   ): number {
     const pause = Math.max(
       this.endpoint.remainingPauseMilliseconds(options.now),
-      this.#gate.waitFor(this.endpoint, options.now),
+      this.#rateLimiter.waitFor(this.endpoint, options.now),
     );
     if (this.calls.size < terms.slots) return pause;
     const due = [...this.calls].map((call) =>
@@ -59,7 +59,7 @@
   rate(terms: PieceTerms, now: number): number {
     const slowness = Math.max(1, this.endpoint.slowness(now));
     const rate = piecesPerMillisecond(terms, [slowness]);
-    const callsPerSecond = this.#gate.rateOf(this.endpoint, now);
+    const callsPerSecond = this.#rateLimiter.rateOf(this.endpoint, now);
     if (callsPerSecond === undefined) return rate;
     const limit = callsPerSecond * terms.batch / MILLISECONDS_PER_SECOND;
     return Math.min(rate, limit);
@@ -69,7 +69,7 @@
   startCall(call: RunningCall, now: number): void {
     this.calls.add(call);
     this.endpoint.inFlight++;
-    this.#gate.recordRequest(this.endpoint, now);
+    this.#rateLimiter.recordRequest(this.endpoint, now);
   }
 
   /** Bytes free for results, less those reserved for in-flight calls. */
--- a/packages/kelpspar-gateway/src/pieces/call_targets.ts
+++ b/packages/kelpspar-gateway/src/pieces/call_targets.ts
@@ -8,21 +8,21 @@
 
 /** Dependencies of `CallTargets`. */
 export interface CallTargetsOptions {
-  readonly book: EndpointRegistry;
-  readonly gate: EndpointRateLimiter;
+  readonly registry: EndpointRegistry;
+  readonly rateLimiter: EndpointRateLimiter;
   readonly service: string;
 }
 
 /** The endpoints of one stage service, as targets of its scheduler's calls. */
 export class CallTargets {
-  readonly #book: EndpointRegistry;
-  readonly #gate: EndpointRateLimiter;
+  readonly #registry: EndpointRegistry;
+  readonly #rateLimiter: EndpointRateLimiter;
   readonly #service: string;
   readonly #targets = new Map<string, CallTarget>();
 
   constructor(options: CallTargetsOptions) {
-    this.#book = options.book;
-    this.#gate = options.gate;
+    this.#registry = options.registry;
+    this.#rateLimiter = options.rateLimiter;
     this.#service = options.service;
   }
 
@@ -31,7 +31,7 @@
    * Returns paused ones only if all are, so that callers can wait for them.
    */
   usable(now: number): readonly CallTarget[] {
-    const all = this.#book.availableFor(this.#service);
+    const all = this.#registry.availableFor(this.#service);
     const best = preferHealthy(all, now);
     return (best.length > 0 ? best : all).map((endpoint) =>
       this.#targetOf(endpoint)
@@ -41,7 +41,7 @@
   #targetOf(endpoint: EndpointState): CallTarget {
     const known = this.#targets.get(endpoint.entry.id);
     if (known !== undefined) return known;
-    const target = new CallTarget(endpoint, this.#gate);
+    const target = new CallTarget(endpoint, this.#rateLimiter);
     this.#targets.set(endpoint.entry.id, target);
     return target;
   }
--- a/packages/kelpspar-gateway/src/pieces/piece_coordinator.ts
+++ b/packages/kelpspar-gateway/src/pieces/piece_coordinator.ts
@@ -41,10 +41,10 @@
 /** Dependencies of `PieceCoordinator`. */
 export interface PieceCoordinatorOptions {
   readonly configuration: ActiveConfiguration;
-  readonly book: EndpointRegistry;
+  readonly registry: EndpointRegistry;
   readonly client: PieceClient;
   /** For endpoints of stages and for those at which it places requests. */
-  readonly gate: EndpointRateLimiter;
+  readonly rateLimiter: EndpointRateLimiter;
   readonly timer: TimerService;
   readonly budget: ServiceRetryBudget;
   readonly log: GatewayLog;
@@ -85,11 +85,11 @@
 
   /** Subscribes to endpoint and configuration changes; returns the teardown. */
   register(): () => void {
-    const { book, configuration } = this.#options;
+    const { registry, configuration } = this.#options;
     const teardowns = [
       this.#placement.register(),
-      book.registerGone((id, cause) => this.#endpointGone(id, cause)),
-      book.registerEvacuation(() => this.#zonesEvacuated()),
+      registry.registerGone((id, cause) => this.#endpointGone(id, cause)),
+      registry.registerEvacuation(() => this.#zonesEvacuated()),
       configuration.registerListener(() => this.#updateTerms()),
       () => this.#stopTimers?.(),
     ];
@@ -330,9 +330,9 @@
 
   /** Fails chains waiting for services whose zones are all evacuated. */
   #zonesEvacuated(): void {
-    const { book } = this.#options;
+    const { registry } = this.#options;
     const evacuated = [...this.#schedulers].filter(([service]) =>
-      book.isEvacuated(service)
+      registry.isEvacuated(service)
     ).map(([, scheduler]) => scheduler);
     for (const chain of [...this.#chains]) {
       if (!evacuated.some((scheduler) => scheduler.hasWaiting(chain))) continue;
--- a/packages/kelpspar-gateway/src/pieces/stage_scheduler.ts
+++ b/packages/kelpspar-gateway/src/pieces/stage_scheduler.ts
@@ -116,7 +116,8 @@
   }
 
   get hasEndpoints(): boolean {
-    return this.#options.book.availableFor(this.#options.service).length > 0;
+    return this.#options.registry.availableFor(this.#options.service).length >
+      0;
   }
 
   /** Logs queued and in-flight work. */
@@ -221,7 +222,7 @@
 
   #endpointReplaced(target: CallTarget, call: RunningCall): void {
     this.#log("endpoint replaced", target, call);
-    this.#options.book.retire(target.endpoint.entry);
+    this.#options.registry.retire(target.endpoint.entry);
     this.#retries.retryOrFail(call.tasks, "failed");
   }
 
@@ -285,7 +286,7 @@
    * fail again.
    */
   #endpointHadNoRoom(target: CallTarget, task: PieceTask): void {
-    const { book, client, timer } = this.#options;
+    const { registry, client, timer } = this.#options;
     const terms = this.#terms;
     const { resultBytes } = task.chain.stage(task.stage);
     target.recordNoRoom(resultBytes, { terms, now: this.#now() });
@@ -296,7 +297,7 @@
       client,
       timer,
       onRestart: (bornAt) =>
-        book.reportIncarnation(
+        registry.reportIncarnation(
           { ...target.endpoint.entry, bornAt },
           timer.now(),
         ),
--- a/packages/kelpspar-gateway/src/pieces/stage_scheduler_options.ts
+++ b/packages/kelpspar-gateway/src/pieces/stage_scheduler_options.ts
@@ -20,8 +20,8 @@
 export interface StageSchedulerOptions {
   readonly service: string;
   readonly terms: PieceTerms;
-  readonly book: EndpointRegistry;
-  readonly gate: EndpointRateLimiter;
+  readonly registry: EndpointRegistry;
+  readonly rateLimiter: EndpointRateLimiter;
   readonly client: PieceClient;
   readonly timer: TimerService;
   readonly budget: ServiceRetryBudget;
--- a/packages/kelpspar-gateway/src/placement/reader_placement.ts
+++ b/packages/kelpspar-gateway/src/placement/reader_placement.ts
@@ -26,8 +26,8 @@
 /** Dependencies of `ReaderPlacement`. */
 export interface ReaderPlacementOptions {
   readonly configuration: ActiveConfiguration;
-  readonly book: EndpointRegistry;
-  readonly gate: EndpointRateLimiter;
+  readonly registry: EndpointRegistry;
+  readonly rateLimiter: EndpointRateLimiter;
   readonly timer: TimerService;
 }
 
@@ -55,7 +55,7 @@
 
   /** Subscribes to the removal of endpoints; returns the teardown. */
   register(): () => void {
-    return this.#options.book.registerGone((id) =>
+    return this.#options.registry.registerGone((id) =>
       this.#tracker.endpointGone(id)
     );
   }
@@ -66,24 +66,28 @@
     reader: ChainReader,
     inputs: readonly ReaderInput[],
   ): Placement {
-    const { book, gate, timer } = this.#options;
+    const { registry, rateLimiter, timer } = this.#options;
     const now = timer.now();
     const promptTokens = sumTokens(reader.promptParts);
-    const all = book.availableFor(reader.service);
+    const all = registry.availableFor(reader.service);
     const usable = preferHealthy(all, now);
     if (usable.length === 0) return { type: "no_endpoint" };
     const open = preferHealthy(
-      all.filter((endpoint) => gate.isWithinLimit(endpoint, now)),
+      all.filter((endpoint) => rateLimiter.isWithinLimit(endpoint, now)),
       now,
     );
     if (open.length === 0) {
-      const waits = usable.map((endpoint) => gate.waitFor(endpoint, now));
+      const waits = usable.map((endpoint) =>
+        rateLimiter.waitFor(endpoint, now)
+      );
       return { type: "over_limit", waitMilliseconds: Math.min(...waits) };
     }
     // Without a prompt, daemons choose endpoints without limits themselves.
     const limited = promptTokens > 0
       ? []
-      : open.filter((endpoint) => gate.limitOf(endpoint, now) !== undefined);
+      : open.filter((endpoint) =>
+        rateLimiter.limitOf(endpoint, now) !== undefined
+      );
     const selectable = limited.length > 0 ? limited : open;
     const estimates = this.#estimateCaches(reader, selectable);
     const candidates = estimates.map(
@@ -104,8 +108,8 @@
     if (place === undefined || chosen === undefined) {
       return { type: "no_endpoint" };
     }
-    const limitPerSecond = gate.limitOf(chosen, now);
-    gate.recordRequest(chosen, now);
+    const limitPerSecond = rateLimiter.limitOf(chosen, now);
+    rateLimiter.recordRequest(chosen, now);
     const cachedAt = place.promptSourceId ?? place.endpointId;
     const cached = candidates.find((one) => one.endpointId === cachedAt)
       ?.cachedTokens ?? 0;
@@ -123,17 +127,19 @@
    * any endpoint of the service has no limit.
    */
   queueWait(service: string, ahead: number): number {
-    const { book, gate, timer } = this.#options;
+    const { registry, rateLimiter, timer } = this.#options;
     const now = timer.now();
-    const usable = preferHealthy(book.availableFor(service), now);
+    const usable = preferHealthy(registry.availableFor(service), now);
     let perSecond = 0;
     for (const endpoint of usable) {
-      const rate = gate.rateOf(endpoint, now);
+      const rate = rateLimiter.rateOf(endpoint, now);
       if (rate === undefined) return 0;
       perSecond += rate;
     }
     if (perSecond === 0) return 0;
-    const first = Math.min(...usable.map((one) => gate.waitFor(one, now)));
+    const first = Math.min(
+      ...usable.map((one) => rateLimiter.waitFor(one, now)),
+    );
     return first + ahead * MILLISECONDS_PER_SECOND / perSecond;
   }
 
@@ -143,9 +149,9 @@
    */
   zoneOfCachedPrompt(reader: ChainReader | undefined): string | undefined {
     if (reader === undefined) return undefined;
-    const { book, timer } = this.#options;
+    const { registry, timer } = this.#options;
     const endpoints = preferHealthy(
-      book.availableFor(reader.service),
+      registry.availableFor(reader.service),
       timer.now(),
     );
     let zone: string | undefined;
--- a/packages/kelpspar-gateway/src/requests/choose_request_endpoint.ts
+++ b/packages/kelpspar-gateway/src/requests/choose_request_endpoint.ts
@@ -12,7 +12,7 @@
 ): EndpointChoice | undefined {
   const { place, options } = run;
   if (place === undefined || tried.has(place.endpointId)) return undefined;
-  const { endpointRegistry, gate, timer } = options.dependencies;
+  const { endpointRegistry, rateLimiter, timer } = options.dependencies;
   const find = (id: string | undefined): EndpointState | undefined => {
     const found = id === undefined ? undefined : endpointRegistry.find(id);
     return found?.isHealthy(timer.now()) === true ? found : undefined;
@@ -21,7 +21,7 @@
   if (endpoint === undefined) return undefined;
   // The coordinator may not have read the endpoint's limit yet, or may have an
   // older one than this daemon.
-  const limit = gate.limitOf(endpoint, timer.now());
+  const limit = rateLimiter.limitOf(endpoint, timer.now());
   const isWithinLimit = limit === undefined ||
     (place.limitPerSecond !== undefined && place.limitPerSecond <= limit);
   if (!isWithinLimit) return undefined;
@@ -52,7 +52,7 @@
   tried: ReadonlySet<string>,
 ): EndpointChoice | undefined {
   const { dependencies, service } = run.options;
-  const { endpointRegistry, gate } = dependencies;
+  const { endpointRegistry, rateLimiter } = dependencies;
   const now = dependencies.timer.now();
   const choice = chooseEndpoint({
     endpoints: endpointRegistry.availableFor(service),
@@ -61,8 +61,8 @@
     affinity: affinityOf(run),
     random: dependencies.random,
     now,
-    isWithinLimit: (endpoint) => gate.isWithinLimit(endpoint, now),
+    isWithinLimit: (endpoint) => rateLimiter.isWithinLimit(endpoint, now),
   });
-  if (choice !== undefined) gate.recordRequest(choice.endpoint, now);
+  if (choice !== undefined) rateLimiter.recordRequest(choice.endpoint, now);
   return choice;
 }
--- a/packages/kelpspar-gateway/src/requests/endpoint_sender.ts
+++ b/packages/kelpspar-gateway/src/requests/endpoint_sender.ts
@@ -50,7 +50,7 @@
     ) =>
       !this.#triedEndpointIds.has(endpoint.entry.id) &&
       endpoint.remainingPauseMilliseconds(now) === 0 &&
-      dependencies.gate.limitOf(endpoint, now) !== undefined
+      dependencies.rateLimiter.limitOf(endpoint, now) !== undefined
     );
   }
 
@@ -225,7 +225,7 @@
       endpoint: endpoint.entry.id,
       home: home?.entry.id,
       isPlaced: isPlaced === true,
-      limitPerSecond: dependencies.gate.limitOf(endpoint, now),
+      limitPerSecond: dependencies.rateLimiter.limitOf(endpoint, now),
       inFlight: endpoint.inFlight,
       slowness: Number(endpoint.slowness(now).toFixed(2)),
       isSetAside: endpoint.isSetAside(now),
--- a/packages/kelpspar-gateway/src/requests/limited_endpoint_probes.ts
+++ b/packages/kelpspar-gateway/src/requests/limited_endpoint_probes.ts
@@ -7,7 +7,7 @@
 /** Options of `LimitedEndpointProbes`. */
 export interface LimitedEndpointProbesOptions {
   readonly endpointRegistry: Pick<EndpointRegistry, "availableFor">;
-  readonly gate: Pick<EndpointRateLimiter, "limitOf">;
+  readonly rateLimiter: Pick<EndpointRateLimiter, "limitOf">;
 }
 
 /**
@@ -28,9 +28,9 @@
   tryStartProbe(service: string, now: number): boolean {
     const probedAt = this.#probedAt.get(service) ?? Number.NEGATIVE_INFINITY;
     if (now - probedAt < PROBE_INTERVAL_MILLISECONDS) return false;
-    const { endpointRegistry, gate } = this.#options;
+    const { endpointRegistry, rateLimiter } = this.#options;
     const hasLimited = endpointRegistry.availableFor(service)
-      .some((endpoint) => gate.limitOf(endpoint, now) !== undefined);
+      .some((endpoint) => rateLimiter.limitOf(endpoint, now) !== undefined);
     if (hasLimited) this.#probedAt.set(service, now);
     return hasLimited;
   }
--- a/packages/kelpspar-gateway/src/requests/request_dependencies.ts
+++ b/packages/kelpspar-gateway/src/requests/request_dependencies.ts
@@ -17,7 +17,7 @@
   readonly endpointRegistry: EndpointRegistry;
   readonly endpoints: EndpointClient;
   /** Rate limits of the endpoints that this daemon chooses itself. */
-  readonly gate: EndpointRateLimiter;
+  readonly rateLimiter: EndpointRateLimiter;
   readonly chainRunner: ChainRunner;
   readonly budget: ServiceRetryBudget;
   readonly crashes: Pick<CrashDetector, "checkEndpoint">;
--- a/packages/kelpspar-gateway/src/tables/relay_times.ts
+++ b/packages/kelpspar-gateway/src/tables/relay_times.ts
@@ -9,11 +9,11 @@
 /** How often readers poll, and how long followers wait for their answers. */
 export interface RelayTimes {
   /** Least time between the starts of two reader calls, milliseconds. */
-  readonly paceMilliseconds: number;
+  readonly pollIntervalMilliseconds: number;
   /** How long a reader's call waits for a change, milliseconds. */
   readonly waitMilliseconds: number;
   /** Timeout of a reader's call, in addition to that wait, milliseconds. */
-  readonly limitMilliseconds: number;
+  readonly callTimeoutMilliseconds: number;
   /** Long-poll wait: a reader then answers without changes, milliseconds. */
   readonly followWaitMilliseconds: number;
   /** Timeout of a follow call, in addition to that wait, milliseconds. */
@@ -61,9 +61,9 @@
   const cycle = remaining - STORE_CALL_TIMEOUT_MILLISECONDS;
   if (cycle < MINIMUM_CYCLE_MILLISECONDS) return undefined;
   return {
-    paceMilliseconds: cycle - READER_WAIT_MILLISECONDS,
+    pollIntervalMilliseconds: cycle - READER_WAIT_MILLISECONDS,
     waitMilliseconds: READER_WAIT_MILLISECONDS,
-    limitMilliseconds: STORE_CALL_TIMEOUT_MILLISECONDS,
+    callTimeoutMilliseconds: STORE_CALL_TIMEOUT_MILLISECONDS,
     followWaitMilliseconds: remaining - FOLLOW_TIMEOUT_MILLISECONDS,
     followTimeoutMilliseconds: FOLLOW_TIMEOUT_MILLISECONDS,
     fallbackJitterMilliseconds: FALLBACK_JITTER_MILLISECONDS,
--- a/packages/kelpspar-gateway/src/tables/shared_tables.ts
+++ b/packages/kelpspar-gateway/src/tables/shared_tables.ts
@@ -37,7 +37,7 @@
   /** Called when a store call that began at `startedAt` failed. */
   readonly failed?: (startedAt: number) => void;
   /** Called when another daemon confirmed the table; see `FollowAnswer`. */
-  readonly confirmed?: (heldUntil: number | undefined) => void;
+  readonly confirmed?: (graceEndsAt: number | undefined) => void;
   /** Called when earlier versions and missing rows are no longer valid. */
   readonly restored?: () => void;
 }
@@ -50,8 +50,8 @@
   readonly random: RandomSource;
   readonly log: GatewayLog;
   readonly anomalies: Pick<AnomalyLog, "note">;
-  /** Decides whether a missing entry lapsed or its endpoint left. */
-  readonly lapses: MissingEntryGracePeriod;
+  /** Decides whether a missing entry expired or its endpoint left. */
+  readonly gracePeriod: MissingEntryGracePeriod;
   /** Undefined where the limits leave no time to relay tables. */
   readonly relayTimes: RelayTimes | undefined;
   readonly client: FollowClient;
@@ -195,7 +195,7 @@
       return {
         ...times,
         waitMilliseconds: 0,
-        paceMilliseconds: FALLBACK_POLL_MILLISECONDS,
+        pollIntervalMilliseconds: FALLBACK_POLL_MILLISECONDS,
         minimumRetryDelayMilliseconds: FALLBACK_RETRY_MILLISECONDS,
         maximumRetryDelayMilliseconds: FALLBACK_RETRY_MILLISECONDS,
       };
@@ -208,10 +208,10 @@
     const { timer } = this.#options;
     const now = timer.now();
     const { lapseMilliseconds, ageMilliseconds } = answer;
-    const heldUntil = lapseMilliseconds > 0
+    const graceEndsAt = lapseMilliseconds > 0
       ? now + lapseMilliseconds
       : undefined;
-    for (const item of this.#subscriptions) item.confirmed?.(heldUntil);
+    for (const item of this.#subscriptions) item.confirmed?.(graceEndsAt);
     this.#isSourceLost = false;
     this.#confirm(now - ageMilliseconds);
   }
--- a/packages/kelpspar-gateway/src/tables/table_changes.ts
+++ b/packages/kelpspar-gateway/src/tables/table_changes.ts
@@ -29,7 +29,7 @@
   isFresh: z.boolean(),
   /** Time since the store last confirmed them, milliseconds. */
   ageMilliseconds: z.number(),
-  /** Time in which missing entries may merely have lapsed, milliseconds. */
+  /** Time in which missing entries may merely have expired, milliseconds. */
   lapseMilliseconds: z.number(),
   tables: z.array(z.object({
     table: z.string(),
--- a/packages/kelpspar-gateway/src/tables/table_feed.ts
+++ b/packages/kelpspar-gateway/src/tables/table_feed.ts
@@ -11,9 +11,9 @@
   /** How long a call waits for a change, milliseconds. */
   readonly waitMilliseconds: number;
   /** Timeout beyond that wait, ms; the store client's default if absent. */
-  readonly limitMilliseconds?: number;
+  readonly callTimeoutMilliseconds?: number;
   /** Least time between the starts of two calls, milliseconds. */
-  readonly paceMilliseconds: number;
+  readonly pollIntervalMilliseconds: number;
   /** Range of the delay after a failed call, milliseconds. */
   readonly minimumRetryDelayMilliseconds?: number;
   readonly maximumRetryDelayMilliseconds: number;
@@ -120,10 +120,10 @@
 
   #pollInterval(): number {
     const { times, isUrgent } = this.#options;
-    const { paceMilliseconds } = times();
+    const { pollIntervalMilliseconds } = times();
     return isUrgent?.() === true
-      ? Math.min(paceMilliseconds, URGENT_POLL_MILLISECONDS)
-      : paceMilliseconds;
+      ? Math.min(pollIntervalMilliseconds, URGENT_POLL_MILLISECONDS)
+      : pollIntervalMilliseconds;
   }
 
   /** With jitter, so that daemons don't all retry a weak store at once. */
@@ -181,16 +181,20 @@
 
   #callTimes(waitMilliseconds: number): CallTimes {
     const failingSince = this.#failingSince;
-    const { limitMilliseconds } = this.#options.times();
+    const { callTimeoutMilliseconds } = this.#options.times();
     if (failingSince === undefined) {
       return {
         waitMilliseconds,
-        ...(limitMilliseconds === undefined ? {} : { limitMilliseconds }),
+        ...(callTimeoutMilliseconds === undefined
+          ? {}
+          : { callTimeoutMilliseconds }),
       };
     }
     const isLong =
       this.#options.timer.now() - failingSince > PROBE_PHASE_MILLISECONDS;
-    return isLong ? {} : { limitMilliseconds: PROBE_TIMEOUT_MILLISECONDS };
+    return isLong
+      ? {}
+      : { callTimeoutMilliseconds: PROBE_TIMEOUT_MILLISECONDS };
   }
 
   #onRecovered(): void {
--- a/packages/kelpspar-gateway/src/tables/table_relay.ts
+++ b/packages/kelpspar-gateway/src/tables/table_relay.ts
@@ -10,7 +10,7 @@
   readonly mirrors: ReadonlyMap<string, TableMirror>;
   readonly era: StoreEra;
   readonly freshness: TableFreshness;
-  readonly lapses: MissingEntryGracePeriod;
+  readonly gracePeriod: MissingEntryGracePeriod;
   readonly timer: TimerService;
 }
 
@@ -63,7 +63,7 @@
   }
 
   #createAnswer(request: FollowRequest): FollowAnswer {
-    const { era, freshness, lapses, mirrors, timer } = this.#options;
+    const { era, freshness, gracePeriod, mirrors, timer } = this.#options;
     const now = timer.now();
     // Versions of another era can't be compared.
     const isSameEra = request.era === (era.current ?? null);
@@ -80,7 +80,7 @@
       era: era.current ?? null,
       isFresh: this.#isFresh && tables.length === asked.length,
       ageMilliseconds: Number.isFinite(age) ? age : Number.MAX_SAFE_INTEGER,
-      lapseMilliseconds: Math.max(0, (lapses.endsAt(now) ?? now) - now),
+      lapseMilliseconds: Math.max(0, (gracePeriod.endsAt(now) ?? now) - now),
       tables,
     };
   }
--- a/packages/kelpspar-gateway/src/tables/table_store.ts
+++ b/packages/kelpspar-gateway/src/tables/table_store.ts
@@ -31,7 +31,7 @@
   /** How long the store may wait for a change, milliseconds. */
   readonly waitMilliseconds?: number;
   /** Timeout of the call, in addition to that wait, milliseconds. */
-  readonly limitMilliseconds?: number;
+  readonly callTimeoutMilliseconds?: number;
   /** Aborts the call when its answer is no longer needed. */
   readonly signal?: AbortSignal;
 }
--- a/packages/kelpspar-scenarios/src/guards/guards.ts
+++ b/packages/kelpspar-scenarios/src/guards/guards.ts
@@ -95,8 +95,8 @@
   {
     name: "calls are short while they fail",
     file: `${GATEWAY}/tables/table_feed.ts`,
-    code: "isLong ? {} : { limitMilliseconds: PROBE_TIMEOUT_MILLISECONDS }",
-    without: "isLong ? {} : { waitMilliseconds }",
+    code: "{ callTimeoutMilliseconds: PROBE_TIMEOUT_MILLISECONDS }",
+    without: "{ waitMilliseconds }",
     noticedBy: `${PLATFORM_TESTS}/list_outage_test.ts`,
   },
   {
--- a/packages/kelpspar-scenarios/src/guards/notice_guards.ts
+++ b/packages/kelpspar-scenarios/src/guards/notice_guards.ts
@@ -30,7 +30,7 @@
   {
     name: "calls with pieces count",
     file: `${GATEWAY}/pieces/call_target.ts`,
-    code: "this.#gate.recordRequest(this.endpoint, now);",
+    code: "this.#rateLimiter.recordRequest(this.endpoint, now);",
     without: "",
     noticedBy: `${TESTS}/limited_chains_test.ts`,
   },
