--- a/packages/kelpspar-client/src/addresses/address_book.ts
+++ b/packages/kelpspar-client/src/addresses/address_cache.ts
@@ -6,7 +6,7 @@
 } from "kelpspar-shared";
 import { KelpsparError, RESULT_CODES, toKelpsparError } from "kelpspar-shared";
 import { chooseDaemon } from "./choose_daemon.ts";
-import { daemonAtPlace, daemonPlace } from "./daemon_place.ts";
+import { daemonAtPlace, daemonPlace } from "./daemon_address.ts";
 
 /** What the address book works with. */
 export interface AddressBookOptions {
--- a/packages/kelpspar-client/src/addresses/fetch_addresses.ts
+++ b/packages/kelpspar-client/src/addresses/fetch_addresses.ts
@@ -6,8 +6,8 @@
 import type { DaemonTransport } from "../transport/daemon_transport.ts";
 import { KelpsparError } from "kelpspar-shared";
 import { readAnswerRecord } from "../records/read_answer_record.ts";
-import { ProgressWatch } from "../transport/progress_watch.ts";
-import { daemonPlace } from "./daemon_place.ts";
+import { ProgressWatch } from "../transport/progress_watchdog.ts";
+import { daemonPlace } from "./daemon_address.ts";
 import { readAddressAnswer } from "./read_address_answer.ts";
 
 /** How addresses are asked for. */
--- a/packages/kelpspar-client/src/kelpspar_client.ts
+++ b/packages/kelpspar-client/src/kelpspar_client.ts
@@ -8,14 +8,14 @@
 import type { RunOptions } from "./request/run_options.ts";
 import type { RunServices } from "./request/run_services.ts";
 import { setMaxListeners } from "node:events";
-import { AddressBook } from "./addresses/address_book.ts";
+import { AddressBook } from "./addresses/address_cache.ts";
 import { fetchAddresses } from "./addresses/fetch_addresses.ts";
 import { AnswerStream } from "./answer/answer_stream.ts";
 import { CLIENT_DEFAULTS } from "./kelpspar_client_options.ts";
 import { RequestRun } from "./request/request_run.ts";
 import { RetryBudget } from "./request/retry_budget.ts";
 import { DaemonTransport } from "./transport/daemon_transport.ts";
-import { ProgressWatch } from "./transport/progress_watch.ts";
+import { ProgressWatch } from "./transport/progress_watchdog.ts";
 
 /**
  * A caller's way to the daemons: finds one, submits requests, puts answers
--- a/packages/kelpspar-client/src/request/attempt.ts
+++ b/packages/kelpspar-client/src/request/attempt.ts
@@ -9,7 +9,7 @@
 import type { DaemonTransport } from "../transport/daemon_transport.ts";
 import type { AttemptResult, CutResult } from "./attempt_result.ts";
 import { ExchangeFailure } from "../transport/exchange_failure.ts";
-import { ProgressWatch } from "../transport/progress_watch.ts";
+import { ProgressWatch } from "../transport/progress_watchdog.ts";
 import { drainRecords, readRecords } from "../transport/read_records.ts";
 
 /** One exchange of a run. */
--- a/packages/kelpspar-client/src/request/daemon_choice.ts
+++ b/packages/kelpspar-client/src/request/daemon_selector.ts
@@ -9,7 +9,7 @@
   toFailureRecord,
   toKelpsparError,
 } from "kelpspar-shared";
-import { daemonPlace } from "../addresses/daemon_place.ts";
+import { daemonPlace } from "../addresses/daemon_address.ts";
 
 const KEY_BYTES = 16;
 
--- a/packages/kelpspar-client/src/request/run_services.ts
+++ b/packages/kelpspar-client/src/request/run_services.ts
@@ -3,7 +3,7 @@
   RandomSource,
   TimerService,
 } from "kelpspar-shared";
-import type { AddressBook } from "../addresses/address_book.ts";
+import type { AddressBook } from "../addresses/address_cache.ts";
 import type { DaemonTransport } from "../transport/daemon_transport.ts";
 import type { RetryBudget } from "./retry_budget.ts";
 
--- a/packages/kelpspar-client/src/transport/daemon_transport.ts
+++ b/packages/kelpspar-client/src/transport/daemon_transport.ts
@@ -1,9 +1,9 @@
 import type { DaemonAddress } from "kelpspar-shared";
 import type { DaemonExchange, OpenExchange } from "./daemon_exchange.ts";
 import { Client, Pool } from "undici";
-import { daemonPlace } from "../addresses/daemon_place.ts";
+import { daemonPlace } from "../addresses/daemon_address.ts";
 import { ExchangeFailure } from "./exchange_failure.ts";
-import { WatchedConnector } from "./watched_connector.ts";
+import { WatchedConnector } from "./tracking_connector.ts";
 
 /** How exchanges with daemons are carried. */
 export interface DaemonTransportOptions {
--- a/packages/kelpspar-client/src/transport/read_records.ts
+++ b/packages/kelpspar-client/src/transport/read_records.ts
@@ -1,6 +1,6 @@
 import type { AnswerRecord } from "kelpspar-shared";
 import type { OpenExchange } from "./daemon_exchange.ts";
-import type { ProgressWatch } from "./progress_watch.ts";
+import type { ProgressWatch } from "./progress_watchdog.ts";
 import { readJsonLines } from "kelpspar-shared";
 import { readAnswerRecord } from "../records/read_answer_record.ts";
 import { ExchangeFailure } from "./exchange_failure.ts";
