--- a/packages/kelpspar-client/src/__tests__/unit/advance_run_test.ts
+++ b/packages/kelpspar-client/src/__tests__/unit/advance_run_test.ts
@@ -9,9 +9,9 @@
 import { toRunError } from "../../request/run_error.ts";
 import { createRunState } from "../../request/run_state.ts";
 
-const names = Object.keys(RESULT_CODES) as ResultName[];
+const resultNames = Object.keys(RESULT_CODES) as ResultName[];
 
-const record: fc.Arbitrary<FailureRecord> = fc.constantFrom(...names).map(
+const record: fc.Arbitrary<FailureRecord> = fc.constantFrom(...resultNames).map(
   (name) => toFailureRecord(new KelpsparError(name, name)),
 );
 const result: fc.Arbitrary<UnfinishedResult> = fc.oneof(
@@ -30,7 +30,7 @@
   }),
 );
 
-/** Proof that the last submission was not run. */
+/** True if the result proves that the last submission was not run. */
 function provesNotRun(
   step: { readonly kind: StepKind; readonly mintsKeys: boolean },
   result: UnfinishedResult,
@@ -44,11 +44,11 @@
   return isAboutRun && result.record.outcome === "not_run";
 }
 
-test("a request that may run once is never submitted over an unknown", () => {
-  // Symptom: two spreaders go to one field.
-  // Sequence: a booking's answer is lost, or its daemon says so in any of the
-  // ways it can; the caller's library goes on in any order of steps.
-  // Cause: a refusal to attach or to look up was taken for a refusal to run.
+test("a non-idempotent request is never resubmitted while its outcome is unknown", () => {
+  // Guards against running a non-idempotent request twice. An answer is lost or
+  // refused in any way, and the library continues with any order of steps. The
+  // failure: a refused attach or look-up is treated as a request that did not
+  // run.
   fc.assert(
     fc.property(
       fc.boolean(),
--- a/packages/kelpspar-client/src/__tests__/unit/answer_assembler_test.ts
+++ b/packages/kelpspar-client/src/__tests__/unit/answer_assembler_test.ts
@@ -16,8 +16,8 @@
   };
 }
 
-/** One slot a unit, filled by whichever chunk brings it first. */
-function naiveText(chunks: readonly ChunkRecord[]): string {
+/** Reference implementation: the first chunk that covers a code unit sets it. */
+function referenceText(chunks: readonly ChunkRecord[]): string {
   const units: string[] = [];
   for (const { offset, text } of chunks) {
     for (let index = 0; index < text.length; index++) {
@@ -31,7 +31,7 @@
   return whole;
 }
 
-/** Chunks of `text`: overlapping, doubled, shuffled, some missing. */
+/** Chunks of `text`: overlapping, duplicated, shuffled, some missing. */
 function chunksOf(text: string): fc.Arbitrary<ChunkRecord[]> {
   const chunk = fc.tuple(fc.nat(text.length), fc.nat(8)).map(
     ([offset, length]): ChunkRecord => ({
@@ -51,7 +51,7 @@
   })
 );
 
-test("chunks in any order make what the naive version makes", () => {
+test("chunks in any order give the same text as the reference implementation", () => {
   fc.assert(
     fc.property(cases, ({ text, chunks, endAt }) => {
       const assembler = new AnswerAssembler();
@@ -59,7 +59,7 @@
       for (const [index, chunk] of chunks.entries()) {
         if (index === endAt) assembler.addEnd(endOf(text));
         pieces += assembler.addChunk(chunk);
-        expect(pieces).toEqual(naiveText(chunks.slice(0, index + 1)));
+        expect(pieces).toEqual(referenceText(chunks.slice(0, index + 1)));
       }
       assembler.addEnd(endOf(text));
       expect(assembler.text).toEqual(pieces);
@@ -71,11 +71,10 @@
   );
 });
 
-test("an answer that was cut or damaged is never whole", () => {
-  // Symptom: a caller acts on half a spread plan, taken for the whole.
-  // Sequence: a daemon dies while it streams; its host closes the connection
-  // in good order, so the stream ends without an error.
-  // Cause: the end of a stream was taken for the end of the answer.
+test("a truncated or corrupt answer is never whole", () => {
+  // Guards against returning a truncated answer as a whole one. A daemon dies
+  // while streaming and its host closes the connection cleanly. The failure:
+  // the end of the stream is treated as the end of the answer.
   fc.assert(
     fc.property(cases, fc.string({ maxLength: 30 }), ({ text }, other) => {
       const cut = new AnswerAssembler();
--- a/packages/kelpspar-client/src/__tests__/unit/fake_daemon.ts
+++ b/packages/kelpspar-client/src/__tests__/unit/fake_daemon.ts
@@ -16,20 +16,23 @@
 } from "kelpspar-shared";
 
 /** A request that a fake daemon received. */
-export interface SeenRequest {
+export interface ReceivedRequest {
   readonly method: string;
   readonly path: string;
   readonly body: Readonly<Record<string, unknown>>;
 }
 
-/** What a fake daemon does with a request. */
+/** Writes a fake daemon's response to a request. */
 export type FakeAnswer = (response: ServerResponse) => void;
 
-/** A scripted daemon on an ephemeral port. */
+/** A daemon with scripted answers, on an ephemeral port. */
 export class FakeDaemon {
-  readonly seen: SeenRequest[] = [];
+  readonly received: ReceivedRequest[] = [];
   readonly #server: Server;
-  /** Answers by `METHOD first part`, such as `POST /v1/requests`, in turn. */
+  /**
+   * Answers by method and path without the query, such as `POST /v1/requests`,
+   * or by method alone. They are given in order; the last one repeats.
+   */
   readonly script = new Map<string, FakeAnswer[]>();
   #daemons: () => readonly DaemonAddress[] = () => [this.address];
 
@@ -61,8 +64,8 @@
     };
   }
 
-  /** Names the daemons that this one's directory lists. */
-  lists(daemons: readonly DaemonAddress[]): void {
+  /** Sets the daemons that this daemon's directory lists. */
+  setListedDaemons(daemons: readonly DaemonAddress[]): void {
     this.#daemons = () => daemons;
   }
 
@@ -71,7 +74,7 @@
   }
 
   count(method: string): number {
-    return this.seen.filter((request) => request.method === method).length;
+    return this.received.filter((request) => request.method === method).length;
   }
 
   async stop(): Promise<void> {
@@ -92,7 +95,11 @@
       return;
     }
     const method = request.method ?? "";
-    this.seen.push({ method, path, body: text === "" ? {} : JSON.parse(text) });
+    this.received.push({
+      method,
+      path,
+      body: text === "" ? {} : JSON.parse(text),
+    });
     const answers = this.script.get(`${method} ${path.split("?")[0]}`) ??
       this.script.get(method) ?? [];
     const answer = answers.length > 1 ? answers.shift() : answers[0];
@@ -100,7 +107,7 @@
   }
 }
 
-/** Refuses an exchange with a result code. */
+/** Responds with the failure record of a result code. */
 export function refuse(
   name: ResultName,
   options: {
@@ -117,7 +124,7 @@
   };
 }
 
-/** Streams records and ends in good order. */
+/** Streams records, then closes the stream cleanly. */
 export function stream(...records: readonly AnswerRecord[]): FakeAnswer {
   return (response) => {
     response.writeHead(200);
@@ -127,7 +134,7 @@
   };
 }
 
-/** Streams records, then says nothing more and never ends. */
+/** Streams records, then sends nothing more and never closes the stream. */
 export function streamAndHang(
   onHang: () => void,
   ...records: readonly AnswerRecord[]
@@ -139,7 +146,7 @@
   };
 }
 
-/** Breaks the connection without an answer. */
+/** Closes the connection without an answer. */
 export function breakOff(response: ServerResponse): void {
   response.destroy();
 }
--- a/packages/kelpspar-client/src/__tests__/unit/kelpspar_client_test.ts
+++ b/packages/kelpspar-client/src/__tests__/unit/kelpspar_client_test.ts
@@ -15,11 +15,14 @@
   stream,
   streamAndHang,
 } from "./fake_daemon.ts";
-import { EXCHANGE_TIMEOUT, ObservedTimer } from "./observed_timer.ts";
+import {
+  EXCHANGE_TIMEOUT_MILLISECONDS,
+  ObservedTimer,
+} from "./observed_timer.ts";
 
 const PLAN = { pipeline: "plan", input: "soil", deadlineMilliseconds: 10_000 };
 const BOOKING = { ...PLAN, nonIdempotent: true };
-const WHOLE = stream(
+const COMPLETE_ANSWER = stream(
   accepted("r"),
   chunk(4, "wide"),
   chunk(0, "two "),
@@ -27,17 +30,17 @@
   end("r", "two wide"),
 );
 
-interface Setting {
+interface TestSetup {
   readonly timer: ObservedTimer;
   readonly daemons: readonly FakeDaemon[];
   readonly client: KelpsparClient;
 }
 
-/** Daemons in the order the client tries them, and a client that knows all. */
-async function createSetting(
+/** Daemons in the order in which the client tries them, and the client. */
+async function createTestSetup(
   context: TestContext,
   options: { readonly daemons?: number } = {},
-): Promise<Setting> {
+): Promise<TestSetup> {
   const timer = new ObservedTimer();
   const daemons: FakeDaemon[] = [];
   for (let index = 0; index < (options.daemons ?? 1); index++) {
@@ -45,7 +48,7 @@
     daemons.push(await new FakeDaemon(`d${index}`, zone).start());
   }
   for (const daemon of daemons) {
-    daemon.lists(daemons.map(({ address }) => address));
+    daemon.setListedDaemons(daemons.map(({ address }) => address));
   }
   const client = new KelpsparClient({
     seeds: daemons.map(({ place }) => place),
@@ -53,8 +56,8 @@
     availabilityZone: "own",
     timer,
     random: new SeededRandom(1),
-    progressTimeoutMilliseconds: EXCHANGE_TIMEOUT,
-    addressTimeoutMilliseconds: EXCHANGE_TIMEOUT,
+    progressTimeoutMilliseconds: EXCHANGE_TIMEOUT_MILLISECONDS,
+    addressTimeoutMilliseconds: EXCHANGE_TIMEOUT_MILLISECONDS,
   });
   context.after(async () => {
     await client.close();
@@ -63,22 +66,22 @@
   return { timer, daemons, client };
 }
 
-function only(daemons: readonly FakeDaemon[], index = 0): FakeDaemon {
+function daemonAt(daemons: readonly FakeDaemon[], index = 0): FakeDaemon {
   const daemon = daemons[index];
-  if (daemon === undefined) throw new Error(`There is no daemon ${index}`);
+  if (daemon === undefined) throw new Error(`Daemon ${index} does not exist`);
   return daemon;
 }
 
 async function errorOf(promise: Promise<unknown>): Promise<KelpsparError> {
   return await promise.then(
-    () => Promise.reject(new Error("It did not fail")),
+    () => Promise.reject(new Error("The promise did not reject")),
     (error: KelpsparError) => error,
   );
 }
 
-test("an answer in pieces out of order comes whole and in order", async (context) => {
-  const { timer, daemons, client } = await createSetting(context);
-  only(daemons).on("POST", WHOLE);
+test("chunks that arrive out of order are delivered in order", async (context) => {
+  const { timer, daemons, client } = await createTestSetup(context);
+  daemonAt(daemons).on("POST", COMPLETE_ANSWER);
   const answer = client.submit(PLAN);
   const pieces: string[] = [];
   await timer.drive((async () => {
@@ -88,12 +91,11 @@
   expect((await answer.whole()).text).toEqual("two wide");
 });
 
-test("a cut answer is resumed where it was cut", async (context) => {
-  // Symptom: a caller gets the first half of a plan.
-  // Sequence: the stream ends in good order, but without its end record.
-  // Cause: something closed the connection between the two ends.
-  const { timer, daemons, client } = await createSetting(context);
-  const daemon = only(daemons);
+test("an answer that was cut off is resumed at its offset", async (context) => {
+  // Guards against returning half an answer. A proxy closes the connection, so
+  // the stream ends cleanly but without its end record.
+  const { timer, daemons, client } = await createTestSetup(context);
+  const daemon = daemonAt(daemons);
   daemon.on("POST", stream(accepted("r"), chunk(0, "two ")));
   daemon.on(
     "GET",
@@ -101,17 +103,16 @@
   );
   const answer = await timer.drive(client.submitWhole(PLAN));
   expect(answer.text).toEqual("two wide");
-  expect(daemon.seen.map(({ path }) => path))
+  expect(daemon.received.map(({ path }) => path))
     .toEqual(["/v1/requests", "/v1/requests/r/stream?offset=4"]);
 });
 
-test("a silent connection is left and the answer resumed", async (context) => {
-  // Symptom: a caller waits until its deadline for an answer that is ready.
-  // Sequence: the daemon streams half, then the connection says nothing more
-  // and never closes, while new connections work.
-  // Cause: something between the two ends lost track of the connection.
-  const { timer, daemons, client } = await createSetting(context);
-  const daemon = only(daemons);
+test("a silent connection is abandoned and the answer resumed", async (context) => {
+  // Guards against waiting until the deadline for an answer that is ready. A
+  // device between the two ends loses the connection's state in mid-answer: the
+  // connection stays open and silent, while new connections work.
+  const { timer, daemons, client } = await createTestSetup(context);
+  const daemon = daemonAt(daemons);
   let hang = (): void => {};
   const hangs = new Promise<void>((resolve) => hang = resolve);
   daemon.on("POST", streamAndHang(hang, accepted("r"), chunk(0, "two ")));
@@ -123,38 +124,38 @@
   expect((await pieces.next()).value).toEqual("two ");
   const rest = pieces.next();
   await hangs;
-  await timer.manual.advance(EXCHANGE_TIMEOUT);
+  await timer.manual.advance(EXCHANGE_TIMEOUT_MILLISECONDS);
   expect((await timer.drive(rest)).value).toEqual("wide");
 });
 
-test("a booking whose answer is lost is looked up, not sent again", async (context) => {
-  // Symptom: two trucks go to one quarter section.
-  // Sequence: the daemon takes the booking and the connection breaks before
-  // the answer; the caller's library tries again.
-  // Cause: a broken connection was taken for proof that nothing arrived.
-  const { timer, daemons, client } = await createSetting(context, {
+test("a booking whose answer is lost is looked up, not resubmitted", async (context) => {
+  // Guards against running a booking twice. The daemon accepts it and the
+  // connection breaks before the answer. The failure: a broken connection is
+  // treated as proof that nothing arrived.
+  const { timer, daemons, client } = await createTestSetup(context, {
     daemons: 2,
   });
-  const daemon = only(daemons);
+  const daemon = daemonAt(daemons);
   daemon.on("POST", breakOff);
-  daemon.on("GET", refuse("in_progress"), breakOff, WHOLE);
-  only(daemons, 1).on("GET", refuse("request_not_found"));
+  daemon.on("GET", refuse("in_progress"), breakOff, COMPLETE_ANSWER);
+  daemonAt(daemons, 1).on("GET", refuse("request_not_found"));
   const answer = await timer.drive(client.submitWhole(BOOKING));
   expect(answer.text).toEqual("two wide");
-  expect([daemon.count("POST"), only(daemons, 1).count("POST")])
+  expect([daemon.count("POST"), daemonAt(daemons, 1).count("POST")])
     .toEqual([1, 0]);
-  const key = String(daemon.seen[0]?.body["idempotencyKey"]);
+  const key = String(daemon.received[0]?.body["idempotencyKey"]);
   expect(/^@d0\/7\.[0-9a-f]{32}$/.test(key)).toEqual(true);
-  expect(daemon.seen[1]?.path)
+  expect(daemon.received[1]?.path)
     .toEqual(`/v1/requests/by-key/${encodeURIComponent(key)}`);
 });
 
-test("a booking that nobody knows of any more has an unknown outcome", async (context) => {
-  // Symptom: a caller is told "not run" and books again; both ran.
-  // Sequence: the answer is lost, and no daemon finds the request later.
-  // Cause: not finding a request was taken for proof that it never ran.
-  const { timer, daemons, client } = await createSetting(context);
-  const daemon = only(daemons);
+test("a booking that no daemon finds has an unknown outcome", async (context) => {
+  // Guards against reporting `not_run` for a booking that ran, after which the
+  // caller books again. The answer is lost and no daemon finds the request
+  // later. The failure: `request_not_found` is treated as proof that it never
+  // ran.
+  const { timer, daemons, client } = await createTestSetup(context);
+  const daemon = daemonAt(daemons);
   daemon.on("POST", breakOff);
   const error = await timer.drive(errorOf(client.submitWhole(BOOKING)));
   expect([error.result, error.outcome])
@@ -164,32 +165,34 @@
   expect(timer.now() > 8_000 && timer.now() <= 10_000).toEqual(true);
 });
 
-test("a booking that was not run goes elsewhere under a new key", async (context) => {
-  const { timer, daemons, client } = await createSetting(context, {
+test("a booking that was not run is submitted to another daemon with a new key", async (context) => {
+  const { timer, daemons, client } = await createTestSetup(context, {
     daemons: 3,
   });
-  const [first, second, third] = [0, 1, 2].map((index) => only(daemons, index));
+  const [first, second, third] = [0, 1, 2].map((index) =>
+    daemonAt(daemons, index)
+  );
   first?.on("POST", refuse("draining", { elsewhere: [third?.place ?? ""] }));
-  third?.on("POST", WHOLE);
+  third?.on("POST", COMPLETE_ANSWER);
   await timer.drive(client.submitWhole(BOOKING));
   const keys = [first, third].map((daemon) =>
-    String(daemon?.seen[0]?.body["idempotencyKey"]).split("/")[0]
+    String(daemon?.received[0]?.body["idempotencyKey"]).split("/")[0]
   );
   expect(keys).toEqual(["@d0", "@d2"]);
-  expect(second?.seen).toEqual([]);
+  expect(second?.received).toEqual([]);
 });
 
-test("a booking that reached a daemon's successor goes on under a new key", async (context) => {
-  // Symptom: bookings fail as `outcome_unknown` whenever a VM is replaced.
-  // Sequence: a daemon is replaced under its address; callers who kept the old
-  // answer send the successor a key that is bound to its predecessor.
-  // Cause: the successor's honest "I cannot know" was taken for an unknown
-  // outcome, though the key had gone nowhere else.
-  const { timer, daemons, client } = await createSetting(context, {
+test("a booking that reached a daemon's successor is resubmitted with a new key", async (context) => {
+  // Guards against bookings that fail with `outcome_unknown` whenever a VM is
+  // replaced. A daemon is replaced under its address, and callers with cached
+  // addresses send its successor a key that is bound to the predecessor. The
+  // failure: the successor's answer `outcome_unknown` is accepted, although the
+  // key was sent to no other daemon.
+  const { timer, daemons, client } = await createTestSetup(context, {
     daemons: 2,
   });
-  only(daemons).on("POST", refuse("wrong_daemon"));
-  only(daemons, 1).on("POST", WHOLE);
+  daemonAt(daemons).on("POST", refuse("wrong_daemon"));
+  daemonAt(daemons, 1).on("POST", COMPLETE_ANSWER);
   const answer = await timer.drive(client.submitWhole(BOOKING));
   expect(answer.text).toEqual("two wide");
   const own = { ...BOOKING, idempotencyKey: "@d0/7.own" };
@@ -198,28 +201,27 @@
 });
 
 test("a refused connection proves that a booking was not run", async (context) => {
-  const { timer, daemons, client } = await createSetting(context, {
+  const { timer, daemons, client } = await createTestSetup(context, {
     daemons: 2,
   });
-  only(daemons, 1).on("POST", WHOLE);
-  const stale = [0, 1].map((index) => only(daemons, index).address);
-  await only(daemons).stop();
-  only(daemons, 1).lists(stale);
+  daemonAt(daemons, 1).on("POST", COMPLETE_ANSWER);
+  const stale = [0, 1].map((index) => daemonAt(daemons, index).address);
+  await daemonAt(daemons).stop();
+  daemonAt(daemons, 1).setListedDaemons(stale);
   const answer = await timer.drive(client.submitWhole(BOOKING));
   expect(answer.text).toEqual("two wide");
 });
 
 test("texts of two runs are never mixed", async (context) => {
-  // Symptom: a plan begins with one rate and ends with another.
-  // Sequence: a daemon dies in mid-answer, and the request runs again
-  // elsewhere, where generation takes another turn.
-  // Cause: pieces were put together without regard to the run they are of.
+  // Guards against an answer that joins two different texts. A daemon dies in
+  // mid-answer, and the request runs again at another daemon, which generates a
+  // different text. The failure: pieces are joined without checking their run.
   for (const isStreamed of [true, false]) {
-    const { timer, daemons, client } = await createSetting(context, {
+    const { timer, daemons, client } = await createTestSetup(context, {
       daemons: 2,
     });
-    only(daemons).on("POST", stream(accepted("q"), chunk(0, "one t")));
-    only(daemons, 1).on("POST", WHOLE);
+    daemonAt(daemons).on("POST", stream(accepted("q"), chunk(0, "one t")));
+    daemonAt(daemons, 1).on("POST", COMPLETE_ANSWER);
     const answer = client.submit(PLAN);
     const read = async (): Promise<string> => {
       let text = "";
@@ -237,12 +239,12 @@
 });
 
 test("a stream of another request is never used", async (context) => {
-  // Symptom: a grower reads another grower's booking.
-  // Sequence: a cut answer is resumed at a daemon that streams another one.
-  // Cause: a stream was taken for one's own because it answered the call.
-  const { timer, daemons, client } = await createSetting(context);
-  const daemon = only(daemons);
-  daemon.on("POST", stream(accepted("r"), chunk(0, "two ")), WHOLE);
+  // Guards against delivering another caller's answer. A cut answer is resumed,
+  // but the daemon streams another request. The failure: the stream is accepted
+  // without checking its request id.
+  const { timer, daemons, client } = await createTestSetup(context);
+  const daemon = daemonAt(daemons);
+  daemon.on("POST", stream(accepted("r"), chunk(0, "two ")), COMPLETE_ANSWER);
   daemon.on(
     "GET",
     stream(accepted("q"), chunk(4, "bags"), end("q", "two bags")),
@@ -251,28 +253,30 @@
   expect([answer.requestId, answer.text]).toEqual(["r", "two wide"]);
 });
 
-test("a refusal after a lost run does not claim that nothing ran", async (context) => {
-  const { timer, daemons, client } = await createSetting(context, {
+test("a refusal after a lost run does not report `not_run`", async (context) => {
+  const { timer, daemons, client } = await createTestSetup(context, {
     daemons: 2,
   });
-  only(daemons).on("POST", breakOff);
-  only(daemons, 1).on("POST", refuse("not_allowed"));
+  daemonAt(daemons).on("POST", breakOff);
+  daemonAt(daemons, 1).on("POST", refuse("not_allowed"));
   const named = { ...PLAN, idempotencyKey: "plan 12" };
   const error = await timer.drive(errorOf(client.submitWhole(named)));
-  const flags = daemons.map(({ seen }) => seen[0]?.body["resubmission"]);
+  const flags = daemons.map(({ received }) =>
+    received[0]?.body["resubmission"]
+  );
   expect(flags).toEqual([undefined, true]);
   expect([error.result, error.outcome])
     .toEqual(["not_allowed", "outcome_unknown"]);
 });
 
-test("a daemon's wish to wait is kept, and told at once when too long", async (context) => {
-  const { timer, daemons, client } = await createSetting(context);
+test("a retry-after is respected, or fails at once if it exceeds the deadline", async (context) => {
+  const { timer, daemons, client } = await createTestSetup(context);
   const busy = { retryAfterMilliseconds: 400 };
-  only(daemons).on("POST", refuse("overloaded", busy), WHOLE);
+  daemonAt(daemons).on("POST", refuse("overloaded", busy), COMPLETE_ANSWER);
   await timer.drive(client.submitWhole(PLAN));
   expect(timer.now() >= 400 && timer.now() < 700).toEqual(true);
   const before = timer.now();
-  only(daemons).script.set("POST", [
+  daemonAt(daemons).script.set("POST", [
     refuse("overloaded", { retryAfterMilliseconds: 60_000 }),
   ]);
   const error = await timer.drive(errorOf(client.submitWhole(PLAN)));
@@ -281,16 +285,16 @@
 });
 
 test("retries stop when the budget is spent", async (context) => {
-  const { timer, daemons, client } = await createSetting(context);
-  only(daemons).on("POST", stream(accepted("r"), failure("stage_failed")));
+  const { timer, daemons, client } = await createTestSetup(context);
+  daemonAt(daemons).on("POST", stream(accepted("r"), failure("stage_failed")));
   const errors = [1, 2, 3].map(() => errorOf(client.submitWhole(PLAN)));
   await timer.drive(Promise.all(errors));
-  expect(only(daemons).count("POST")).toEqual(3 + 10);
+  expect(daemonAt(daemons).count("POST")).toEqual(3 + 10);
 });
 
-test("a reader that leaves cancels the request", async (context) => {
-  const { timer, daemons, client } = await createSetting(context);
-  const daemon = only(daemons);
+test("leaving the iteration early cancels the request", async (context) => {
+  const { timer, daemons, client } = await createTestSetup(context);
+  const daemon = daemonAt(daemons);
   daemon.on("POST", streamAndHang(() => {}, accepted("r"), chunk(0, "two ")));
   daemon.on("DELETE", refuse("request_not_found"));
   for await (const piece of client.submit(PLAN)) {
@@ -300,5 +304,5 @@
   for (let turn = 0; turn < 100 && daemon.count("DELETE") === 0; turn++) {
     await timer.manual.settle();
   }
-  expect(daemon.seen[1]?.path).toEqual("/v1/requests/r");
+  expect(daemon.received[1]?.path).toEqual("/v1/requests/r");
 });
--- a/packages/kelpspar-client/src/__tests__/unit/observed_timer.ts
+++ b/packages/kelpspar-client/src/__tests__/unit/observed_timer.ts
@@ -1,13 +1,13 @@
 import type { TimerService } from "kelpspar-shared";
 import { ManualTimer } from "kelpspar-shared";
 
-/** How long an exchange may be silent in these tests, milliseconds. */
-export const EXCHANGE_TIMEOUT = 2_000;
+/** Progress timeout of exchanges in these tests. */
+export const EXCHANGE_TIMEOUT_MILLISECONDS = 2_000;
 
 /**
- * A manual timer that knows whether an exchange is waiting for its peer, so
- * that a test lets time pass only while none is: real sockets take turns of
- * the event loop that virtual time must not overtake.
+ * A manual timer that tracks exchanges that are waiting for their peer and
+ * advances virtual time only while there are none. Real sockets need turns of
+ * the event loop, and virtual time must not expire their timeouts meanwhile.
  */
 export class ObservedTimer implements TimerService {
   readonly manual = new ManualTimer();
@@ -22,7 +22,7 @@
   }
 
   registerTimeout(listener: () => void, milliseconds: number): () => void {
-    if (milliseconds !== EXCHANGE_TIMEOUT) {
+    if (milliseconds !== EXCHANGE_TIMEOUT_MILLISECONDS) {
       return this.manual.registerTimeout(listener, milliseconds);
     }
     this.#exchanges++;
@@ -45,7 +45,7 @@
     return this.manual.registerInterval(listener, milliseconds);
   }
 
-  /** Lets time pass between exchanges until `promise` settles. */
+  /** Advances time between exchanges until `promise` settles. */
   async drive<Result>(promise: Promise<Result>): Promise<Result> {
     let isSettled = false;
     const settle = (): void => {
--- a/packages/kelpspar-client/src/addresses/address_cache.ts
+++ b/packages/kelpspar-client/src/addresses/address_cache.ts
@@ -6,24 +6,24 @@
 } from "kelpspar-shared";
 import { KelpsparError, RESULT_CODES, toKelpsparError } from "kelpspar-shared";
 import { chooseDaemon } from "./choose_daemon.ts";
-import { daemonAtPlace, daemonPlace } from "./daemon_address.ts";
+import { parseHostPort, toHostPort } from "./daemon_address.ts";
 
-/** What the address book works with. */
-export interface AddressBookOptions {
-  /** Daemons to ask first, as `address:port`. */
+/** Configuration of an `AddressCache`. */
+export interface AddressCacheOptions {
+  /** Daemons to query first, as `address:port`. */
   readonly seeds: readonly string[];
   readonly availabilityZone: string | undefined;
-  /** Asks one daemon; throws KelpsparError. */
+  /** Queries one daemon; throws KelpsparError. */
   readonly fetch: (daemon: DaemonAddress) => Promise<AddressAnswer>;
   readonly timer: TimerService;
   readonly random: RandomSource;
 }
 
-/** Which daemon a step wants. */
-export interface DaemonWish {
-  /** Places that did not serve this request, as `address:port`. */
+/** Constraints on the daemon for a step. */
+export interface DaemonCriteria {
+  /** Daemons that did not serve this request, as `address:port`. */
   readonly avoid: ReadonlySet<string>;
-  /** Places that a daemon named instead of itself. */
+  /** Daemons that a daemon suggested instead of itself, as `address:port`. */
   readonly elsewhere?: readonly string[];
   /** The daemon that a key is bound to. */
   readonly incarnation?: string | undefined;
@@ -32,83 +32,91 @@
 }
 
 /**
- * What this caller knows of the daemons. Answers are kept for as long as they
- * allow and may be stale: whichever daemon is reached corrects them, and a
- * refused connection lets the book ask another daemon. No daemon keeps any
- * state for it.
+ * Caches the daemons' addresses for one caller. An answer is cached for the
+ * time that it states and may be stale: any daemon that can be reached supplies
+ * a newer one, and after a refused connection the cache queries another daemon.
+ * Daemons keep no state for the cache.
  *
  * Source: the brief, "What the platform gives": callers ask which addresses to
  * use and keep the answer for a while.
  */
-export class AddressBook {
-  readonly #options: AddressBookOptions;
+export class AddressCache {
+  readonly #options: AddressCacheOptions;
   #daemons: readonly DaemonAddress[] = [];
-  #keptUntil = -Infinity;
-  #asking: Promise<void> | undefined;
+  #expiresAt = -Infinity;
+  #pendingRefresh: Promise<void> | undefined;
 
-  constructor(options: AddressBookOptions) {
+  constructor(options: AddressCacheOptions) {
     this.#options = options;
   }
 
-  /** Lets the next choice ask anew; what is known stays as a last resort. */
+  /**
+   * Makes the next `choose` refresh the addresses. The cached addresses remain
+   * as a fallback.
+   */
   invalidate(): void {
-    this.#keptUntil = -Infinity;
+    this.#expiresAt = -Infinity;
   }
 
   /** Throws KelpsparError, `not_run`, when no daemon is known. */
-  async choose(wish: DaemonWish): Promise<DaemonAddress> {
-    if (this.#options.timer.now() >= this.#keptUntil) await this.#ask();
+  async choose(criteria: DaemonCriteria): Promise<DaemonAddress> {
+    if (this.#options.timer.now() >= this.#expiresAt) await this.#refresh();
     const bound = this.#daemons.find((daemon) =>
-      daemon.incarnation === wish.incarnation
+      daemon.incarnation === criteria.incarnation
     );
-    if (bound !== undefined && !wish.avoid.has(daemonPlace(bound))) {
+    if (
+      bound !== undefined && !criteria.avoid.has(toHostPort(bound))
+    ) {
       return bound;
     }
-    const chosen = this.#chooseElsewhere(wish) ?? this.#chooseAny(wish);
+    const chosen = this.#chooseSuggested(criteria) ?? this.#chooseAny(criteria);
     if (chosen !== undefined) return chosen;
     throw new KelpsparError(
       "peer_unavailable",
-      `None of the seeds "${this.#options.seeds.join(", ")}" named a daemon`,
+      `Cannot choose a daemon: none of the seeds "${
+        this.#options.seeds.join(", ")
+      }" returned an address`,
     );
   }
 
-  #chooseElsewhere(wish: DaemonWish): DaemonAddress | undefined {
-    const places = (wish.elsewhere ?? []).filter((place) =>
-      !wish.avoid.has(place)
+  #chooseSuggested(criteria: DaemonCriteria): DaemonAddress | undefined {
+    const places = (criteria.elsewhere ?? []).filter((place) =>
+      !criteria.avoid.has(place)
     );
     const known = this.#daemons.filter((daemon) =>
-      places.includes(daemonPlace(daemon))
+      places.includes(toHostPort(daemon))
     );
     if (known.length > 0) return chooseDaemon(known, this.#options);
-    if (wish.bindsKey || places.length === 0) return undefined;
+    if (criteria.bindsKey || places.length === 0) return undefined;
     const place = places[this.#options.random.nextInteger(places.length)];
-    return place === undefined ? undefined : daemonAtPlace(place);
+    return place === undefined ? undefined : parseHostPort(place);
   }
 
-  #chooseAny(wish: DaemonWish): DaemonAddress | undefined {
-    const left = this.#daemons.filter((daemon) =>
-      !wish.avoid.has(daemonPlace(daemon))
+  #chooseAny(criteria: DaemonCriteria): DaemonAddress | undefined {
+    const remaining = this.#daemons.filter((daemon) =>
+      !criteria.avoid.has(toHostPort(daemon))
     );
-    const candidates = left.length > 0 ? left : this.#daemons;
+    const candidates = remaining.length > 0 ? remaining : this.#daemons;
     return chooseDaemon(candidates, this.#options);
   }
 
-  /** Requests that need the answer at the same time share one question. */
-  #ask(): Promise<void> {
-    this.#asking ??= this.#askEach().finally(() => {
-      this.#asking = undefined;
+  /** Concurrent callers share one refresh. */
+  #refresh(): Promise<void> {
+    this.#pendingRefresh ??= this.#refreshFromFirst().finally(() => {
+      this.#pendingRefresh = undefined;
     });
-    return this.#asking;
+    return this.#pendingRefresh;
   }
 
-  async #askEach(): Promise<void> {
+  /** Uses the first source that returns addresses. */
+  async #refreshFromFirst(): Promise<void> {
     let failure: KelpsparError | undefined;
-    for (const daemon of this.#inTurn()) {
+    for (const daemon of this.#listSources()) {
       try {
         const answer = await this.#options.fetch(daemon);
         if (answer.daemons.length === 0) continue;
         this.#daemons = answer.daemons;
-        this.#keptUntil = this.#options.timer.now() + answer.keepMilliseconds;
+        this.#expiresAt = this.#options.timer.now() + answer.keepMilliseconds;
         return;
       } catch (error) {
         failure = toKelpsparError(error, "peer_unavailable");
@@ -119,26 +127,26 @@
     throw failure;
   }
 
-  /** Daemons known from before, then the seeds, each in an order by chance. */
-  #inTurn(): DaemonAddress[] {
-    const seeds = this.#options.seeds.map(daemonAtPlace);
+  /** The cached daemons, then the seeds, each group in random order. */
+  #listSources(): DaemonAddress[] {
+    const seeds = this.#options.seeds.map(parseHostPort);
     const places = new Map<string, DaemonAddress>();
     for (
       const daemon of [...this.#shuffle(this.#daemons), ...this.#shuffle(seeds)]
     ) {
-      if (!places.has(daemonPlace(daemon))) {
-        places.set(daemonPlace(daemon), daemon);
+      if (!places.has(toHostPort(daemon))) {
+        places.set(toHostPort(daemon), daemon);
       }
     }
     return [...places.values()];
   }
 
   #shuffle(daemons: readonly DaemonAddress[]): DaemonAddress[] {
-    const left = [...daemons];
+    const remaining = [...daemons];
     const shuffled: DaemonAddress[] = [];
-    while (left.length > 0) {
-      const index = this.#options.random.nextInteger(left.length);
-      shuffled.push(...left.splice(index, 1));
+    while (remaining.length > 0) {
+      const index = this.#options.random.nextInteger(remaining.length);
+      shuffled.push(...remaining.splice(index, 1));
     }
     return shuffled;
   }
--- a/packages/kelpspar-client/src/addresses/choose_daemon.ts
+++ b/packages/kelpspar-client/src/addresses/choose_daemon.ts
@@ -1,15 +1,15 @@
 import type { DaemonAddress, RandomSource } from "kelpspar-shared";
 
-/** How to choose among daemons. */
+/** Options of `chooseDaemon`. */
 export interface ChooseDaemonOptions {
-  /** The caller's own; other zones serve only when it has no daemon. */
+  /** The caller's zone; other zones are used only if it has no daemon. */
   readonly availabilityZone: string | undefined;
   readonly random: RandomSource;
 }
 
 /**
- * Chooses by weight, in the caller's own availability zone if it can.
- * Undefined only when there is no daemon.
+ * Chooses a daemon at random by weight, preferring the caller's availability
+ * zone. Returns undefined only if there is no daemon.
  */
 export function chooseDaemon(
   daemons: readonly DaemonAddress[],
@@ -24,11 +24,14 @@
   if (candidates.length === 0) {
     return daemons[random.nextInteger(Math.max(1, daemons.length))];
   }
-  const sum = candidates.reduce((total, { weight }) => total + weight, 0);
-  let left = random.next() * sum;
+  const totalWeight = candidates.reduce(
+    (total, { weight }) => total + weight,
+    0,
+  );
+  let remaining = random.next() * totalWeight;
   for (const daemon of candidates) {
-    left -= daemon.weight;
-    if (left < 0) return daemon;
+    remaining -= daemon.weight;
+    if (remaining < 0) return daemon;
   }
   return candidates[candidates.length - 1];
 }
--- a/packages/kelpspar-client/src/addresses/daemon_address.ts
+++ b/packages/kelpspar-client/src/addresses/daemon_address.ts
@@ -1,18 +1,19 @@
 import type { DaemonAddress } from "kelpspar-shared";
 import { parseHost } from "kelpspar-shared";
 
-/** Where a daemon is, as `address:port`. */
-export function daemonPlace(
+/** Formats a daemon's network address as `address:port`. */
+export function toHostPort(
   daemon: Pick<DaemonAddress, "address" | "port">,
 ): string {
   return `${daemon.address}:${daemon.port}`;
 }
 
 /**
- * A daemon of which only the place is known: a seed, or one that another
- * daemon named. No key can be bound to it.
+ * Parses `address:port` of a daemon about which nothing else is known: a seed,
+ * or a daemon that another daemon suggested. No key can be bound to it, because
+ * its incarnation is unknown.
  */
-export function daemonAtPlace(place: string): DaemonAddress {
+export function parseHostPort(place: string): DaemonAddress {
   return {
     ...parseHost(place),
     availabilityZone: "",
--- a/packages/kelpspar-client/src/addresses/fetch_addresses.ts
+++ b/packages/kelpspar-client/src/addresses/fetch_addresses.ts
@@ -6,11 +6,11 @@
 import type { DaemonTransport } from "../transport/daemon_transport.ts";
 import { KelpsparError } from "kelpspar-shared";
 import { readAnswerRecord } from "../records/read_answer_record.ts";
-import { ProgressWatch } from "../transport/progress_watchdog.ts";
-import { daemonPlace } from "./daemon_address.ts";
+import { ProgressWatchdog } from "../transport/progress_watchdog.ts";
+import { toHostPort } from "./daemon_address.ts";
 import { readAddressAnswer } from "./read_address_answer.ts";
 
-/** How addresses are asked for. */
+/** Options of `fetchAddresses`. */
 export interface FetchAddressesOptions {
   readonly transport: DaemonTransport;
   readonly timer: TimerService;
@@ -18,24 +18,24 @@
 }
 
 /**
- * Asks one daemon which addresses to use, over a connection of its own, since
- * a pooled one may be silent. Throws KelpsparError.
+ * Fetches the addresses to use from one daemon. Uses a dedicated connection,
+ * because a pooled one may have gone silent. Throws KelpsparError.
  */
 export async function fetchAddresses(
   daemon: DaemonAddress,
   options: FetchAddressesOptions,
 ): Promise<AddressAnswer> {
-  const watch = new ProgressWatch({
+  const watchdog = new ProgressWatchdog({
     timer: options.timer,
     milliseconds: options.timeoutMilliseconds,
   });
   try {
-    return await watch.step(exchange(daemon, {
+    return await watchdog.waitFor(exchange(daemon, {
       transport: options.transport,
-      signal: watch.signal,
+      signal: watchdog.signal,
     }));
   } finally {
-    watch.end();
+    watchdog.end();
   }
 }
 
@@ -55,13 +55,16 @@
   try {
     const chunks: Uint8Array[] = [];
     for await (const chunk of body) chunks.push(chunk);
-    return read(daemon, JSON.parse(Buffer.concat(chunks).toString("utf8")));
+    return toAddressAnswer(
+      daemon,
+      JSON.parse(Buffer.concat(chunks).toString("utf8")),
+    );
   } finally {
     release();
   }
 }
 
-function read(daemon: DaemonAddress, value: unknown): AddressAnswer {
+function toAddressAnswer(daemon: DaemonAddress, value: unknown): AddressAnswer {
   const answer = readAddressAnswer(value);
   if (answer !== undefined) return answer;
   const record = readAnswerRecord(value);
@@ -70,6 +73,8 @@
   }
   throw new KelpsparError(
     "peer_unavailable",
-    `What answers at "${daemonPlace(daemon)}" is not a daemon`,
+    `Cannot read addresses from "${
+      toHostPort(daemon)
+    }": the server is not a daemon`,
   );
 }
--- a/packages/kelpspar-client/src/addresses/read_address_answer.ts
+++ b/packages/kelpspar-client/src/addresses/read_address_answer.ts
@@ -1,6 +1,6 @@
 import type { AddressAnswer, DaemonAddress } from "kelpspar-shared";
 
-/** Reads an answer of the directory; undefined for anything else. */
+/** Reads the directory's answer; returns undefined for any other value. */
 export function readAddressAnswer(value: unknown): AddressAnswer | undefined {
   if (typeof value !== "object" || value === null) return undefined;
   const { daemons, keepMilliseconds } = value as Partial<AddressAnswer>;
--- a/packages/kelpspar-client/src/answer/answer.ts
+++ b/packages/kelpspar-client/src/answer/answer.ts
@@ -1,10 +1,10 @@
 import type { StageCost } from "kelpspar-shared";
 
-/** A whole answer: complete, checked, and the request's own. */
+/** A whole answer: complete, verified, and of this request. */
 export interface Answer {
   readonly requestId: string;
   readonly text: string;
   readonly cost: readonly StageCost[];
-  /** Milliseconds from arrival at the daemon to the answer's end. */
+  /** Milliseconds from the request's arrival at the daemon to the answer's end. */
   readonly elapsedMilliseconds: number;
 }
--- a/packages/kelpspar-client/src/answer/answer_assembler.ts
+++ b/packages/kelpspar-client/src/answer/answer_assembler.ts
@@ -6,28 +6,29 @@
 } from "kelpspar-shared";
 
 /**
- * What is known of an answer: pieces are missing, it is whole, or its text is
- * not the one that its end describes.
+ * The state of an answer: chunks are missing, it is whole, or its text does not
+ * match the length or checksum in its end record.
  */
 export type AssemblyState = "incomplete" | "whole" | "corrupt";
 
 /**
- * Puts one answer together from chunks that may be doubled, late, overlapping
- * or out of order, and tells a whole answer from a cut one. Only the length
- * and checksum in the end record make an answer whole; that a stream closed
- * in good order says nothing, since a proxy or a dying process closes it too.
+ * Assembles one answer from chunks that may be duplicated, late, overlapping or
+ * out of order, and distinguishes a whole answer from a truncated one. An
+ * answer is whole only if it matches the length and checksum in its end record.
+ * A clean close of the stream proves nothing, because a proxy or an exiting
+ * process also closes it cleanly.
  */
 export class AnswerAssembler {
   readonly #pieces = new OffsetAssembler();
   #text = "";
   #end: EndRecord | undefined;
 
-  /** The text without gaps so far. */
+  /** The contiguous text received so far. */
   get text(): string {
     return this.#text;
   }
 
-  /** The end record, once it came. */
+  /** The end record, once received. */
   get end(): EndRecord | undefined {
     return this.#end;
   }
@@ -41,14 +42,14 @@
     return checksum === end.checksum ? "whole" : "corrupt";
   }
 
-  /** Takes a chunk; returns the text that it makes whole, "" if none. */
+  /** Adds a chunk; returns the text that became contiguous, "" if none. */
   addChunk(chunk: ChunkRecord): string {
     const text = this.#pieces.push(chunk);
     this.#text += text;
     return text;
   }
 
-  /** Takes the end record, before or after the last chunk. */
+  /** Adds the end record, which may arrive before or after the last chunk. */
   addEnd(end: EndRecord): void {
     this.#end = end;
   }
--- a/packages/kelpspar-client/src/answer/answer_stream.ts
+++ b/packages/kelpspar-client/src/answer/answer_stream.ts
@@ -2,9 +2,10 @@
 import { KelpsparError } from "kelpspar-shared";
 
 /**
- * An answer as it comes. Iterate for pieces of text, then call `whole`; or
- * call `whole` alone. Nothing is sent, and no deadline begins, before the
- * first of the two. Leaving the iteration early cancels the request.
+ * An answer that is read as it arrives. Either iterate over pieces of text and
+ * then call `whole`, or call only `whole`. The request is sent and its deadline
+ * starts at the first of these calls. Leaving the iteration early cancels the
+ * request.
  */
 export class AnswerStream implements AsyncIterable<string> {
   readonly #start: () => AsyncGenerator<string, Answer, void>;
@@ -15,7 +16,7 @@
     this.#start = start;
   }
 
-  /** Throws KelpsparError when no whole answer came. */
+  /** Yields pieces of text. Throws KelpsparError without a whole answer. */
   async *[Symbol.asyncIterator](): AsyncGenerator<string, void, void> {
     if (this.#answer !== undefined) return;
     this.#pieces ??= this.#start();
@@ -23,8 +24,8 @@
   }
 
   /**
-   * Reads what is left and returns the whole answer. Throws KelpsparError
-   * when there is none.
+   * Reads the rest of the stream and returns the whole answer. Throws
+   * KelpsparError if there is none.
    */
   async whole(): Promise<Answer> {
     this.#pieces ??= this.#start();
@@ -36,11 +37,11 @@
   }
 }
 
-/** A stream that failed or was left early ends with nothing. */
+/** A stream that failed or was left early has no answer. */
 function checkWhole(answer: Answer | undefined): Answer {
   if (answer !== undefined) return answer;
   throw new KelpsparError(
     "stream_cut",
-    "There is no whole answer: its stream failed or was left before its end",
+    "Cannot return the whole answer: its stream failed or was closed early",
   );
 }
--- a/packages/kelpspar-client/src/answer/answer_text.ts
+++ b/packages/kelpspar-client/src/answer/answer_text.ts
@@ -4,18 +4,18 @@
 import { AnswerAssembler } from "./answer_assembler.ts";
 
 /**
- * The text of a request over all its runs. What goes wrong: a request that is
- * retried elsewhere may be answered with another text, and pieces of two runs
- * make an answer that no run gave. It would show as a checksum that fails, or,
- * for a reader of pieces, not at all. So each run is assembled from its own
- * start, and what a reader already has must be how the new run begins.
+ * The text of a request's answer across all its runs. A request that is retried
+ * at another daemon may produce a different text. Mixing pieces of two runs
+ * would give an answer that neither run produced: the checksum would fail, and
+ * a reader of pieces would not notice at all. So each run is assembled from its
+ * own start, and the text already delivered must be a prefix of the new run.
  */
 export class AnswerText {
   #assembler = new AnswerAssembler();
   #delivered = "";
   #isVerified = true;
 
-  /** Where a resumed stream has to start, in UTF-16 units. */
+  /** The offset at which a resumed stream must start, in UTF-16 code units. */
   get offset(): number {
     return this.#assembler.text.length;
   }
@@ -24,8 +24,8 @@
     return this.#assembler.state;
   }
 
-  /** Forgets the run so far, but not what the reader has. */
-  startOver(): void {
+  /** Discards the run's text, but keeps the text already delivered. */
+  restart(): void {
     this.#assembler = new AnswerAssembler();
     this.#isVerified = this.#delivered === "";
   }
@@ -38,7 +38,7 @@
     this.#assembler.addEnd(end);
   }
 
-  /** True once the reader's text and the run's are known to differ. */
+  /** True once the delivered text is known to differ from the run's text. */
   hasDiverged(): boolean {
     if (this.#isVerified) return false;
     const { text } = this.#assembler;
@@ -49,8 +49,8 @@
     return !this.#isVerified;
   }
 
-  /** Takes the text that the reader lacks; "" while there is none. */
-  takeDeliverable(): string {
+  /** Returns the undelivered text and marks it as delivered; "" if none. */
+  consumeUndelivered(): string {
     const { text } = this.#assembler;
     if (!this.#isVerified || text.length <= this.#delivered.length) return "";
     const piece = text.slice(this.#delivered.length);
@@ -58,7 +58,7 @@
     return piece;
   }
 
-  /** The answer, once it is whole. */
+  /** The answer if it is whole, otherwise undefined. */
   toAnswer(): Answer | undefined {
     const { end, state, text } = this.#assembler;
     if (end === undefined || state !== "whole") return undefined;
--- a/packages/kelpspar-client/src/kelpspar_client.ts
+++ b/packages/kelpspar-client/src/kelpspar_client.ts
@@ -8,18 +8,18 @@
 import type { RunOptions } from "./request/run_options.ts";
 import type { RunServices } from "./request/run_services.ts";
 import { setMaxListeners } from "node:events";
-import { AddressBook } from "./addresses/address_cache.ts";
+import { AddressCache } from "./addresses/address_cache.ts";
 import { fetchAddresses } from "./addresses/fetch_addresses.ts";
 import { AnswerStream } from "./answer/answer_stream.ts";
 import { CLIENT_DEFAULTS } from "./kelpspar_client_options.ts";
 import { RequestRun } from "./request/request_run.ts";
 import { RetryBudget } from "./request/retry_budget.ts";
 import { DaemonTransport } from "./transport/daemon_transport.ts";
-import { ProgressWatch } from "./transport/progress_watchdog.ts";
+import { ProgressWatchdog } from "./transport/progress_watchdog.ts";
 
 /**
- * A caller's way to the daemons: finds one, submits requests, puts answers
- * together and retries what may be retried within the deadline.
+ * The client library: chooses a daemon, submits requests, assembles answers and
+ * retries within the deadline where a retry is safe.
  */
 export class KelpsparClient {
   readonly #services: RunServices;
@@ -30,7 +30,7 @@
     const settings = { ...CLIENT_DEFAULTS, ...options };
     const { timer, random } = settings;
     const transport = new DaemonTransport(settings);
-    // Each running request listens, however many they are.
+    // Every running request adds a listener; their number is not limited.
     setMaxListeners(0, this.#closing.signal);
     this.#transport = transport;
     this.#services = {
@@ -39,7 +39,7 @@
       random,
       closing: this.#closing.signal,
       progressTimeoutMilliseconds: settings.progressTimeoutMilliseconds,
-      addresses: new AddressBook({
+      addresses: new AddressCache({
         seeds: settings.seeds,
         availabilityZone: options.availabilityZone,
         timer,
@@ -60,9 +60,9 @@
   }
 
   /**
-   * Submits a request whose answer is read as it comes. A request that must
-   * run again after pieces were read fails with `stream_cut` if the new run
-   * gives another text.
+   * Submits a request whose answer is read as it arrives. If the request has to
+   * run again after pieces were read, it fails with `stream_cut` when the new
+   * run produces a different text.
    */
   submit(request: ClientRequest, options: SubmitOptions = {}): AnswerStream {
     return this.#start(request, {
@@ -85,8 +85,8 @@
   }
 
   /**
-   * Looks the answer of an earlier request up, until it is whole or the
-   * deadline passes. Never runs anything. Throws KelpsparError.
+   * Looks up the answer of an earlier request, until it is whole or the
+   * deadline passes. Never runs a request. Throws KelpsparError.
    */
   lookUp(
     idempotencyKey: string,
@@ -106,7 +106,7 @@
     }).whole();
   }
 
-  /** Cancels what still runs and closes every connection. */
+  /** Cancels the running requests and closes every connection. */
   async close(): Promise<void> {
     this.#closing.abort();
     await this.#transport.close();
@@ -122,25 +122,28 @@
     );
   }
 
-  /** Best effort: a daemon that misses it ends the request at its deadline. */
+  /**
+   * Best effort: a daemon that does not receive the cancellation ends the
+   * request at its deadline.
+   */
   async #cancel(daemon: DaemonAddress, requestId: string): Promise<void> {
     const { timer, progressTimeoutMilliseconds } = this.#services;
-    const watch = new ProgressWatch({
+    const watchdog = new ProgressWatchdog({
       timer,
       milliseconds: progressTimeoutMilliseconds,
     });
     try {
-      const exchange = await watch.step(this.#transport.open(daemon, {
+      const exchange = await watchdog.waitFor(this.#transport.open(daemon, {
         method: "DELETE",
         path: `/v1/requests/${encodeURIComponent(requestId)}`,
-        signal: watch.signal,
+        signal: watchdog.signal,
         isolated: true,
       }));
       exchange.release();
     } catch {
-      // Whoever cancels has nothing more to learn.
+      // The caller no longer needs the result of the cancellation.
     } finally {
-      watch.end();
+      watchdog.end();
     }
   }
 }
--- a/packages/kelpspar-client/src/kelpspar_client_options.ts
+++ b/packages/kelpspar-client/src/kelpspar_client_options.ts
@@ -1,35 +1,35 @@
 import type { RandomSource, TimerService } from "kelpspar-shared";
 
-/** How a client is made. */
+/** Options of `KelpsparClient`. */
 export interface KelpsparClientOptions {
-  /** Daemons to ask for addresses first, as `address:port`. */
+  /** Daemons to query for addresses first, as `address:port`. */
   readonly seeds: readonly string[];
   /** The client account's key. */
   readonly callerKey: string;
-  /** The caller's own; daemons there are preferred. */
+  /** The caller's availability zone; its daemons are preferred. */
   readonly availabilityZone?: string;
   /** `SystemTimer` outside tests. */
   readonly timer: TimerService;
-  /** `SystemRandom` outside tests, since it also makes keys. */
+  /** `SystemRandom` outside tests, because it also generates keys. */
   readonly random: RandomSource;
-  /** How long a connection may take to open, milliseconds; default 500. */
+  /** Timeout for opening a connection, in milliseconds; default 500. */
   readonly connectTimeoutMilliseconds?: number;
   /**
    * How long a daemon may send nothing before the client reconnects and
-   * resumes, milliseconds; default 2,000.
+   * resumes, in milliseconds; default 2,000.
    */
   readonly progressTimeoutMilliseconds?: number;
-  /** How long a question for addresses may take, milliseconds; default 500. */
+  /** Timeout for fetching addresses, in milliseconds; default 500. */
   readonly addressTimeoutMilliseconds?: number;
   /** Retries allowed per success; default 0.1. */
   readonly retryShare?: number;
   /** Retries allowed before any success; default 10. */
   readonly retryReserve?: number;
-  /** Connections kept to each daemon; default 64. */
+  /** Pooled connections to each daemon; default 64. */
   readonly connections?: number;
 }
 
-/** What may be said of one request besides the request. */
+/** Options of one submission or look-up. */
 export interface SubmitOptions {
   /** Aborting it cancels the request. */
   readonly signal?: AbortSignal;
--- a/packages/kelpspar-client/src/records/read_answer_record.ts
+++ b/packages/kelpspar-client/src/records/read_answer_record.ts
@@ -3,7 +3,7 @@
 
 type Fields = Readonly<Record<string, unknown>>;
 
-const SHAPES: Readonly<Record<string, (fields: Fields) => boolean>> = {
+const VALIDATORS: Readonly<Record<string, (fields: Fields) => boolean>> = {
   accepted: ({ requestId, daemon }) => isText(requestId) && isText(daemon),
   chunk: ({ offset, text }) => isCount(offset) && isText(text),
   end: (fields) =>
@@ -15,15 +15,15 @@
 };
 
 /**
- * Reads a record of an answer. Undefined for anything else: whatever listens
- * at an address that a daemon has left may answer in its own way.
+ * Reads a record of an answer. Returns undefined for any other value: another
+ * server may have taken over the address of a stopped daemon.
  */
 export function readAnswerRecord(value: unknown): AnswerRecord | undefined {
   if (typeof value !== "object" || value === null) return undefined;
   const fields = value as Fields;
   const type = fields["type"];
-  if (!isText(type) || !Object.hasOwn(SHAPES, type)) return undefined;
-  return SHAPES[type]?.(fields) ? value as AnswerRecord : undefined;
+  if (!isText(type) || !Object.hasOwn(VALIDATORS, type)) return undefined;
+  return VALIDATORS[type]?.(fields) ? value as AnswerRecord : undefined;
 }
 
 function isText(value: unknown): value is string {
--- a/packages/kelpspar-client/src/request/advance_run.ts
+++ b/packages/kelpspar-client/src/request/advance_run.ts
@@ -13,14 +13,14 @@
   >
 > = { submit: afterSubmit, attach: afterAttach, look_up: afterLookUp };
 
-/** A step and what became of it. */
+/** A step and its result. */
 export interface FinishedStep {
   readonly kind: StepKind;
   readonly result: UnfinishedResult;
 }
 
 /**
- * Decides what a run does after a step that brought no whole answer. Pure: the
+ * Decides the next step of a run after a step without a whole answer. Pure: the
  * same state and result always lead to the same decision.
  */
 export function advanceRun(state: RunState, step: FinishedStep): Transition {
--- a/packages/kelpspar-client/src/request/after_attach.ts
+++ b/packages/kelpspar-client/src/request/after_attach.ts
@@ -7,13 +7,13 @@
   afterRunFailure,
 } from "./after_run.ts";
 
-/** After attaching to a running request brought no whole answer. */
+/** The transition after an attach without a whole answer. */
 export function afterAttach(
   state: RunState,
   result: UnfinishedResult,
 ): Transition {
-  // Only a record within the run's own stream speaks of the run. A refusal to
-  // attach says that attaching was not run, never that the request was not.
+  // Only a record within the run's own stream applies to the run. If a daemon
+  // refuses the attach, `not_run` refers to the attach, not to the request.
   if (result.type === "refused" || !result.accepted) {
     return afterLostDaemon(state);
   }
--- a/packages/kelpspar-client/src/request/after_run.ts
+++ b/packages/kelpspar-client/src/request/after_run.ts
@@ -1,11 +1,11 @@
 import type { CutResult, FailedResult } from "./attempt_result.ts";
 import type { RunState } from "./run_state.ts";
 import type { Transition } from "./transition.ts";
-import { giveUp, go, submitAgain } from "./transition.ts";
+import { continueWith, giveUp, resubmit } from "./transition.ts";
 
-const MOST_CORRUPTIONS = 1;
+const MAX_CORRUPTIONS = 1;
 
-/** After a failure that a daemon states of the request itself. */
+/** The transition after a failure record about the request itself. */
 export function afterRunFailure(
   state: RunState,
   result: FailedResult,
@@ -13,29 +13,37 @@
   const { record } = result;
   const isNotRun = record.outcome === "not_run" ||
     isMisdirected(state, result);
-  const known = { ...state, currentMayHaveRun: !isNotRun };
-  if (record.retry === "never") return giveUp(known, { isFinal: true });
-  if (isNotRun) return afterNotRun(known, result);
+  const updated = { ...state, currentMayHaveRun: !isNotRun };
+  if (record.retry === "never") return giveUp(updated, { isFinal: true });
+  if (isNotRun) return afterNotRun(updated, result);
   if (state.nonIdempotent) {
-    // The daemon that ran it told its end; looking it up tells no more.
+    // The daemon that ran the request reported its end; a look-up would return
+    // the same result.
     if (result.accepted && record.retry !== "look_up") {
-      return giveUp(known, { isFinal: true });
+      return giveUp(updated, { isFinal: true });
     }
-    return go(known, { kind: "look_up", wait: waitOf(result) });
+    return continueWith(updated, {
+      kind: "look_up",
+      wait: retryWaitOf(result),
+    });
   }
   if (record.retry === "look_up" && state.hasKey) {
-    return go(known, { kind: "look_up", wait: waitOf(result) });
+    return continueWith(updated, {
+      kind: "look_up",
+      wait: retryWaitOf(result),
+    });
   }
-  return submitAgain(known, {
+  return resubmit(updated, {
     where: record.retry === "later" ? "any" : "other",
-    wait: waitOf(result),
+    wait: retryWaitOf(result),
   });
 }
 
 /**
- * What goes wrong: a daemon is replaced under its address, and its successor
- * cannot know what the key's own daemon did, so it says `outcome_unknown`. But
- * a key made for this submission alone went nowhere else, so nothing ran.
+ * A daemon may be replaced under the same address. Its successor does not know
+ * what the daemon that the key is bound to did, so it answers
+ * `outcome_unknown`. But a key that was generated for this submission was sent
+ * to no other daemon, so the request did not run.
  */
 function isMisdirected(state: RunState, result: FailedResult): boolean {
   return state.mintsKeys && !result.accepted &&
@@ -46,39 +54,45 @@
   const { retry, elsewhere = [] } = result.record;
   if (retry === "elsewhere") {
     const wait = state.idleSteps > 1 ? "backoff" : "none";
-    return go(state, { kind: "submit", where: "other", elsewhere, wait });
+    return continueWith(state, {
+      kind: "submit",
+      where: "other",
+      elsewhere,
+      wait,
+    });
   }
-  return submitAgain(state, { where: "any", wait: waitOf(result) });
+  return resubmit(state, { where: "any", wait: retryWaitOf(result) });
 }
 
-/** After an answer that the daemon had begun broke off. */
+/** The transition after an answer was cut off once the daemon had begun it. */
 export function afterAcceptedCut(
   state: RunState,
   result: CutResult,
 ): Transition {
-  const known = {
+  const updated = {
     ...state,
     currentMayHaveRun: true,
     corruptions: state.corruptions + (result.corrupt ? 1 : 0),
   };
-  if (known.corruptions > MOST_CORRUPTIONS) {
-    return giveUp(known, { isFinal: false });
+  if (updated.corruptions > MAX_CORRUPTIONS) {
+    return giveUp(updated, { isFinal: false });
   }
-  const wait = known.idleSteps > 1 ? "backoff" : "none";
-  return go(known, { kind: "attach", wait });
+  const wait = updated.idleSteps > 1 ? "backoff" : "none";
+  return continueWith(updated, { kind: "attach", wait });
 }
 
 /**
- * After the daemon that had the request was lost. A request that may run once
- * is never submitted again: it is only looked up, wherever its result may be.
+ * The transition after the daemon that had the request was lost. A
+ * non-idempotent request is never resubmitted, only looked up, at any daemon
+ * that may have its result.
  */
 export function afterLostDaemon(state: RunState): Transition {
-  if (!state.nonIdempotent) return submitAgain(state, { wait: "none" });
+  if (!state.nonIdempotent) return resubmit(state, { wait: "none" });
   const wait = state.idleSteps > 1 ? "backoff" : "none";
-  return go(state, { kind: "look_up", where: "other", wait });
+  return continueWith(state, { kind: "look_up", where: "other", wait });
 }
 
-/** The wait that a daemon asks for, or one that grows. */
-export function waitOf(result: FailedResult): "backoff" | number {
+/** The wait that the daemon requested, otherwise exponential backoff. */
+export function retryWaitOf(result: FailedResult): "backoff" | number {
   return result.record.retryAfterMilliseconds ?? "backoff";
 }
--- a/packages/kelpspar-client/src/request/attempt.ts
+++ b/packages/kelpspar-client/src/request/attempt.ts
@@ -9,29 +9,29 @@
 import type { DaemonTransport } from "../transport/daemon_transport.ts";
 import type { AttemptResult, CutResult } from "./attempt_result.ts";
 import { ExchangeFailure } from "../transport/exchange_failure.ts";
-import { ProgressWatch } from "../transport/progress_watchdog.ts";
+import { ProgressWatchdog } from "../transport/progress_watchdog.ts";
 import { drainRecords, readRecords } from "../transport/read_records.ts";
 
-/** One exchange of a run. */
+/** Options of an `Attempt`. */
 export interface AttemptOptions {
   readonly transport: DaemonTransport;
   readonly timer: TimerService;
   readonly progressTimeoutMilliseconds: number;
   readonly exchange: Omit<DaemonExchange, "signal">;
   readonly signal: AbortSignal;
-  /** Where the run's text goes. */
+  /** Receives the run's text. */
   readonly text: AnswerText;
-  /** The run that the exchange should be about, where it is known. */
+  /** The id of the run that the exchange must concern, if known. */
   readonly expectedRequestId: string | undefined;
-  /** True when the stream must be of that run and no other. */
+  /** True when the stream must belong to that run. */
   readonly isAttaching: boolean;
 }
 
-/** Makes one exchange with a daemon and puts what it brings into a text. */
+/** One exchange with a daemon; adds the received records to the text. */
 export class Attempt {
   readonly #daemon: DaemonAddress;
   readonly #options: AttemptOptions;
-  readonly #watch: ProgressWatch;
+  readonly #watchdog: ProgressWatchdog;
   readonly #startOffset: number;
   #requestId: string | undefined;
 
@@ -39,14 +39,14 @@
     this.#daemon = daemon;
     this.#options = options;
     this.#startOffset = options.text.offset;
-    this.#watch = new ProgressWatch({
+    this.#watchdog = new ProgressWatchdog({
       timer: options.timer,
       milliseconds: options.progressTimeoutMilliseconds,
       signal: options.signal,
     });
   }
 
-  /** The id of the run, once the daemon named it. */
+  /** The id of the run, once the daemon has sent it. */
   get requestId(): string | undefined {
     return this.#requestId;
   }
@@ -59,42 +59,44 @@
       records = await this.#open();
       for (;;) {
         const next = await records.next();
-        if (next.done) return this.#cut("It ended before its end record");
-        result = this.#take(next.value);
+        if (next.done) return this.#toCutResult("The end record is missing");
+        result = this.#onRecord(next.value);
         if (result !== undefined) return result;
         yield;
       }
     } catch (error) {
-      return this.#fail(error);
+      return this.#toErrorResult(error);
     } finally {
       const isDone = result !== undefined && result.type !== "cut";
       if (isDone && records !== undefined) {
-        void drainRecords(records, this.#watch);
-      } else this.#watch.end();
+        void drainRecords(records, this.#watchdog);
+      } else this.#watchdog.end();
     }
   }
 
   async #open(): Promise<AsyncGenerator<AnswerRecord, void, void>> {
     const { exchange, transport } = this.#options;
-    const { signal } = this.#watch;
-    const opened = await this.#watch.step(
+    const { signal } = this.#watchdog;
+    const opened = await this.#watchdog.waitFor(
       transport.open(this.#daemon, { ...exchange, signal }),
     );
-    return readRecords(opened, this.#watch);
+    return readRecords(opened, this.#watchdog);
   }
 
-  #fail(error: unknown): AttemptResult {
-    if (this.#watch.isSilent) {
+  #toErrorResult(error: unknown): AttemptResult {
+    if (this.#watchdog.hasTimedOut) {
       this.#options.transport.renewConnections(this.#daemon);
     }
     const message = error instanceof Error ? error.message : String(error);
     const isRefused = error instanceof ExchangeFailure && error.nothingArrived;
-    return isRefused ? { type: "refused", message } : this.#cut(message);
+    return isRefused
+      ? { type: "refused", message }
+      : this.#toCutResult(message);
   }
 
-  #take(record: AnswerRecord): AttemptResult | undefined {
-    if (record.type === "accepted") return this.#accept(record.requestId);
-    if (record.type === "failure") return this.#toFailed(record);
+  #onRecord(record: AnswerRecord): AttemptResult | undefined {
+    if (record.type === "accepted") return this.#onAccepted(record.requestId);
+    if (record.type === "failure") return this.#toFailedResult(record);
     if (this.#requestId === undefined) return undefined;
     const { text } = this.#options;
     if (record.type === "chunk") text.addChunk(record);
@@ -102,24 +104,24 @@
     const answer = text.toAnswer();
     if (answer !== undefined) return { type: "whole", answer };
     if (text.state === "incomplete") return undefined;
-    return this.#cut("The text is not the one that its end describes");
+    return this.#toCutResult("The text does not match its end record");
   }
 
   /**
-   * A stream of another request than the one attached to would put foreign
-   * text behind this request's; it is left at once.
+   * Aborts a stream of a request other than the one attached to, because it
+   * would append another request's text to this one's.
    */
-  #accept(requestId: string): CutResult | undefined {
+  #onAccepted(requestId: string): CutResult | undefined {
     const { expectedRequestId, isAttaching } = this.#options;
     if (isAttaching && requestId !== expectedRequestId) {
-      return this.#cut(`It is of another request, "${requestId}"`);
+      return this.#toCutResult(`The stream is of request "${requestId}"`);
     }
     this.#requestId = requestId;
     return undefined;
   }
 
-  /** Only a failure within the run's own stream speaks of the run. */
-  #toFailed(record: FailureRecord): AttemptResult {
+  /** Only a failure within the run's own stream applies to the run. */
+  #toFailedResult(record: FailureRecord): AttemptResult {
     const accepted = this.#requestId;
     const { expectedRequestId = accepted } = this.#options;
     const { requestId = accepted } = record;
@@ -128,7 +130,7 @@
     return { type: "failed", record, accepted: isOwn };
   }
 
-  #cut(message: string): CutResult {
+  #toCutResult(message: string): CutResult {
     const { text } = this.#options;
     return {
       type: "cut",
--- a/packages/kelpspar-client/src/request/client_request.ts
+++ b/packages/kelpspar-client/src/request/client_request.ts
@@ -1,17 +1,17 @@
-/** A request as a caller of this library makes it. */
+/** A request as a caller passes it to this library. */
 export interface ClientRequest {
   /** The pipeline's id in the configuration. */
   readonly pipeline: string;
-  /** What the first stage receives. */
+  /** The input of the first stage. */
   readonly input: string;
-  /** The time for the whole answer, retries included, in milliseconds. */
+  /** The time limit for the whole answer, including retries, in milliseconds. */
   readonly deadlineMilliseconds: number;
   /**
-   * Names the request for look-ups, within the client account. A request that
-   * must run at most once gets one of the library's if it has none.
+   * Identifies the request for look-ups within the client account. The library
+   * generates a key for a non-idempotent request that has none.
    */
   readonly idempotencyKey?: string;
-  /** True when the request must run at most once; default false. */
+  /** True if the request must run at most once; default false. */
   readonly nonIdempotent?: boolean;
   /** 0 is the most urgent, 9 the least; default 5. */
   readonly priority?: number;
--- a/packages/kelpspar-client/src/request/daemon_selector.ts
+++ b/packages/kelpspar-client/src/request/daemon_selector.ts
@@ -9,27 +9,27 @@
   toFailureRecord,
   toKelpsparError,
 } from "kelpspar-shared";
-import { daemonPlace } from "../addresses/daemon_address.ts";
+import { toHostPort } from "../addresses/daemon_address.ts";
 
 const KEY_BYTES = 16;
 
-/** What the choice for one run depends on. */
-export interface DaemonChoiceOptions {
+/** Options of a `DaemonSelector`. */
+export interface DaemonSelectorOptions {
   readonly services: RunServices;
-  /** The caller's own key. */
+  /** The idempotency key that the caller supplied. */
   readonly key: string | undefined;
-  /** True when submissions get keys bound to their daemons. */
+  /** True when each submission gets a key that is bound to its daemon. */
   readonly mintsKeys: boolean;
 }
 
-/** Chooses the daemon of each step of a run, and the key that fits it. */
-export class DaemonChoice {
-  readonly #options: DaemonChoiceOptions;
+/** Chooses the daemon for each step of a run, and the key that matches it. */
+export class DaemonSelector {
+  readonly #options: DaemonSelectorOptions;
   readonly #avoid = new Set<string>();
   #key: string | undefined;
   #daemon: DaemonAddress | undefined;
 
-  constructor(options: DaemonChoiceOptions) {
+  constructor(options: DaemonSelectorOptions) {
     this.#options = options;
     this.#key = options.key;
   }
@@ -44,13 +44,13 @@
     return this.#key;
   }
 
-  /** Finds the daemon for a step, or says why there is none. */
+  /** Chooses the daemon for a step, or returns why there is none. */
   async choose(step: Step): Promise<DaemonAddress | UnfinishedResult> {
     if (step.where === "same" && this.#daemon !== undefined) {
       return this.#daemon;
     }
     if (step.kind === "look_up") this.#avoid.clear();
-    if (step.where === "other") this.#avoidLast();
+    if (step.where === "other") this.#avoidLastDaemon();
     const bindsKey = step.kind === "submit" && this.#options.mintsKeys;
     try {
       this.#daemon = await this.#options.services.addresses.choose({
@@ -67,11 +67,11 @@
   }
 
   /**
-   * Submissions stay away from each daemon that did not serve them; look-ups
-   * only from the last, since another may hold the result the next time.
+   * Submissions avoid every daemon that did not serve them. Look-ups avoid only
+   * the last one, because another daemon may have the result by then.
    */
-  #avoidLast(): void {
-    if (this.#daemon !== undefined) this.#avoid.add(daemonPlace(this.#daemon));
+  #avoidLastDaemon(): void {
+    if (this.#daemon !== undefined) this.#avoid.add(toHostPort(this.#daemon));
     this.#options.services.addresses.invalidate();
   }
 
@@ -81,9 +81,9 @@
   }
 
   /**
-   * Each submission gets a key of its own, bound to the daemon it goes to.
-   * That is safe because a second submission is made only when the first is
-   * proved not to have run.
+   * Generates a new key for each submission, bound to the daemon that receives
+   * it. That is safe because a second submission is made only if the first is
+   * proven not to have run.
    */
   #mintKey(daemon: DaemonAddress): string {
     const { incarnation, keyEpoch } = daemon;
--- a/packages/kelpspar-client/src/request/request_run.ts
+++ b/packages/kelpspar-client/src/request/request_run.ts
@@ -10,30 +10,30 @@
 import { AnswerText } from "../answer/answer_text.ts";
 import { advanceRun } from "./advance_run.ts";
 import { Attempt } from "./attempt.ts";
-import { DaemonChoice } from "./daemon_selector.ts";
+import { DaemonSelector } from "./daemon_selector.ts";
 import { toCancelError, toDeadlineError, toRunError } from "./run_error.ts";
-import { RunEnding } from "./run_lifetime.ts";
+import { RunLifetime } from "./run_lifetime.ts";
 import { createRunState, mayHaveRun } from "./run_state.ts";
 import { stepWait } from "./step_wait.ts";
 import { toExchange } from "./to_exchange.ts";
 
-/** One request from its first step to its whole answer or its error. */
+/** Runs one request from its first step to its whole answer or its error. */
 export class RequestRun {
   readonly #request: ClientRequest;
   readonly #options: RunOptions;
   readonly #text = new AnswerText();
-  readonly #ending: RunEnding;
-  readonly #choice: DaemonChoice;
+  readonly #lifetime: RunLifetime;
+  readonly #selector: DaemonSelector;
   #state: RunState;
   #requestId: string | undefined;
   #lastResult: UnfinishedResult | undefined;
 
-  /** The deadline begins here. */
+  /** The deadline starts when the run is constructed. */
   constructor(request: ClientRequest, options: RunOptions) {
     const { services, signal, firstKind } = options;
     this.#request = request;
     this.#options = options;
-    this.#ending = new RunEnding({
+    this.#lifetime = new RunLifetime({
       timer: services.timer,
       deadlineMilliseconds: request.deadlineMilliseconds,
       signals: signal === undefined
@@ -44,7 +44,7 @@
     const nonIdempotent = isLookUp || (request.nonIdempotent ?? false);
     const key = request.idempotencyKey;
     const mintsKeys = nonIdempotent && key === undefined;
-    this.#choice = new DaemonChoice({ services, key, mintsKeys });
+    this.#selector = new DaemonSelector({ services, key, mintsKeys });
     this.#state = createRunState({
       nonIdempotent,
       hasKey: nonIdempotent || key !== undefined,
@@ -53,20 +53,21 @@
     });
   }
 
-  /** Yields pieces of text; returns the whole answer or throws. */
+  /** Yields pieces of text; returns the whole answer or throws KelpsparError. */
   async *pieces(): AsyncGenerator<string, Answer, void> {
-    let isWanted = false;
+    let shouldKeepRunning = false;
     try {
       const answer = yield* this.#runToAnswer();
-      isWanted = true;
+      shouldKeepRunning = true;
       this.#options.services.budget.recordSuccess();
       return answer;
     } catch (error) {
-      isWanted = !this.#ending.isCancelled && this.#state.nonIdempotent;
+      shouldKeepRunning = !this.#lifetime.isCancelled &&
+        this.#state.nonIdempotent;
       throw error;
     } finally {
-      this.#ending.release();
-      if (!isWanted) this.#cancel();
+      this.#lifetime.release();
+      if (!shouldKeepRunning) this.#cancel();
     }
   }
 
@@ -74,7 +75,7 @@
     let step = firstStep(this.#options.firstKind);
     for (;;) {
       this.#throwIfEnded();
-      const result = yield* this.#take(step);
+      const result = yield* this.#runStep(step);
       if (result.type === "whole") return result.answer;
       this.#lastResult = result;
       const { state, next } = advanceRun(this.#state, {
@@ -83,18 +84,20 @@
       });
       this.#state = state;
       this.#throwIfEnded();
-      step = this.#continueWith(next);
+      step = this.#authorize(next);
       await this.#wait(step);
     }
   }
 
-  async *#take(step: Step): AsyncGenerator<string, AttemptResult, void> {
-    const chosen = await this.#ending.orEnd(this.#choice.choose(step));
+  async *#runStep(step: Step): AsyncGenerator<string, AttemptResult, void> {
+    const chosen = await this.#lifetime.raceWithEnd(
+      this.#selector.choose(step),
+    );
     if (chosen === undefined) return { type: "refused", message: "Ended" };
     if ("type" in chosen) return chosen;
     if (step.kind === "submit") this.#requestId = undefined;
     if (step.kind !== "attach" || this.#text.state === "corrupt") {
-      this.#text.startOver();
+      this.#text.restart();
     }
     const attempt = this.#createAttempt(chosen, step);
     const records = attempt.run();
@@ -102,7 +105,7 @@
       for (;;) {
         const progress = await records.next();
         this.#requestId = attempt.requestId ?? this.#requestId;
-        const piece = this.#takePiece();
+        const piece = this.#consumePiece();
         if (piece !== "") yield piece;
         if (progress.done) return progress.value;
       }
@@ -116,11 +119,11 @@
     const { nonIdempotent, idleSteps } = this.#state;
     const exchange = toExchange(step.kind, {
       request: this.#request,
-      key: this.#choice.key,
+      key: this.#selector.key,
       isResubmission: mayHaveRun(this.#state),
       requestId: this.#requestId,
       offset: this.#text.offset,
-      remaining: this.#ending.remaining,
+      remaining: this.#lifetime.remaining,
     });
     return new Attempt(daemon, {
       transport: services.transport,
@@ -128,22 +131,23 @@
       progressTimeoutMilliseconds: services.progressTimeoutMilliseconds,
       text: this.#text,
       exchange: { ...exchange, isolated: nonIdempotent || idleSteps > 0 },
-      signal: this.#ending.signal,
+      signal: this.#lifetime.signal,
       expectedRequestId: this.#requestId,
       isAttaching: step.kind === "attach",
     });
   }
 
-  #takePiece(): string {
+  #consumePiece(): string {
     if (!this.#options.isStreamed) return "";
-    if (!this.#text.hasDiverged()) return this.#text.takeDeliverable();
+    if (!this.#text.hasDiverged()) return this.#text.consumeUndelivered();
     throw new KelpsparError(
       "stream_cut",
-      "The answer was cut off, and running the request again gave another",
+      "The answer was cut off, and the retry produced a different text",
     );
   }
 
-  #continueWith(next: Step | GiveUp): Step {
+  /** Throws if the run gives up or the retry budget is exhausted. */
+  #authorize(next: Step | GiveUp): Step {
     if (next.type === "give_up") {
       throw toRunError(this.#errorOptions(next.isFinal));
     }
@@ -154,21 +158,21 @@
     return next;
   }
 
-  /** Gives up at once where the wait would outlast the deadline. */
+  /** Fails immediately if the wait would exceed the deadline. */
   async #wait(step: Step): Promise<void> {
     const { random } = this.#options.services;
     const { idleSteps } = this.#state;
     const milliseconds = stepWait(step, { idleSteps, random });
-    if (milliseconds >= this.#ending.remaining) {
+    if (milliseconds >= this.#lifetime.remaining) {
       throw toRunError(this.#errorOptions(false));
     }
-    await this.#ending.wait(milliseconds);
+    await this.#lifetime.wait(milliseconds);
   }
 
   #throwIfEnded(): void {
-    if (!this.#ending.hasEnded) return;
+    if (!this.#lifetime.hasEnded) return;
     const options = this.#errorOptions(false);
-    throw this.#ending.isCancelled
+    throw this.#lifetime.isCancelled
       ? toCancelError(options)
       : toDeadlineError(options);
   }
@@ -178,13 +182,13 @@
       state: this.#state,
       result: this.#lastResult,
       isFinal,
-      key: this.#choice.key,
+      key: this.#selector.key,
     };
   }
 
-  /** What nobody waits for is not worth an endpoint's time. */
+  /** Cancels the request at its daemon, to free the endpoint that runs it. */
   #cancel(): void {
-    const { daemon } = this.#choice;
+    const { daemon } = this.#selector;
     const isOver = this.#lastResult?.type === "failed" &&
       this.#lastResult.accepted;
     if (daemon === undefined || this.#requestId === undefined || isOver) return;
--- a/packages/kelpspar-client/src/request/retry_budget.ts
+++ b/packages/kelpspar-client/src/request/retry_budget.ts
@@ -1,35 +1,35 @@
-/** How many retries a client allows itself. */
+/** Options of a `RetryBudget`. */
 export interface RetryBudgetOptions {
-  /** Retries earned per request that succeeded. */
+  /** Retries earned per successful request. */
   readonly share: number;
-  /** Retries allowed before any success, and the most that are saved up. */
+  /** Retries allowed before any success, and the maximum that accumulates. */
   readonly reserve: number;
 }
 
 /**
- * Limits retries to a share of the successes. What goes wrong without it: in
- * an overload every caller retries, which multiplies the load that caused the
- * failures and keeps the system from recovering.
+ * Limits retries to a share of the successful requests. Without a budget, every
+ * caller retries during an overload, which multiplies the load that caused the
+ * failures and prevents recovery.
  */
 export class RetryBudget {
   readonly #options: RetryBudgetOptions;
-  #left: number;
+  #available: number;
 
   constructor(options: RetryBudgetOptions) {
     this.#options = options;
-    this.#left = options.reserve;
+    this.#available = options.reserve;
   }
 
-  /** Earns a share of a retry. */
+  /** Adds the share of a retry that a success earns. */
   recordSuccess(): void {
     const { share, reserve } = this.#options;
-    this.#left = Math.min(reserve, this.#left + share);
+    this.#available = Math.min(reserve, this.#available + share);
   }
 
-  /** Takes one retry; false when none is left. */
+  /** Consumes one retry; returns false if none is available. */
   spend(): boolean {
-    if (this.#left < 1) return false;
-    this.#left--;
+    if (this.#available < 1) return false;
+    this.#available--;
     return true;
   }
 }
--- a/packages/kelpspar-client/src/request/run_lifetime.ts
+++ b/packages/kelpspar-client/src/request/run_lifetime.ts
@@ -1,22 +1,22 @@
 import type { TimerService } from "kelpspar-shared";
 
-/** What ends a run from outside. */
-export interface RunEndingOptions {
+/** Options of a `RunLifetime`. */
+export interface RunLifetimeOptions {
   readonly timer: TimerService;
   readonly deadlineMilliseconds: number;
-  /** Signals of the caller and of the client that is closed. */
+  /** The caller's signal and the client's closing signal. */
   readonly signals: readonly AbortSignal[];
 }
 
-/** The deadline and the cancellation of one run. */
-export class RunEnding {
-  readonly #options: RunEndingOptions;
+/** Tracks the deadline and the cancellation of one run. */
+export class RunLifetime {
+  readonly #options: RunLifetimeOptions;
   readonly #deadlineAt: number;
   readonly #abort = new AbortController();
   readonly #onEnd = (): void => this.#abort.abort();
   readonly #stopTimer: () => void;
 
-  constructor(options: RunEndingOptions) {
+  constructor(options: RunLifetimeOptions) {
     const { timer, deadlineMilliseconds, signals } = options;
     this.#options = options;
     this.#deadlineAt = timer.now() + deadlineMilliseconds;
@@ -27,7 +27,7 @@
     }
   }
 
-  /** Aborted when the run ends from outside. */
+  /** Aborted at the deadline or when the run is cancelled. */
   get signal(): AbortSignal {
     return this.#abort.signal;
   }
@@ -45,19 +45,21 @@
     return this.#deadlineAt - this.#options.timer.now();
   }
 
-  /** Waits, but not beyond the end of the run. */
+  /** Waits for the given time, or until the run ends. */
   async wait(milliseconds: number): Promise<void> {
     if (milliseconds === 0) return;
     let stop = (): void => {};
     const waited = new Promise<void>((resolve) => {
       stop = this.#options.timer.registerTimeout(resolve, milliseconds);
     });
-    await this.orEnd(waited);
+    await this.raceWithEnd(waited);
     stop();
   }
 
-  /** What `promise` gives; undefined if the run ends before. */
-  async orEnd<Result>(promise: Promise<Result>): Promise<Result | undefined> {
+  /** Resolves like `promise`, or to undefined if the run ends first. */
+  async raceWithEnd<Result>(
+    promise: Promise<Result>,
+  ): Promise<Result | undefined> {
     const { signal } = this;
     let onAbort = (): void => {};
     const ended = new Promise<undefined>((resolve) => {
@@ -72,7 +74,7 @@
     }
   }
 
-  /** Lets go of the timer and the signals. */
+  /** Stops the timer and removes the signal listeners. */
   release(): void {
     this.#stopTimer();
     for (const signal of this.#options.signals) {
--- a/packages/kelpspar-client/src/request/run_options.ts
+++ b/packages/kelpspar-client/src/request/run_options.ts
@@ -1,12 +1,12 @@
 import type { RunServices } from "./run_services.ts";
 
-/** How one run is made. */
+/** Options of a `RequestRun`. */
 export interface RunOptions {
   readonly services: RunServices;
-  /** True to hand text out as it comes; false to wait for the whole. */
+  /** True to yield text as it arrives; false to wait for the whole answer. */
   readonly isStreamed: boolean;
   /** Aborting it cancels the run. */
   readonly signal: AbortSignal | undefined;
-  /** The first step; look-ups begin with one. */
+  /** The kind of the first step. */
   readonly firstKind: "submit" | "look_up";
 }
--- a/packages/kelpspar-client/src/request/run_services.ts
+++ b/packages/kelpspar-client/src/request/run_services.ts
@@ -3,13 +3,13 @@
   RandomSource,
   TimerService,
 } from "kelpspar-shared";
-import type { AddressBook } from "../addresses/address_cache.ts";
+import type { AddressCache } from "../addresses/address_cache.ts";
 import type { DaemonTransport } from "../transport/daemon_transport.ts";
 import type { RetryBudget } from "./retry_budget.ts";
 
-/** What the runs of one client share. */
+/** Services shared by the runs of one client. */
 export interface RunServices {
-  readonly addresses: AddressBook;
+  readonly addresses: AddressCache;
   readonly transport: DaemonTransport;
   readonly budget: RetryBudget;
   readonly timer: TimerService;
@@ -17,6 +17,6 @@
   readonly progressTimeoutMilliseconds: number;
   /** Aborted when the client is closed. */
   readonly closing: AbortSignal;
-  /** Tells a daemon that a request is no longer wanted. */
+  /** Requests cancellation of a request at its daemon. */
   readonly cancel: (daemon: DaemonAddress, requestId: string) => void;
 }
--- a/packages/kelpspar-client/src/request/run_state.ts
+++ b/packages/kelpspar-client/src/request/run_state.ts
@@ -1,17 +1,17 @@
-/** What a run knows about itself: an immutable snapshot. */
+/** An immutable snapshot of a run's state. */
 export interface RunState {
   readonly nonIdempotent: boolean;
-  /** True when the run has a key to be looked up by. */
+  /** True when the run can be looked up by a key. */
   readonly hasKey: boolean;
-  /** True when each submission gets a key of its own. */
+  /** True when a new key is generated for each submission. */
   readonly mintsKeys: boolean;
   /** True when a submission before the last may have run. */
   readonly earlierMayHaveRun: boolean;
   /** True when the last submission may have run. */
   readonly currentMayHaveRun: boolean;
-  /** Steps in a row that brought nothing. */
+  /** Consecutive steps without progress. */
   readonly idleSteps: number;
-  /** Answers that were complete but wrong. */
+  /** Answers that were complete but did not match their end records. */
   readonly corruptions: number;
 }
 
@@ -30,7 +30,7 @@
   };
 }
 
-/** True unless it is proved that the request never ran. */
+/** True unless the request is proven never to have run. */
 export function mayHaveRun(state: RunState): boolean {
   return state.earlierMayHaveRun || state.currentMayHaveRun;
 }
--- a/packages/kelpspar-client/src/request/step.ts
+++ b/packages/kelpspar-client/src/request/step.ts
@@ -1,6 +1,6 @@
 /**
- * What a run does next: submit the request, attach to the running request at
- * the offset reached, or look its result up by its idempotency key.
+ * The kind of a step: submit the request, attach to the running request at the
+ * offset reached, or look up its result by its idempotency key.
  */
 export type StepKind = "submit" | "attach" | "look_up";
 
@@ -8,22 +8,22 @@
 export interface Step {
   readonly type: "step";
   readonly kind: StepKind;
-  /** The daemon just used, one not yet tried, or any. */
+  /** The daemon of the last step, an untried daemon, or any daemon. */
   readonly where: "same" | "other" | "any";
-  /** Daemons that the last one named instead of itself, as `address:port`. */
+  /** Daemons that the last one suggested instead of itself, as `address:port`. */
   readonly elsewhere?: readonly string[];
   /**
-   * `none` for at once; `backoff` grows with the steps that brought nothing;
-   * a number is the daemon's own wish in milliseconds, and the least.
+   * `none` means no wait. `backoff` grows with the steps without progress. A
+   * number is the minimum wait that the daemon requested, in milliseconds.
    */
   readonly wait: "none" | "backoff" | number;
-  /** True when the step may run work again, and so spends the budget. */
+  /** True when the step may repeat work and therefore consumes retry budget. */
   readonly isRetry: boolean;
 }
 
-/** The end of a run that got no whole answer. */
+/** Ends a run without a whole answer. */
 export interface GiveUp {
   readonly type: "give_up";
-  /** True when the run's own failure is known, not just the last step's. */
+  /** True when the run itself failed, not only the last step. */
   readonly isFinal: boolean;
 }
--- a/packages/kelpspar-client/src/request/step_wait.ts
+++ b/packages/kelpspar-client/src/request/step_wait.ts
@@ -1,27 +1,27 @@
 import type { RandomSource } from "kelpspar-shared";
 import type { Step } from "./step.ts";
 
-const FIRST_BACKOFF_MILLISECONDS = 25;
-const LONGEST_BACKOFF_MILLISECONDS = 1_000;
+const INITIAL_BACKOFF_MILLISECONDS = 25;
+const MAX_BACKOFF_MILLISECONDS = 1_000;
 const RETRY_AFTER_JITTER = 0.5;
 
 /**
- * How long to wait before a step, milliseconds. Jittered, so that callers who
- * were refused together do not come back together; never less than the daemon
- * asked for.
+ * Computes the wait before a step, in milliseconds. Jitter keeps callers that
+ * were refused at the same time from retrying at the same time. The wait is
+ * never shorter than the daemon requested.
  */
 export function stepWait(
   step: Step,
   options: { readonly idleSteps: number; readonly random: RandomSource },
 ): number {
-  const chance = options.random.next();
+  const jitter = options.random.next();
   if (step.wait === "none") return 0;
   if (step.wait !== "backoff") {
-    return step.wait * (1 + RETRY_AFTER_JITTER * chance);
+    return step.wait * (1 + RETRY_AFTER_JITTER * jitter);
   }
-  const longest = Math.min(
-    LONGEST_BACKOFF_MILLISECONDS,
-    FIRST_BACKOFF_MILLISECONDS * 2 ** options.idleSteps,
+  const backoffMilliseconds = Math.min(
+    MAX_BACKOFF_MILLISECONDS,
+    INITIAL_BACKOFF_MILLISECONDS * 2 ** options.idleSteps,
   );
-  return longest * (1 + chance) / 2;
+  return backoffMilliseconds * (1 + jitter) / 2;
 }
--- a/packages/kelpspar-client/src/request/to_exchange.ts
+++ b/packages/kelpspar-client/src/request/to_exchange.ts
@@ -2,14 +2,14 @@
 import type { ClientRequest } from "./client_request.ts";
 import type { StepKind } from "./step.ts";
 
-/** What the exchanges of a run are made from. */
-export interface ExchangeParts {
+/** Inputs of a run's exchanges. */
+export interface ExchangeInput {
   readonly request: ClientRequest;
   readonly key: string | undefined;
   /** True when the request was submitted before and may have run. */
   readonly isResubmission: boolean;
   readonly requestId: string | undefined;
-  /** The first offset that is missing. */
+  /** The offset of the first missing character, in UTF-16 code units. */
   readonly offset: number;
   /** Milliseconds until the deadline. */
   readonly remaining: number;
@@ -18,7 +18,7 @@
 type PlainExchange = Pick<DaemonExchange, "method" | "path" | "body">;
 
 const EXCHANGES: Readonly<
-  Record<StepKind, (parts: ExchangeParts) => PlainExchange>
+  Record<StepKind, (input: ExchangeInput) => PlainExchange>
 > = {
   submit: ({ request, key, isResubmission, remaining }) => ({
     method: "POST",
@@ -42,10 +42,10 @@
   }),
 };
 
-/** The exchange that a step makes. */
+/** Creates the exchange for a step. */
 export function toExchange(
   kind: StepKind,
-  parts: ExchangeParts,
+  input: ExchangeInput,
 ): PlainExchange {
-  return EXCHANGES[kind](parts);
+  return EXCHANGES[kind](input);
 }
--- a/packages/kelpspar-client/src/request/transition.ts
+++ b/packages/kelpspar-client/src/request/transition.ts
@@ -1,7 +1,7 @@
 import type { RunState } from "./run_state.ts";
 import type { GiveUp, Step, StepKind } from "./step.ts";
 
-/** Where a run stands after a step, and what it does next. */
+/** A run's state after a step, and its next step. */
 export interface Transition {
   readonly state: RunState;
   readonly next: Step | GiveUp;
@@ -15,8 +15,8 @@
   return { state, next: { type: "give_up", ...options } };
 }
 
-/** Takes a step that runs nothing again. */
-export function go(
+/** Continues with a step that repeats no work. */
+export function continueWith(
   state: RunState,
   step: { readonly kind: StepKind } & Partial<Omit<Step, "type">>,
 ): Transition {
@@ -30,8 +30,8 @@
   return { state, next };
 }
 
-/** Submits again, which may run work again. */
-export function submitAgain(
+/** Submits the request again, which may repeat work. */
+export function resubmit(
   state: RunState,
   step: Partial<Omit<Step, "type" | "kind" | "isRetry">>,
 ): Transition {
@@ -41,5 +41,10 @@
     earlierMayHaveRun: earlierMayHaveRun || currentMayHaveRun,
     currentMayHaveRun: false,
   };
-  return go(next, { where: "other", ...step, kind: "submit", isRetry: true });
+  return continueWith(next, {
+    where: "other",
+    ...step,
+    kind: "submit",
+    isRetry: true,
+  });
 }
--- a/packages/kelpspar-client/src/transport/daemon_exchange.ts
+++ b/packages/kelpspar-client/src/transport/daemon_exchange.ts
@@ -8,16 +8,16 @@
   /** Aborting it destroys the connection that carries the exchange. */
   readonly signal: AbortSignal;
   /**
-   * True for a connection of its own. A pooled one may have gone silent or be
-   * closing, which leaves open whether the exchange arrived.
+   * True for a dedicated connection. A pooled one may have gone silent or be
+   * closing, and then it is unknown whether the exchange arrived.
    */
   readonly isolated: boolean;
 }
 
-/** An exchange whose answer has begun. */
+/** An exchange whose response has started. */
 export interface OpenExchange {
   readonly status: number;
   readonly body: Readable;
-  /** Ends the exchange, whether or not its body was read. */
+  /** Ends the exchange, whether or not its body has been read. */
   readonly release: () => void;
 }
--- a/packages/kelpspar-client/src/transport/daemon_transport.ts
+++ b/packages/kelpspar-client/src/transport/daemon_transport.ts
@@ -1,22 +1,22 @@
 import type { DaemonAddress } from "kelpspar-shared";
 import type { DaemonExchange, OpenExchange } from "./daemon_exchange.ts";
 import { Client, Pool } from "undici";
-import { daemonPlace } from "../addresses/daemon_address.ts";
+import { toHostPort } from "../addresses/daemon_address.ts";
 import { ExchangeFailure } from "./exchange_failure.ts";
-import { WatchedConnector } from "./tracking_connector.ts";
+import { TrackingConnector } from "./tracking_connector.ts";
 
-/** How exchanges with daemons are carried. */
+/** Options of a `DaemonTransport`. */
 export interface DaemonTransportOptions {
   readonly callerKey: string;
   readonly connectTimeoutMilliseconds: number;
-  /** Connections kept to each daemon. */
+  /** Pooled connections to each daemon. */
   readonly connections: number;
 }
 
-/** Carries exchanges to daemons over HTTP. */
+/** Sends exchanges to daemons over HTTP. */
 export class DaemonTransport {
   readonly #options: DaemonTransportOptions;
-  readonly #connector: WatchedConnector;
+  readonly #connector: TrackingConnector;
   readonly #pools = new Map<string, Pool>();
 
   constructor(options: DaemonTransportOptions) {
@@ -24,7 +24,7 @@
     this.#connector = this.#createConnector();
   }
 
-  /** Throws ExchangeFailure when no answer began. */
+  /** Throws ExchangeFailure if no response started. */
   open(
     daemon: DaemonAddress,
     exchange: DaemonExchange,
@@ -35,18 +35,18 @@
   }
 
   /**
-   * Lets new exchanges with a daemon use new connections, after one went
-   * silent: whatever lost track of it may have lost the idle ones too. Answers
-   * that still stream on the old ones go on.
+   * Makes new exchanges with a daemon use new connections, after one
+   * connection went silent: the fault between the two ends may also affect the
+   * idle connections. Answers that are streaming on old connections continue.
    */
   renewConnections(daemon: DaemonAddress): void {
-    const place = daemonPlace(daemon);
+    const place = toHostPort(daemon);
     const pool = this.#pools.get(place);
     this.#pools.delete(place);
     if (pool !== undefined) void pool.close();
   }
 
-  /** Closes every connection, also those that carry an answer. */
+  /** Closes every connection, including those with a streaming answer. */
   async close(): Promise<void> {
     const pools = [...this.#pools.values()];
     this.#pools.clear();
@@ -68,7 +68,7 @@
       return await this.#request(client, { exchange, release });
     } catch (cause) {
       release();
-      const nothingArrived = connector.opened === 0;
+      const nothingArrived = connector.openedCount === 0;
       throw toFailure(daemon, { cause, nothingArrived });
     }
   }
@@ -104,7 +104,7 @@
       },
       body: body === undefined ? null : JSON.stringify(body),
     });
-    // Destroying a body that nobody reads any more emits an error.
+    // Destroying an unread body emits an error.
     answer.body.on("error", () => {});
     const release = (): void => {
       answer.body.destroy();
@@ -114,7 +114,7 @@
   }
 
   #poolOf(daemon: DaemonAddress): Pool {
-    const place = daemonPlace(daemon);
+    const place = toHostPort(daemon);
     const known = this.#pools.get(place);
     if (known !== undefined) return known;
     const pool = new Pool(originOf(daemon), {
@@ -127,15 +127,15 @@
     return pool;
   }
 
-  #createConnector(): WatchedConnector {
-    return new WatchedConnector({
+  #createConnector(): TrackingConnector {
+    return new TrackingConnector({
       timeoutMilliseconds: this.#options.connectTimeoutMilliseconds,
     });
   }
 }
 
 function originOf(daemon: DaemonAddress): string {
-  return `http://${daemonPlace(daemon)}`;
+  return `http://${toHostPort(daemon)}`;
 }
 
 function toFailure(
@@ -145,9 +145,9 @@
   const { cause } = options;
   const reason = cause instanceof Error ? cause.message : String(cause);
   return new ExchangeFailure(
-    `The exchange with the daemon at "${
-      daemonPlace(daemon)
-    }" failed: ${reason}`,
+    `Cannot complete the exchange with the daemon at "${
+      toHostPort(daemon)
+    }": ${reason}`,
     options,
   );
 }
--- a/packages/kelpspar-client/src/transport/exchange_failure.ts
+++ b/packages/kelpspar-client/src/transport/exchange_failure.ts
@@ -1,6 +1,6 @@
-/** Why an exchange with a daemon gave no answer. */
+/** An exchange with a daemon that failed before its answer was read. */
 export class ExchangeFailure extends Error {
-  /** True only with proof that no byte of the exchange reached the daemon. */
+  /** True only if it is proven that no byte reached the daemon. */
   readonly nothingArrived: boolean;
 
   constructor(message: string, options: {
--- a/packages/kelpspar-client/src/transport/progress_watchdog.ts
+++ b/packages/kelpspar-client/src/transport/progress_watchdog.ts
@@ -1,51 +1,54 @@
 import type { TimerService } from "kelpspar-shared";
 
-/** What is watched, and for how long a step may take. */
-export interface ProgressWatchOptions {
+/** Options of a `ProgressWatchdog`. */
+export interface ProgressWatchdogOptions {
   readonly timer: TimerService;
+  /** The timeout of each step. */
   readonly milliseconds: number;
-  /** Aborts the watched exchange too. */
+  /** Aborting it also aborts the watched exchange. */
   readonly signal?: AbortSignal;
 }
 
 /**
- * Aborts what makes no progress. What goes wrong: something between the two
- * ends loses track of a connection, which then stays open and silent for good
- * while new ones work. No error ever comes, so only a timeout on each step
- * notices it.
+ * Aborts an exchange that makes no progress. A device between the two ends may
+ * lose the state of a connection, which then stays open and silent forever
+ * while new connections work. No error is ever reported, so only a timeout on
+ * each step detects it.
  *
  * Source: the brief, "What fails".
  */
-export class ProgressWatch {
-  readonly #options: ProgressWatchOptions;
+export class ProgressWatchdog {
+  readonly #options: ProgressWatchdogOptions;
   readonly #abort = new AbortController();
   readonly #onOuterAbort = (): void => {
     this.#abort.abort(this.#options.signal?.reason);
   };
-  #isSilent = false;
+  #hasTimedOut = false;
 
-  constructor(options: ProgressWatchOptions) {
+  constructor(options: ProgressWatchdogOptions) {
     this.#options = options;
     options.signal?.addEventListener("abort", this.#onOuterAbort);
     if (options.signal?.aborted) this.#onOuterAbort();
   }
 
-  /** Aborted on silence, and when the outer signal is. */
+  /** Aborted on a timeout, and when the outer signal is aborted. */
   get signal(): AbortSignal {
     return this.#abort.signal;
   }
 
-  /** True once a step took too long. */
-  get isSilent(): boolean {
-    return this.#isSilent;
+  /** True once a step has timed out. */
+  get hasTimedOut(): boolean {
+    return this.#hasTimedOut;
   }
 
-  /** Waits for one step; a reader's own pauses between steps do not count. */
-  async step<Result>(promise: Promise<Result>): Promise<Result> {
+  /** Waits for one step. The reader's pauses between steps are not timed. */
+  async waitFor<Result>(promise: Promise<Result>): Promise<Result> {
     const { timer, milliseconds } = this.#options;
     const stop = timer.registerTimeout(() => {
-      this.#isSilent = true;
-      this.#abort.abort(new Error(`No progress for ${milliseconds} ms`));
+      this.#hasTimedOut = true;
+      this.#abort.abort(
+        new Error(`The exchange made no progress for ${milliseconds} ms`),
+      );
     }, milliseconds);
     try {
       return await promise;
@@ -54,9 +57,9 @@
     }
   }
 
-  /** Lets go of the outer signal, and aborts what still runs. */
+  /** Removes the listener on the outer signal and aborts the exchange. */
   end(): void {
     this.#options.signal?.removeEventListener("abort", this.#onOuterAbort);
-    this.#abort.abort(new Error("The exchange is no longer wanted"));
+    this.#abort.abort(new Error("The exchange has ended"));
   }
 }
--- a/packages/kelpspar-client/src/transport/read_records.ts
+++ b/packages/kelpspar-client/src/transport/read_records.ts
@@ -1,22 +1,23 @@
 import type { AnswerRecord } from "kelpspar-shared";
 import type { OpenExchange } from "./daemon_exchange.ts";
-import type { ProgressWatch } from "./progress_watchdog.ts";
+import type { ProgressWatchdog } from "./progress_watchdog.ts";
 import { readJsonLines } from "kelpspar-shared";
 import { readAnswerRecord } from "../records/read_answer_record.ts";
 import { ExchangeFailure } from "./exchange_failure.ts";
 
 /**
- * Reads the records of an answer, or the one failure of a refusal. Throws
- * ExchangeFailure, with nothing proved, for what is neither.
+ * Reads the records of an answer, or the single failure record of a refusal.
+ * Throws ExchangeFailure for anything else; it is then unknown whether the
+ * exchange arrived.
  */
 export async function* readRecords(
   exchange: OpenExchange,
-  watch: ProgressWatch,
+  watchdog: ProgressWatchdog,
 ): AsyncGenerator<AnswerRecord, void, void> {
   const lines = readJsonLines(exchange.body)[Symbol.asyncIterator]();
   try {
     for (;;) {
-      const line = await watch.step(lines.next());
+      const line = await watchdog.waitFor(lines.next());
       if (line.done) return;
       const record = readAnswerRecord(line.value);
       if (record === undefined) throw new Error("A line is not a record");
@@ -34,18 +35,18 @@
 }
 
 /**
- * Reads an answer to the end of its stream after its last record, so that a
- * pooled connection can be used again; ends the watch.
+ * Reads an answer's stream to its end after the last record, so that a pooled
+ * connection can be reused. Ends the watchdog.
  */
 export async function drainRecords(
   records: AsyncGenerator<AnswerRecord, void, void>,
-  watch: ProgressWatch,
+  watchdog: ProgressWatchdog,
 ): Promise<void> {
   try {
     while (!(await records.next()).done);
   } catch {
-    // The answer is already whole; only the connection is lost.
+    // The exchange already has its result; only the connection is lost.
   } finally {
-    watch.end();
+    watchdog.end();
   }
 }
--- a/packages/kelpspar-client/src/transport/tracking_connector.ts
+++ b/packages/kelpspar-client/src/transport/tracking_connector.ts
@@ -1,37 +1,37 @@
 import { buildConnector } from "undici";
 
 /**
- * Opens connections and remembers which errors came from opening one. What
- * goes wrong without it: error codes do not tell. An established connection
- * can end with EHOSTUNREACH after its request was sent, and taken for a
- * refusal that would let a request run twice. Only an error that opening
- * itself gave proves that nothing was sent.
+ * Opens connections and tracks which errors came from opening one. Error codes
+ * are not sufficient: an established connection can end with EHOSTUNREACH after
+ * its request was sent, and treating that as a refused connection would let a
+ * request run twice. Only an error from opening the connection itself proves
+ * that nothing was sent.
  */
-export class WatchedConnector {
+export class TrackingConnector {
   readonly #open: buildConnector.connector;
-  readonly #openingErrors = new WeakSet<Error>();
-  #opened = 0;
+  readonly #openErrors = new WeakSet<Error>();
+  #openedCount = 0;
 
   constructor(options: { readonly timeoutMilliseconds: number }) {
     this.#open = buildConnector({ timeout: options.timeoutMilliseconds });
   }
 
-  /** How many connections were opened. */
-  get opened(): number {
-    return this.#opened;
+  /** The number of connections opened. */
+  get openedCount(): number {
+    return this.#openedCount;
   }
 
-  /** The function that undici calls. */
+  /** The connector function that undici calls. */
   readonly connect: buildConnector.connector = (options, callback) => {
     this.#open(options, (...outcome) => {
-      if (outcome[0] === null) this.#opened++;
-      else this.#openingErrors.add(outcome[0]);
+      if (outcome[0] === null) this.#openedCount++;
+      else this.#openErrors.add(outcome[0]);
       callback(...outcome);
     });
   };
 
-  /** True when `cause` came from opening a connection. */
+  /** True if `cause` came from opening a connection. */
   failedToOpen(cause: unknown): boolean {
-    return cause instanceof Error && this.#openingErrors.has(cause);
+    return cause instanceof Error && this.#openErrors.has(cause);
   }
 }
