--- a/packages/kelpspar-cli/src/__tests__/unit/explain_test.ts
+++ b/packages/kelpspar-cli/src/__tests__/unit/explain_test.ts
@@ -1,7 +1,7 @@
 import { expect } from "earl";
 import { test } from "node:test";
 import { explainRequest } from "../../explain/explain_request.ts";
-import { formatStory } from "../../explain/format_story.ts";
+import { formatStory } from "../../explain/format_timeline.ts";
 import { parseLogLine } from "../../explain/log_line.ts";
 
 function line(second: number, message: string, fields: object): string {
--- a/packages/kelpspar-cli/src/__tests__/unit/report_command_test.ts
+++ b/packages/kelpspar-cli/src/__tests__/unit/report_command_test.ts
@@ -7,7 +7,7 @@
 import { RESULT_CODES, SeededRandom } from "kelpspar-shared";
 import { runCli } from "../../mod.ts";
 import { FakeOperatorDaemon, refuse, reply } from "./fake_operator_daemon.ts";
-import { WaitingTimer } from "./waiting_timer.ts";
+import { WaitingTimer } from "./auto_advancing_timer.ts";
 
 const HOSTILE = "<script>alert('1')</script>&co";
 const REPORTS = "GET /v1/operator/";
--- a/packages/kelpspar-cli/src/__tests__/unit/run_cli_test.ts
+++ b/packages/kelpspar-cli/src/__tests__/unit/run_cli_test.ts
@@ -11,7 +11,7 @@
   refuse,
   reply,
 } from "./fake_operator_daemon.ts";
-import { WaitingTimer } from "./waiting_timer.ts";
+import { WaitingTimer } from "./auto_advancing_timer.ts";
 
 const EXAMPLES = fileURLToPath(
   new URL("../../../../../examples/", import.meta.url),
--- a/packages/kelpspar-cli/src/commands/accounts_command.ts
+++ b/packages/kelpspar-cli/src/commands/accounts_command.ts
@@ -1,7 +1,7 @@
 import { accountsSchema } from "../operator/answers.ts";
 import { readAnswer } from "../operator/read_answer.ts";
 import { formatTable } from "../output/format_table.ts";
-import { createReportCommand } from "./report_command.ts";
+import { createReportCommand } from "./query_command.ts";
 
 const COLUMNS = [
   "id",
--- a/packages/kelpspar-cli/src/commands/apply_command.ts
+++ b/packages/kelpspar-cli/src/commands/apply_command.ts
@@ -3,7 +3,7 @@
   ConfigurationProblem,
 } from "kelpspar-configuration";
 import type { CliContext } from "../cli_context.ts";
-import type { OfferOutcome } from "../configuration/offer_configuration.ts";
+import type { OfferOutcome } from "../configuration/submit_configuration.ts";
 import type { OperatorClient } from "../operator/operator_client.ts";
 import type { CliCommand } from "./cli_command.ts";
 import type { CommandResult } from "./command_result.ts";
@@ -14,10 +14,10 @@
 import { readCurrentConfiguration } from "../configuration/current_configuration.ts";
 import { describeProblems } from "../configuration/describe_problems.ts";
 import { loadConfiguration } from "../configuration/load_configuration.ts";
-import { offerConfiguration } from "../configuration/offer_configuration.ts";
+import { offerConfiguration } from "../configuration/submit_configuration.ts";
 import { waitUntilInForce } from "../configuration/wait_until_in_force.ts";
 import { createOperatorClient } from "../operator/create_operator_client.ts";
-import { answerWith } from "./answer_with.ts";
+import { answerWith } from "./run_command.ts";
 
 const CHANGE_ID_BYTES = 16;
 const MILLISECONDS_PER_SECOND = 1_000;
--- a/packages/kelpspar-cli/src/commands/change_command.ts
+++ b/packages/kelpspar-cli/src/commands/change_command.ts
@@ -4,9 +4,9 @@
 import { KelpsparError } from "kelpspar-shared";
 import { jsonFlag } from "../arguments/json_flag.ts";
 import { operatorArguments } from "../arguments/operator_arguments.ts";
-import { findChange } from "../configuration/offer_configuration.ts";
+import { findChange } from "../configuration/submit_configuration.ts";
 import { createOperatorClient } from "../operator/create_operator_client.ts";
-import { answerWith } from "./answer_with.ts";
+import { answerWith } from "./run_command.ts";
 
 /** `kelpspar change show ID`. */
 export function createChangeCommand(context: CliContext): CliCommand {
--- a/packages/kelpspar-cli/src/commands/diff_command.ts
+++ b/packages/kelpspar-cli/src/commands/diff_command.ts
@@ -10,7 +10,7 @@
 import { describeProblems } from "../configuration/describe_problems.ts";
 import { loadConfiguration } from "../configuration/load_configuration.ts";
 import { createOperatorClient } from "../operator/create_operator_client.ts";
-import { answerWith } from "./answer_with.ts";
+import { answerWith } from "./run_command.ts";
 
 /** `kelpspar diff BASE [OVERLAY]`. */
 export function createDiffCommand(context: CliContext): CliCommand {
--- a/packages/kelpspar-cli/src/commands/explain_command.ts
+++ b/packages/kelpspar-cli/src/commands/explain_command.ts
@@ -3,9 +3,9 @@
 import { command, positional, restPositionals, string } from "cmd-ts";
 import { jsonFlag } from "../arguments/json_flag.ts";
 import { explainRequest } from "../explain/explain_request.ts";
-import { formatStory } from "../explain/format_story.ts";
+import { formatStory } from "../explain/format_timeline.ts";
 import { parseLogLine } from "../explain/log_line.ts";
-import { answerWith } from "./answer_with.ts";
+import { answerWith } from "./run_command.ts";
 
 const STANDARD_INPUT = "/dev/stdin";
 
--- a/packages/kelpspar-cli/src/commands/history_command.ts
+++ b/packages/kelpspar-cli/src/commands/history_command.ts
@@ -7,7 +7,7 @@
 import { createOperatorClient } from "../operator/create_operator_client.ts";
 import { readAnswer } from "../operator/read_answer.ts";
 import { formatTable } from "../output/format_table.ts";
-import { answerWith } from "./answer_with.ts";
+import { answerWith } from "./run_command.ts";
 
 const DEFAULT_LIMIT = 20;
 const COLUMNS = ["revision", "acceptedAt", "operator", "changeId"];
--- a/packages/kelpspar-cli/src/commands/report_command.ts
+++ b/packages/kelpspar-cli/src/commands/query_command.ts
@@ -5,7 +5,7 @@
 import { jsonFlag } from "../arguments/json_flag.ts";
 import { operatorArguments } from "../arguments/operator_arguments.ts";
 import { createOperatorClient } from "../operator/create_operator_client.ts";
-import { answerWith } from "./answer_with.ts";
+import { answerWith } from "./run_command.ts";
 
 /** A command that shows what a daemon reports. */
 export interface ReportDefinition {
--- a/packages/kelpspar-cli/src/commands/schema_command.ts
+++ b/packages/kelpspar-cli/src/commands/schema_command.ts
@@ -3,7 +3,7 @@
 import { command } from "cmd-ts";
 import { configurationJsonSchema } from "kelpspar-configuration";
 import { jsonFlag } from "../arguments/json_flag.ts";
-import { answerWith } from "./answer_with.ts";
+import { answerWith } from "./run_command.ts";
 
 /** `kelpspar schema`. */
 export function createSchemaCommand(context: CliContext): CliCommand {
--- a/packages/kelpspar-cli/src/commands/undrain_command.ts
+++ b/packages/kelpspar-cli/src/commands/undrain_command.ts
@@ -5,7 +5,7 @@
 import { jsonFlag } from "../arguments/json_flag.ts";
 import { operatorArguments } from "../arguments/operator_arguments.ts";
 import { createOperatorClient } from "../operator/create_operator_client.ts";
-import { answerWith } from "./answer_with.ts";
+import { answerWith } from "./run_command.ts";
 
 /** `kelpspar undrain KIND ID`. */
 export function createUndrainCommand(context: CliContext): CliCommand {
--- a/packages/kelpspar-cli/src/commands/validate_command.ts
+++ b/packages/kelpspar-cli/src/commands/validate_command.ts
@@ -5,7 +5,7 @@
 import { jsonFlag } from "../arguments/json_flag.ts";
 import { describeProblems } from "../configuration/describe_problems.ts";
 import { loadConfiguration } from "../configuration/load_configuration.ts";
-import { answerWith } from "./answer_with.ts";
+import { answerWith } from "./run_command.ts";
 
 /** `kelpspar validate BASE [OVERLAY]`. */
 export function createValidateCommand(context: CliContext): CliCommand {
--- a/packages/kelpspar-cli/src/configuration/offer_configuration.ts
+++ b/packages/kelpspar-cli/src/configuration/submit_configuration.ts
@@ -6,7 +6,7 @@
 import { appliedSchema, changeSchema } from "../operator/answers.ts";
 import { readFailure, toAnswerError } from "../operator/failure_answer.ts";
 import { readAnswer } from "../operator/read_answer.ts";
-import { waitFor } from "./wait_for.ts";
+import { waitFor } from "./poll_until_found.ts";
 
 const STATUS_OK = 200;
 const ASK_AGAIN_MILLISECONDS = 500;
--- a/packages/kelpspar-cli/src/configuration/wait_until_in_force.ts
+++ b/packages/kelpspar-cli/src/configuration/wait_until_in_force.ts
@@ -4,7 +4,7 @@
 import { KelpsparError } from "kelpspar-shared";
 import { statusSchema } from "../operator/answers.ts";
 import { readAnswer } from "../operator/read_answer.ts";
-import { waitFor } from "./wait_for.ts";
+import { waitFor } from "./poll_until_found.ts";
 
 const LOOK_AGAIN_MILLISECONDS = 250;
 
--- a/packages/kelpspar-cli/src/report/report_command.ts
+++ b/packages/kelpspar-cli/src/report/report_command.ts
@@ -5,7 +5,7 @@
 import type { SiteRecords } from "./site_records.ts";
 import { command } from "cmd-ts";
 import { KelpsparError } from "kelpspar-shared";
-import { answerWith } from "../commands/answer_with.ts";
+import { answerWith } from "../commands/run_command.ts";
 import { createOperatorClient } from "../operator/create_operator_client.ts";
 import { collectRecords } from "./collect_records.ts";
 import { createReportPage } from "./create_report_page.ts";
