--- a/packages/kelpspar-cli/src/__tests__/unit/auto_advancing_timer.ts
+++ b/packages/kelpspar-cli/src/__tests__/unit/auto_advancing_timer.ts
@@ -1,13 +1,13 @@
 import type { TimerService } from "kelpspar-shared";
 
-const SHORTEST_EXCHANGE_TIMEOUT = 5_000;
+const MIN_EXCHANGE_TIMEOUT_MILLISECONDS = 5_000;
 
 /**
- * Time passes only by waiting: a wait ends on the next turn of the event loop
- * and moves the clock by its length. Timeouts of exchanges never fire unless a
- * test says so, so no verdict depends on how fast sockets are.
+ * A timer whose waits end on the next turn of the event loop and advance the
+ * clock by their duration. Timeouts of exchanges fire only on request, so that
+ * no test depends on the speed of sockets.
  */
-export class WaitingTimer implements TimerService {
+export class AutoAdvancingTimer implements TimerService {
   #now = 0;
   readonly #exchangeTimeouts = new Set<() => void>();
 
@@ -20,7 +20,7 @@
   }
 
   registerTimeout(listener: () => void, milliseconds: number): () => void {
-    if (milliseconds >= SHORTEST_EXCHANGE_TIMEOUT) {
+    if (milliseconds >= MIN_EXCHANGE_TIMEOUT_MILLISECONDS) {
       this.#exchangeTimeouts.add(listener);
       return () => this.#exchangeTimeouts.delete(listener);
     }
@@ -32,10 +32,10 @@
   }
 
   registerInterval(): () => void {
-    throw new Error("The tool uses no intervals");
+    throw new Error("Cannot register an interval: the command line uses none");
   }
 
-  /** Ends every exchange that is under way. */
+  /** Expires the timeout of every exchange in flight. */
   expireExchanges(): void {
     for (const listener of this.#exchangeTimeouts) listener();
   }
--- a/packages/kelpspar-cli/src/__tests__/unit/explain_test.ts
+++ b/packages/kelpspar-cli/src/__tests__/unit/explain_test.ts
@@ -1,7 +1,7 @@
 import { expect } from "earl";
 import { test } from "node:test";
 import { explainRequest } from "../../explain/explain_request.ts";
-import { formatStory } from "../../explain/format_timeline.ts";
+import { formatTimeline } from "../../explain/format_timeline.ts";
 import { parseLogLine } from "../../explain/log_line.ts";
 
 function line(second: number, message: string, fields: object): string {
@@ -22,32 +22,32 @@
   "not a line of ours {",
 ];
 
-test("a story holds a request's lines in order and its daemons' beliefs", () => {
+test("a timeline has a request's lines in order and its daemons' state changes", () => {
   const lines = LOG.flatMap((text) => parseLogLine(text) ?? []);
-  const story = explainRequest("a1", lines);
-  expect(story.own.map(({ message }) => message)).toEqual([
+  const timeline = explainRequest("a1", lines);
+  expect(timeline.own.map(({ message }) => message)).toEqual([
     "endpoint call failed",
     "piece call overdue",
     "request ended",
   ]);
-  expect(story.around.map(({ time }) => time.slice(17, 19))).toEqual(["05"]);
-  expect(formatStory(story).includes("outcome=failed")).toEqual(true);
+  expect(timeline.around.map(({ time }) => time.slice(17, 19))).toEqual(["05"]);
+  expect(formatTimeline(timeline).includes("outcome=failed")).toEqual(true);
 });
 
-test("the story of a fingerprint holds all attempts of a request", () => {
+test("the timeline of a fingerprint has all attempts of a request", () => {
   const lines = [
     line(1, "request sent", { attempt: "a1", fingerprint: "f1" }),
     line(2, "request quarantined", { fingerprint: "f1", crashes: "i1,i2,i3" }),
     line(3, "request ended", { attempt: "a2", fingerprint: "f1" }),
     line(3, "request ended", { attempt: "a3", fingerprint: "f2" }),
   ].flatMap((text) => parseLogLine(text) ?? []);
-  const story = explainRequest("f1", lines);
-  expect(story.own.length).toEqual(3);
-  expect(formatStory(story).includes("attempt=a2")).toEqual(true);
-  expect(formatStory(story).includes("fingerprint=")).toEqual(false);
+  const timeline = explainRequest("f1", lines);
+  expect(timeline.own.length).toEqual(3);
+  expect(formatTimeline(timeline).includes("attempt=a2")).toEqual(true);
+  expect(formatTimeline(timeline).includes("fingerprint=")).toEqual(false);
 });
 
-test("a request that no line names is said to be so", () => {
-  expect(formatStory(explainRequest("zz", [])))
+test("a request without log lines is reported as such", () => {
+  expect(formatTimeline(explainRequest("zz", [])))
     .toEqual('No line names request "zz"');
 });
--- a/packages/kelpspar-cli/src/__tests__/unit/fake_operator_daemon.ts
+++ b/packages/kelpspar-cli/src/__tests__/unit/fake_operator_daemon.ts
@@ -4,12 +4,12 @@
 import { createServer } from "node:http";
 import { KelpsparError, RESULT_CODES, toFailureRecord } from "kelpspar-shared";
 
-/** What a fake daemon does with a call. */
+/** Writes a fake daemon's response to a call. */
 export type FakeReply = (response: ServerResponse) => void;
 
-/** A scripted daemon's operator side on an ephemeral port. */
+/** The operator interface of a daemon with scripted replies. */
 export class FakeOperatorDaemon {
-  /** Calls seen, as `METHOD path`. */
+  /** Received calls, as `METHOD path`. */
   readonly calls: string[] = [];
   readonly bodies: unknown[] = [];
   readonly keys = new Set<string | undefined>();
@@ -37,7 +37,10 @@
     return `127.0.0.1:${(this.#server.address() as AddressInfo).port}`;
   }
 
-  /** Replies in turn to calls that begin so; the last reply stays. */
+  /**
+   * Sets the replies to a call, in order; the last one repeats. A call that
+   * ends with a slash matches every call with that prefix.
+   */
   on(call: string, ...replies: FakeReply[]): this {
     this.#replies.set(call, replies);
     return this;
@@ -67,7 +70,7 @@
   return (response) => void response.end(JSON.stringify(body));
 }
 
-/** Refuses with a result code. */
+/** Responds with the failure record of a result code. */
 export function refuse(name: ResultName, more: object = {}): FakeReply {
   const record = toFailureRecord(new KelpsparError(name, `Refused: ${name}`));
   return (response) => {
@@ -76,7 +79,7 @@
   };
 }
 
-/** Breaks the connection without an answer. */
+/** Closes the connection without an answer. */
 export function breakOff(response: ServerResponse): void {
   response.destroy();
 }
--- a/packages/kelpspar-cli/src/__tests__/unit/report_command_test.ts
+++ b/packages/kelpspar-cli/src/__tests__/unit/report_command_test.ts
@@ -7,7 +7,7 @@
 import { RESULT_CODES, SeededRandom } from "kelpspar-shared";
 import { runCli } from "../../mod.ts";
 import { FakeOperatorDaemon, refuse, reply } from "./fake_operator_daemon.ts";
-import { WaitingTimer } from "./auto_advancing_timer.ts";
+import { AutoAdvancingTimer } from "./auto_advancing_timer.ts";
 
 const HOSTILE = "<script>alert('1')</script>&co";
 const REPORTS = "GET /v1/operator/";
@@ -19,7 +19,7 @@
   const print = (text: string): void => void printed.push(text);
   const exitCode = await runCli(commandLine, {
     output: { print, printError: print },
-    timer: new WaitingTimer(),
+    timer: new AutoAdvancingTimer(),
     random: new SeededRandom(1),
     environment: { KELPSPAR_OPERATOR_KEY: "key" },
     readFile: (path) => readFile(path, "utf8"),
@@ -85,11 +85,11 @@
   const [one, three, down] = await Promise.all(
     [1, 3, 5].map((factor) => startDaemon(context, factor)),
   );
-  if (!one || !three || !down) throw new Error("Three daemons were started");
+  if (!one || !three || !down) throw new Error("A daemon is missing");
   down.on(`${REPORTS}accounts`, refuse("no_configuration"));
   const folder = await createFolder(context);
   const [saved, page] = [join(folder, "saved.json"), join(folder, "page.html")];
-  // One daemon is named twice, which must not count it twice.
+  // One daemon is given twice and must be counted once.
   const places = [one, three, one, down].flatMap(({ place }) => [
     "--daemon",
     place,
@@ -136,7 +136,7 @@
   expect(/(href|src)="|url\(/.test(html)).toEqual(false);
 });
 
-test("one daemon's percentiles are exact; none that answers is an error", async (context) => {
+test("percentiles of one daemon are exact, and no answering daemon is an error", async (context) => {
   const daemon = await startDaemon(context, 2);
   const alone = await run("report", "--daemon", daemon.place);
   expect([alone.exitCode, alone.printed.includes("largest of")])
@@ -151,7 +151,7 @@
     .toEqual(RESULT_CODES.operator_role.exitCode);
 });
 
-test("wrong input is a numbered error that names the path", async (context) => {
+test("invalid input is an error with a code and the file's path", async (context) => {
   const daemon = await startDaemon(context, 1);
   const folder = await createFolder(context);
   const saved = join(folder, "saved.json");
--- a/packages/kelpspar-cli/src/__tests__/unit/run_cli_test.ts
+++ b/packages/kelpspar-cli/src/__tests__/unit/run_cli_test.ts
@@ -11,7 +11,7 @@
   refuse,
   reply,
 } from "./fake_operator_daemon.ts";
-import { WaitingTimer } from "./auto_advancing_timer.ts";
+import { AutoAdvancingTimer } from "./auto_advancing_timer.ts";
 
 const EXAMPLES = fileURLToPath(
   new URL("../../../../../examples/", import.meta.url),
@@ -28,8 +28,8 @@
   readonly errors: string;
 }
 
-class Setting {
-  readonly timer = new WaitingTimer();
+class TestSetup {
+  readonly timer = new AutoAdvancingTimer();
   readonly files = new Map<string, string>();
   environment: Record<string, string> = { KELPSPAR_OPERATOR_KEY: "from-env" };
 
@@ -53,16 +53,16 @@
     return { exitCode, printed: text ?? "", errors: error ?? "" };
   }
 
-  /** The options that name every daemon. */
+  /** The `--daemon` options of every daemon. */
   get places(): string[] {
     return this.daemons.flatMap(({ place }) => ["--daemon", place]);
   }
 }
 
-async function createSetting(
+async function createTestSetup(
   context: TestContext,
   count = 1,
-): Promise<Setting & { readonly first: FakeOperatorDaemon }> {
+): Promise<TestSetup & { readonly first: FakeOperatorDaemon }> {
   const daemons: FakeOperatorDaemon[] = [];
   for (let index = 0; index < count; index++) {
     daemons.push(await new FakeOperatorDaemon().start());
@@ -72,8 +72,8 @@
     daemon.on(CURRENT, reply({ revision: 4, configuration: { site: "old" } }));
   }
   const first = daemons[0];
-  if (first === undefined) throw new Error("A setting has a daemon");
-  return Object.assign(new Setting(daemons), { first });
+  if (first === undefined) throw new Error("The test setup has no daemon");
+  return Object.assign(new TestSetup(daemons), { first });
 }
 
 function statusOf(...revisions: number[]): unknown {
@@ -85,41 +85,41 @@
   return { site: "tillbrook", revision: Math.max(...revisions), daemons };
 }
 
-test("validate reports every error with its path, and tells by exit code", async () => {
-  const setting = new Setting([]);
-  const valid = await setting.run("validate", ...FILES);
+test("validate reports every error with its path, and sets the exit code", async () => {
+  const setup = new TestSetup([]);
+  const valid = await setup.run("validate", ...FILES);
   expect([valid.exitCode, valid.printed]).toEqual([
     0,
     'Valid: site "tillbrook" with 5 accounts, 5 services and 3 pipelines',
   ]);
-  setting.files.set("bad", '{"site": 1, "services": {"booking": {"id": ""}}}');
-  const bad = await setting.run("validate", FILES[1] ?? "", "bad", "--json");
+  setup.files.set("bad", '{"site": 1, "services": {"booking": {"id": ""}}}');
+  const bad = await setup.run("validate", FILES[1] ?? "", "bad", "--json");
   expect(bad.exitCode).toEqual(RESULT_CODES.configuration_invalid.exitCode);
   const { errors } = JSON.parse(bad.printed);
   expect(errors.length > 5).toEqual(true);
   expect(errors[0].path).toEqual("site");
-  setting.files.set("torn", '{"site":');
-  expect((await setting.run("validate", "torn")).exitCode)
+  setup.files.set("torn", '{"site":');
+  expect((await setup.run("validate", "torn")).exitCode)
     .toEqual(RESULT_CODES.configuration_unreadable.exitCode);
 });
 
-test("a wrong command line is a usage error, help is none", async () => {
-  const setting = new Setting([]);
+test("an invalid command line is a usage error, help is not", async () => {
+  const setup = new TestSetup([]);
   const usage = RESULT_CODES.usage.exitCode;
-  expect((await setting.run("validate")).exitCode).toEqual(usage);
-  expect((await setting.run("aply")).exitCode).toEqual(usage);
-  expect((await setting.run("status")).exitCode).toEqual(usage);
-  expect((await setting.run("status", "--daemon", "host:1")).exitCode)
+  expect((await setup.run("validate")).exitCode).toEqual(usage);
+  expect((await setup.run("aply")).exitCode).toEqual(usage);
+  expect((await setup.run("status")).exitCode).toEqual(usage);
+  expect((await setup.run("status", "--daemon", "host:1")).exitCode)
     .toEqual(usage);
-  setting.environment = {};
-  const noKey = await setting.run("status", "--daemon", "127.0.0.1:1");
+  setup.environment = {};
+  const noKey = await setup.run("status", "--daemon", "127.0.0.1:1");
   expect(noKey.exitCode).toEqual(usage);
-  expect((await setting.run("--help")).exitCode).toEqual(0);
+  expect((await setup.run("--help")).exitCode).toEqual(0);
 });
 
-test("each command asks its own address", async (context) => {
-  const setting = await createSetting(context);
-  const { first } = setting;
+test("each command sends its own request", async (context) => {
+  const setup = await createTestSetup(context);
+  const { first } = setup;
   const request = {
     requestId: "r",
     account: "a",
@@ -155,54 +155,54 @@
   ];
   for (const [commandLine, call, body, pattern] of cases) {
     first.on(call, reply(body));
-    const run = await setting.run(...commandLine, ...setting.places);
+    const run = await setup.run(...commandLine, ...setup.places);
     expect([run.exitCode, run.errors, first.calls.at(-1)])
       .toEqual([0, "", call]);
     expect(pattern.test(run.printed)).toEqual(true);
-    const json = await setting.run(...commandLine, "--json", ...setting.places);
+    const json = await setup.run(...commandLine, "--json", ...setup.places);
     expect(typeof JSON.parse(json.printed)).toEqual("object");
   }
   expect(first.bodies.find((body) => body !== undefined))
     .toEqual({ kind: "endpoint", id: "e/1" });
   expect([...first.keys]).toEqual(["Bearer from-env"]);
-  setting.files.set("key", "from-file\n");
-  await setting.run("status", "--key-file", "key", ...setting.places);
-  await setting.run("status", "--key", "given", ...setting.places);
+  setup.files.set("key", "from-file\n");
+  await setup.run("status", "--key-file", "key", ...setup.places);
+  await setup.run("status", "--key", "given", ...setup.places);
   expect([...first.keys].slice(1)).toEqual([
     "Bearer from-file",
     "Bearer given",
   ]);
 });
 
-test("a daemon that is down, silent or not ready leads to the next", async (context) => {
-  const setting = await createSetting(context, 4);
-  const [down, silent, unready, ready] = setting.daemons;
-  const { places } = setting;
+test("the next daemon is tried if one is down, silent or not ready", async (context) => {
+  const setup = await createTestSetup(context, 4);
+  const [down, silent, unready, ready] = setup.daemons;
+  const { places } = setup;
   await down?.stop();
-  silent?.on(STATUS, () => setting.timer.expireExchanges());
+  silent?.on(STATUS, () => setup.timer.expireExchanges());
   unready?.on(STATUS, refuse("no_configuration"));
   ready?.on(STATUS, reply(statusOf(4)));
-  const run = await setting.run("status", ...places);
+  const run = await setup.run("status", ...places);
   expect([run.exitCode, run.errors]).toEqual([0, ""]);
   unready?.on(STATUS, refuse("operator_role"));
-  expect((await setting.run("status", ...places)).exitCode)
+  expect((await setup.run("status", ...places)).exitCode)
     .toEqual(RESULT_CODES.operator_role.exitCode);
 });
 
 test("diff shows what an apply would change", async (context) => {
-  const setting = await createSetting(context);
-  const run = await setting.run("diff", ...FILES, ...setting.places);
+  const setup = await createTestSetup(context);
+  const run = await setup.run("diff", ...FILES, ...setup.places);
   expect(run.exitCode).toEqual(0);
   expect(run.printed.split("\n").slice(0, 2)).toEqual([
     "Against revision 4:",
     '~ site: "old" -> "tillbrook"',
   ]);
-  expect(setting.first.calls).toEqual([CURRENT]);
+  expect(setup.first.calls).toEqual([CURRENT]);
 });
 
 test("apply --wait ends when every live daemon reports the revision", async (context) => {
-  const setting = await createSetting(context);
-  const { first } = setting;
+  const setup = await createTestSetup(context);
+  const { first } = setup;
   first.on(APPLY, reply({ revision: 5 }));
   first.on(
     STATUS,
@@ -211,29 +211,29 @@
     reply({ site: "s", revision: 5, daemons: [] }),
     reply(statusOf(5, 6, 1)),
   );
-  const run = await setting.run("apply", ...FILES, "--wait", ...setting.places);
+  const run = await setup.run("apply", ...FILES, "--wait", ...setup.places);
   expect([run.exitCode, run.errors, first.count(STATUS)]).toEqual([0, "", 4]);
-  const offer = JSON.stringify(first.bodies[first.calls.indexOf(APPLY)]);
-  expect(/"expectedRevision":4,"changeId":"[0-9a-f]{32}"}$/.test(offer))
+  const submission = JSON.stringify(first.bodies[first.calls.indexOf(APPLY)]);
+  expect(/"expectedRevision":4,"changeId":"[0-9a-f]{32}"}$/.test(submission))
     .toEqual(true);
   first.on(STATUS, reply(statusOf(5, 4)));
-  const late = await setting.run(
+  const late = await setup.run(
     "apply",
     ...FILES,
     "--wait",
-    ...setting.places,
+    ...setup.places,
   );
   expect(late.exitCode).toEqual(RESULT_CODES.apply_wait_expired.exitCode);
   expect(late.errors.includes("late: d1 at 4")).toEqual(true);
 });
 
-test("an apply whose answer is lost is found again by its id", async (context) => {
-  // Symptom: an operator is told that an apply failed, and it took effect.
-  // Sequence: the daemon writes the revision and dies before it answers; only
-  // another daemon knows of the change, and it does so a little later.
-  // Cause: a lost answer was taken for a refusal.
-  const setting = await createSetting(context, 2);
-  const [first, second] = setting.daemons;
+test("an apply whose answer is lost is recovered by its change id", async (context) => {
+  // Guards against reporting a successful apply as failed. The daemon writes
+  // the revision and dies before it answers; only another daemon has the
+  // change, after a short delay. The failure: a lost answer is treated as a
+  // refusal.
+  const setup = await createTestSetup(context, 2);
+  const [first, second] = setup.daemons;
   first?.on(APPLY, breakOff).on(CHANGES, breakOff);
   second?.on(
     CHANGES,
@@ -243,28 +243,28 @@
       revision: 5,
     }),
   );
-  const run = await setting.run("apply", ...FILES, ...setting.places, "--json");
+  const run = await setup.run("apply", ...FILES, ...setup.places, "--json");
   expect(run.exitCode).toEqual(0);
   expect(JSON.parse(run.printed).revision).toEqual(5);
   expect([first?.count(APPLY), second?.count(APPLY)]).toEqual([1, 0]);
   second?.on(CHANGES, reply({ state: "unknown" }));
-  const lost = await setting.run("apply", ...FILES, ...setting.places);
+  const lost = await setup.run("apply", ...FILES, ...setup.places);
   expect(lost.exitCode).toEqual(RESULT_CODES.apply_unconfirmed.exitCode);
   expect(lost.errors.includes("apply_unconfirmed")).toEqual(true);
 });
 
 test("refused applies keep their reason", async (context) => {
-  const setting = await createSetting(context, 2);
-  const [first, second] = setting.daemons;
+  const setup = await createTestSetup(context, 2);
+  const [first, second] = setup.daemons;
   second?.on(APPLY, refuse("revision_conflict"));
   first?.on(APPLY, refuse("draining"));
-  const conflict = await setting.run("apply", ...FILES, ...setting.places);
+  const conflict = await setup.run("apply", ...FILES, ...setup.places);
   expect(conflict.exitCode).toEqual(RESULT_CODES.revision_conflict.exitCode);
   second?.on(CHANGES, reply({ state: "accepted", revision: 5 }));
-  const own = await setting.run("apply", ...FILES, ...setting.places);
+  const own = await setup.run("apply", ...FILES, ...setup.places);
   expect([own.exitCode, own.errors]).toEqual([0, ""]);
   const errors = [{ path: "site", message: "No such site" }];
   first?.on(APPLY, refuse("configuration_invalid", { errors }));
-  const invalid = await setting.run("apply", ...FILES, ...setting.places);
+  const invalid = await setup.run("apply", ...FILES, ...setup.places);
   expect(invalid.errors.includes("site: No such site")).toEqual(true);
 });
--- a/packages/kelpspar-cli/src/arguments/drain_arguments.ts
+++ b/packages/kelpspar-cli/src/arguments/drain_arguments.ts
@@ -1,6 +1,6 @@
 import { oneOf, positional, string } from "cmd-ts";
 
-/** What is drained. */
+/** The arguments that identify the target of a drain. */
 export const drainArguments = {
   kind: positional({
     displayName: "KIND",
--- a/packages/kelpspar-cli/src/arguments/file_arguments.ts
+++ b/packages/kelpspar-cli/src/arguments/file_arguments.ts
@@ -1,6 +1,6 @@
 import { optional, positional, string } from "cmd-ts";
 
-/** The files that make a configuration. */
+/** The files of a configuration. */
 export const fileArguments = {
   base: positional({
     displayName: "BASE",
@@ -10,6 +10,6 @@
   overlay: positional({
     displayName: "OVERLAY",
     type: optional(string),
-    description: "The site's overlay, laid on the base",
+    description: "The site's overlay, merged into the base",
   }),
 };
--- a/packages/kelpspar-cli/src/arguments/json_flag.ts
+++ b/packages/kelpspar-cli/src/arguments/json_flag.ts
@@ -1,6 +1,6 @@
 import { boolean, flag } from "cmd-ts";
 
-/** `--json`, which every command takes. */
+/** The `--json` flag of every command. */
 export const jsonFlag = flag({
   long: "json",
   type: boolean,
--- a/packages/kelpspar-cli/src/arguments/operator_arguments.ts
+++ b/packages/kelpspar-cli/src/arguments/operator_arguments.ts
@@ -1,16 +1,16 @@
 import { array, multioption, option, optional, string } from "cmd-ts";
 
-/** Where the daemons are and by whose key to ask them. */
+/** The addresses of the daemons and the operator key. */
 export const operatorArguments = {
   daemons: multioption({
     long: "daemon",
     type: array(string),
-    description: "A daemon as address:port; give several to try in turn",
+    description: "A daemon as address:port; repeat to try several in order",
   }),
   key: option({
     long: "key",
     type: optional(string),
-    description: "The operator key; others on the machine may see it here",
+    description: "The operator key; visible to other users of the machine",
   }),
   keyFile: option({
     long: "key-file",
--- a/packages/kelpspar-cli/src/cli_context.ts
+++ b/packages/kelpspar-cli/src/cli_context.ts
@@ -1,12 +1,12 @@
 import type { RandomSource, TimerService } from "kelpspar-shared";
 import type { Output } from "./output/output.ts";
 
-/** What commands use of the process they run in. */
+/** The parts of the process that commands use. */
 export interface CliContext {
   readonly output: Output;
   readonly timer: TimerService;
   readonly random: RandomSource;
   readonly environment: Readonly<Record<string, string | undefined>>;
-  /** Throws what `node:fs` throws. */
+  /** Throws the errors of `node:fs`. */
   readonly readFile: (path: string) => Promise<string>;
 }
--- a/packages/kelpspar-cli/src/commands/accounts_command.ts
+++ b/packages/kelpspar-cli/src/commands/accounts_command.ts
@@ -1,7 +1,7 @@
 import { accountsSchema } from "../operator/answers.ts";
 import { readAnswer } from "../operator/read_answer.ts";
 import { formatTable } from "../output/format_table.ts";
-import { createReportCommand } from "./query_command.ts";
+import { createQueryCommand } from "./query_command.ts";
 
 const COLUMNS = [
   "id",
@@ -16,9 +16,9 @@
 ];
 
 /** `kelpspar accounts`. */
-export const createAccountsCommand = createReportCommand({
+export const createAccountsCommand = createQueryCommand({
   name: "accounts",
-  description: "Show what each client account may use and uses",
+  description: "Show the share and the usage of each client account",
   path: "/v1/operator/accounts",
   format: (answer) =>
     formatTable(readAnswer(accountsSchema, answer).accounts, COLUMNS),
--- a/packages/kelpspar-cli/src/commands/apply_command.ts
+++ b/packages/kelpspar-cli/src/commands/apply_command.ts
@@ -3,7 +3,7 @@
   ConfigurationProblem,
 } from "kelpspar-configuration";
 import type { CliContext } from "../cli_context.ts";
-import type { OfferOutcome } from "../configuration/submit_configuration.ts";
+import type { SubmitOutcome } from "../configuration/submit_configuration.ts";
 import type { OperatorClient } from "../operator/operator_client.ts";
 import type { CliCommand } from "./cli_command.ts";
 import type { CommandResult } from "./command_result.ts";
@@ -14,10 +14,10 @@
 import { readCurrentConfiguration } from "../configuration/current_configuration.ts";
 import { describeProblems } from "../configuration/describe_problems.ts";
 import { loadConfiguration } from "../configuration/load_configuration.ts";
-import { offerConfiguration } from "../configuration/submit_configuration.ts";
+import { submitConfiguration } from "../configuration/submit_configuration.ts";
 import { waitUntilInForce } from "../configuration/wait_until_in_force.ts";
 import { createOperatorClient } from "../operator/create_operator_client.ts";
-import { answerWith } from "./run_command.ts";
+import { runCommand } from "./run_command.ts";
 
 const CHANGE_ID_BYTES = 16;
 const MILLISECONDS_PER_SECOND = 1_000;
@@ -36,12 +36,13 @@
     type: number,
     defaultValue: () => DEFAULT_TIMEOUT_SECONDS,
     defaultValueIsSerializable: true,
-    description: "Seconds to wait, and to look for a lost answer",
+    description:
+      "Timeout of --wait and of the search for a lost answer, seconds",
   }),
   expectedRevision: option({
     long: "expected-revision",
     type: optional(number),
-    description: "Apply only over this revision, as shown by diff",
+    description: "Apply only if this revision is current, as shown by diff",
   }),
   json: jsonFlag,
 };
@@ -56,10 +57,10 @@
 export function createApplyCommand(context: CliContext): CliCommand {
   return command({
     name: "apply",
-    description: "Put a configuration in force",
+    description: "Apply a configuration",
     args: applyArguments,
     handler: (values) =>
-      answerWith({ context, json: values.json }, async () => {
+      runCommand({ context, json: values.json }, async () => {
         const parsed = await loadConfiguration(context, values);
         if (!parsed.ok) return describeProblems(parsed.errors);
         const client = await createOperatorClient(context, values);
@@ -83,7 +84,7 @@
   const changeId = context.random.nextHexadecimal(CHANGE_ID_BYTES);
   const expectedRevision = values.expectedRevision ??
     (await readCurrentConfiguration(client)).revision;
-  const outcome = await offerConfiguration(
+  const outcome = await submitConfiguration(
     { configuration, expectedRevision, changeId },
     { client, timer, timeoutMilliseconds },
   );
@@ -98,7 +99,7 @@
 }
 
 function describeAccepted(
-  outcome: Extract<OfferOutcome, { readonly type: "accepted" }>,
+  outcome: Extract<SubmitOutcome, { readonly type: "accepted" }>,
   options: { readonly changeId: string; readonly isInForce: boolean },
 ): CommandResult {
   const { revision } = outcome;
--- a/packages/kelpspar-cli/src/commands/change_command.ts
+++ b/packages/kelpspar-cli/src/commands/change_command.ts
@@ -6,13 +6,13 @@
 import { operatorArguments } from "../arguments/operator_arguments.ts";
 import { findChange } from "../configuration/submit_configuration.ts";
 import { createOperatorClient } from "../operator/create_operator_client.ts";
-import { answerWith } from "./run_command.ts";
+import { runCommand } from "./run_command.ts";
 
 /** `kelpspar change show ID`. */
 export function createChangeCommand(context: CliContext): CliCommand {
   return subcommands({
     name: "change",
-    description: "Look at one change of the configuration",
+    description: "Inspect a configuration change",
     cmds: { show: createShowCommand(context) },
   });
 }
@@ -20,20 +20,20 @@
 function createShowCommand(context: CliContext): CliCommand {
   return command({
     name: "show",
-    description: "Ask every daemon whether a change was accepted",
+    description: "Query the daemons for whether a change was accepted",
     args: {
       id: positional({ displayName: "ID", type: string }),
       ...operatorArguments,
       json: jsonFlag,
     },
     handler: (values) =>
-      answerWith({ context, json: values.json }, async () => {
+      runCommand({ context, json: values.json }, async () => {
         const client = await createOperatorClient(context, values);
         const revision = await findChange(values.id, client);
         if (revision === undefined) {
           throw new KelpsparError(
             "apply_unconfirmed",
-            `No daemon knows whether change "${values.id}" was accepted`,
+            `Cannot confirm change "${values.id}": no daemon reported that it was accepted`,
           );
         }
         return {
--- a/packages/kelpspar-cli/src/commands/cli_command.ts
+++ b/packages/kelpspar-cli/src/commands/cli_command.ts
@@ -1,8 +1,8 @@
 import type { subcommands } from "cmd-ts";
 import type { CliContext } from "../cli_context.ts";
 
-/** A command of the tool, as cmd-ts wants it. */
+/** A command of the command line, in the form that cmd-ts expects. */
 export type CliCommand = Parameters<typeof subcommands>[0]["cmds"][string];
 
-/** Makes a command for a process. */
+/** Creates a command that uses the given context. */
 export type CreateCommand = (context: CliContext) => CliCommand;
--- a/packages/kelpspar-cli/src/commands/command_result.ts
+++ b/packages/kelpspar-cli/src/commands/command_result.ts
@@ -1,11 +1,11 @@
 import type { ResultName } from "kelpspar-shared";
 
-/** What a command came to. */
+/** The result of a command. */
 export interface CommandResult {
-  /** Decides the exit code; `ok` when absent. */
+  /** Determines the exit code; `ok` if absent. */
   readonly result?: ResultName;
-  /** What `--json` prints. */
+  /** Printed with `--json`. */
   readonly data: unknown;
-  /** What is printed otherwise. */
+  /** Printed without `--json`. */
   readonly text: string;
 }
--- a/packages/kelpspar-cli/src/commands/command_table.ts
+++ b/packages/kelpspar-cli/src/commands/command_table.ts
@@ -14,7 +14,7 @@
 import { createValidateCommand } from "./validate_command.ts";
 import { createSiteReportCommand } from "../report/report_command.ts";
 
-/** Every command, by name, in the order of the help. */
+/** All commands by name, in the order in which the help lists them. */
 export const COMMANDS: Readonly<Record<string, CreateCommand>> = {
   validate: createValidateCommand,
   diff: createDiffCommand,
--- a/packages/kelpspar-cli/src/commands/diff_command.ts
+++ b/packages/kelpspar-cli/src/commands/diff_command.ts
@@ -10,7 +10,7 @@
 import { describeProblems } from "../configuration/describe_problems.ts";
 import { loadConfiguration } from "../configuration/load_configuration.ts";
 import { createOperatorClient } from "../operator/create_operator_client.ts";
-import { answerWith } from "./run_command.ts";
+import { runCommand } from "./run_command.ts";
 
 /** `kelpspar diff BASE [OVERLAY]`. */
 export function createDiffCommand(context: CliContext): CliCommand {
@@ -19,7 +19,7 @@
     description: "Show what an apply would change",
     args: { ...fileArguments, ...operatorArguments, json: jsonFlag },
     handler: (values) =>
-      answerWith({ context, json: values.json }, async () => {
+      runCommand({ context, json: values.json }, async () => {
         const parsed = await loadConfiguration(context, values);
         if (!parsed.ok) return describeProblems(parsed.errors);
         const client = await createOperatorClient(context, values);
--- a/packages/kelpspar-cli/src/commands/drain_command.ts
+++ b/packages/kelpspar-cli/src/commands/drain_command.ts
@@ -5,19 +5,19 @@
 import { jsonFlag } from "../arguments/json_flag.ts";
 import { operatorArguments } from "../arguments/operator_arguments.ts";
 import { createOperatorClient } from "../operator/create_operator_client.ts";
-import { answerWith } from "./run_command.ts";
+import { runCommand } from "./run_command.ts";
 
 /** `kelpspar drain KIND ID`. */
 export function createDrainCommand(context: CliContext): CliCommand {
   return command({
     name: "drain",
-    description: "Give an endpoint or a daemon no new work",
+    description: "Stop assigning new work to an endpoint or a daemon",
     args: { ...drainArguments, ...operatorArguments, json: jsonFlag },
     handler: (values) =>
-      answerWith({ context, json: values.json }, async () => {
+      runCommand({ context, json: values.json }, async () => {
         const client = await createOperatorClient(context, values);
         const { kind, id } = values;
-        const data = await client.ask({
+        const data = await client.request({
           method: "POST",
           path: "/v1/operator/drains",
           body: { kind, id },
--- a/packages/kelpspar-cli/src/commands/endpoints_command.ts
+++ b/packages/kelpspar-cli/src/commands/endpoints_command.ts
@@ -1,7 +1,7 @@
 import { endpointsSchema } from "../operator/answers.ts";
 import { readAnswer } from "../operator/read_answer.ts";
 import { formatTable } from "../output/format_table.ts";
-import { createReportCommand } from "./query_command.ts";
+import { createQueryCommand } from "./query_command.ts";
 
 const COLUMNS = [
   "endpointId",
@@ -18,9 +18,9 @@
 ];
 
 /** `kelpspar endpoints`. */
-export const createEndpointsCommand = createReportCommand({
+export const createEndpointsCommand = createQueryCommand({
   name: "endpoints",
-  description: "Show the endpoints as a daemon sees them",
+  description: "Show the endpoints as reported by a daemon",
   path: "/v1/operator/endpoints",
   format: (answer) =>
     formatTable(readAnswer(endpointsSchema, answer).endpoints, COLUMNS),
--- a/packages/kelpspar-cli/src/commands/explain_command.ts
+++ b/packages/kelpspar-cli/src/commands/explain_command.ts
@@ -3,9 +3,9 @@
 import { command, positional, restPositionals, string } from "cmd-ts";
 import { jsonFlag } from "../arguments/json_flag.ts";
 import { explainRequest } from "../explain/explain_request.ts";
-import { formatStory } from "../explain/format_timeline.ts";
+import { formatTimeline } from "../explain/format_timeline.ts";
 import { parseLogLine } from "../explain/log_line.ts";
-import { answerWith } from "./run_command.ts";
+import { runCommand } from "./run_command.ts";
 
 const STANDARD_INPUT = "/dev/stdin";
 
@@ -16,20 +16,20 @@
 export function createExplainCommand(context: CliContext): CliCommand {
   return command({
     name: "explain",
-    description: "Tell a request's story from daemons' logs",
+    description: "Show the timeline of a request from daemon logs",
     args: {
       id: positional({ type: string, displayName: "REQUEST_ID" }),
       files: restPositionals({ type: string, displayName: "LOG" }),
       json: jsonFlag,
     },
     handler: ({ id, files, json }) =>
-      answerWith({ context, json }, async () => {
+      runCommand({ context, json }, async () => {
         const paths = files.length === 0 ? [STANDARD_INPUT] : files;
         const texts = await Promise.all(paths.map(context.readFile));
         const lines = texts.flatMap((text) => text.split("\n"))
           .flatMap((text) => parseLogLine(text) ?? []);
-        const story = explainRequest(id, lines);
-        return { data: story, text: formatStory(story) };
+        const timeline = explainRequest(id, lines);
+        return { data: timeline, text: formatTimeline(timeline) };
       }),
   });
 }
--- a/packages/kelpspar-cli/src/commands/history_command.ts
+++ b/packages/kelpspar-cli/src/commands/history_command.ts
@@ -7,7 +7,7 @@
 import { createOperatorClient } from "../operator/create_operator_client.ts";
 import { readAnswer } from "../operator/read_answer.ts";
 import { formatTable } from "../output/format_table.ts";
-import { answerWith } from "./run_command.ts";
+import { runCommand } from "./run_command.ts";
 
 const DEFAULT_LIMIT = 20;
 const COLUMNS = ["revision", "acceptedAt", "operator", "changeId"];
@@ -16,7 +16,7 @@
 export function createHistoryCommand(context: CliContext): CliCommand {
   return command({
     name: "history",
-    description: "Show the accepted revisions, the latest first",
+    description: "Show the accepted revisions, latest first",
     args: {
       ...operatorArguments,
       limit: option({
@@ -29,10 +29,10 @@
       json: jsonFlag,
     },
     handler: (values) =>
-      answerWith({ context, json: values.json }, async () => {
+      runCommand({ context, json: values.json }, async () => {
         const client = await createOperatorClient(context, values);
         const path = `/v1/operator/configuration/history?limit=${values.limit}`;
-        const data = await client.ask({ method: "GET", path });
+        const data = await client.request({ method: "GET", path });
         const rows = readAnswer(historySchema, data).revisions.map((row) => ({
           ...row,
           acceptedAt: toDate(row["acceptedAt"]),
@@ -42,7 +42,7 @@
   });
 }
 
-/** Wall-clock milliseconds since 1970 as ISO 8601; anything else unchanged. */
+/** Formats milliseconds since 1970 as ISO 8601; returns other values as is. */
 function toDate(value: unknown): unknown {
   return typeof value === "number" ? new Date(value).toISOString() : value;
 }
--- a/packages/kelpspar-cli/src/commands/query_command.ts
+++ b/packages/kelpspar-cli/src/commands/query_command.ts
@@ -5,20 +5,20 @@
 import { jsonFlag } from "../arguments/json_flag.ts";
 import { operatorArguments } from "../arguments/operator_arguments.ts";
 import { createOperatorClient } from "../operator/create_operator_client.ts";
-import { answerWith } from "./run_command.ts";
+import { runCommand } from "./run_command.ts";
 
-/** A command that shows what a daemon reports. */
-export interface ReportDefinition {
+/** Defines a command that queries the daemons and prints the answer. */
+export interface QueryDefinition {
   readonly name: string;
   readonly description: string;
   readonly path: string;
-  /** What is printed without `--json`. Throws KelpsparError. */
+  /** Formats the answer for output without `--json`. Throws KelpsparError. */
   readonly format: (answer: unknown) => string;
 }
 
-/** Makes commands that only differ in what they show. */
-export function createReportCommand(
-  definition: ReportDefinition,
+/** Creates a command from its definition. */
+export function createQueryCommand(
+  definition: QueryDefinition,
 ): CreateCommand {
   const { name, description, path, format } = definition;
   return (context: CliContext): CliCommand =>
@@ -27,14 +27,14 @@
       description,
       args: { ...operatorArguments, json: jsonFlag },
       handler: (values) =>
-        answerWith({ context, json: values.json }, async () => {
+        runCommand({ context, json: values.json }, async () => {
           const client = await createOperatorClient(context, values);
-          const data = await askFor(client, path);
+          const data = await query(client, path);
           return { data, text: format(data) };
         }),
     });
 }
 
-function askFor(client: OperatorClient, path: string): Promise<unknown> {
-  return client.ask({ method: "GET", path });
+function query(client: OperatorClient, path: string): Promise<unknown> {
+  return client.request({ method: "GET", path });
 }
--- a/packages/kelpspar-cli/src/commands/request_command.ts
+++ b/packages/kelpspar-cli/src/commands/request_command.ts
@@ -7,7 +7,7 @@
 import { createOperatorClient } from "../operator/create_operator_client.ts";
 import { readAnswer } from "../operator/read_answer.ts";
 import { formatTable } from "../output/format_table.ts";
-import { answerWith } from "./run_command.ts";
+import { runCommand } from "./run_command.ts";
 
 const COLUMNS = [
   "stageId",
@@ -21,7 +21,7 @@
 export function createRequestCommand(context: CliContext): CliCommand {
   return subcommands({
     name: "request",
-    description: "Look at one request",
+    description: "Inspect a request",
     cmds: { show: createShowCommand(context) },
   });
 }
@@ -29,17 +29,17 @@
 function createShowCommand(context: CliContext): CliCommand {
   return command({
     name: "show",
-    description: "Show the stages of a request that the daemon ran lately",
+    description: "Show the stages of a request that a daemon ran recently",
     args: {
       id: positional({ displayName: "ID", type: string }),
       ...operatorArguments,
       json: jsonFlag,
     },
     handler: (values) =>
-      answerWith({ context, json: values.json }, async () => {
+      runCommand({ context, json: values.json }, async () => {
         const client = await createOperatorClient(context, values);
         const path = `/v1/operator/requests/${encodeURIComponent(values.id)}`;
-        const data = await client.askEach({ method: "GET", path });
+        const data = await client.requestUntilFound({ method: "GET", path });
         return { data, text: describeRequest(data) };
       }),
   });
--- a/packages/kelpspar-cli/src/commands/run_command.ts
+++ b/packages/kelpspar-cli/src/commands/run_command.ts
@@ -7,10 +7,10 @@
 } from "kelpspar-shared";
 
 /**
- * Runs a command, prints its result or error, and returns the exit code of
- * its result code.
+ * Runs a command, prints its result or error, and returns the exit code that
+ * belongs to its result code.
  */
-export async function answerWith(
+export async function runCommand(
   options: { readonly context: CliContext; readonly json: boolean },
   run: () => Promise<CommandResult>,
 ): Promise<number> {
--- a/packages/kelpspar-cli/src/commands/schema_command.ts
+++ b/packages/kelpspar-cli/src/commands/schema_command.ts
@@ -3,7 +3,7 @@
 import { command } from "cmd-ts";
 import { configurationJsonSchema } from "kelpspar-configuration";
 import { jsonFlag } from "../arguments/json_flag.ts";
-import { answerWith } from "./run_command.ts";
+import { runCommand } from "./run_command.ts";
 
 /** `kelpspar schema`. */
 export function createSchemaCommand(context: CliContext): CliCommand {
@@ -12,7 +12,7 @@
     description: "Print the JSON Schema of a configuration",
     args: { json: jsonFlag },
     handler: (values) =>
-      answerWith({ context, json: values.json }, () => {
+      runCommand({ context, json: values.json }, () => {
         const data = configurationJsonSchema();
         return Promise.resolve({ data, text: JSON.stringify(data, null, 2) });
       }),
--- a/packages/kelpspar-cli/src/commands/status_command.ts
+++ b/packages/kelpspar-cli/src/commands/status_command.ts
@@ -1,7 +1,7 @@
 import { statusSchema } from "../operator/answers.ts";
 import { readAnswer } from "../operator/read_answer.ts";
 import { formatTable } from "../output/format_table.ts";
-import { createReportCommand } from "./query_command.ts";
+import { createQueryCommand } from "./query_command.ts";
 
 const COLUMNS = [
   "daemonId",
@@ -15,7 +15,7 @@
 ];
 
 /** `kelpspar status`. */
-export const createStatusCommand = createReportCommand({
+export const createStatusCommand = createQueryCommand({
   name: "status",
   description: "Show the site's revision and its daemons",
   path: "/v1/operator/status",
--- a/packages/kelpspar-cli/src/commands/undrain_command.ts
+++ b/packages/kelpspar-cli/src/commands/undrain_command.ts
@@ -5,20 +5,20 @@
 import { jsonFlag } from "../arguments/json_flag.ts";
 import { operatorArguments } from "../arguments/operator_arguments.ts";
 import { createOperatorClient } from "../operator/create_operator_client.ts";
-import { answerWith } from "./run_command.ts";
+import { runCommand } from "./run_command.ts";
 
 /** `kelpspar undrain KIND ID`. */
 export function createUndrainCommand(context: CliContext): CliCommand {
   return command({
     name: "undrain",
-    description: "Take a drain back",
+    description: "Cancel a drain",
     args: { ...drainArguments, ...operatorArguments, json: jsonFlag },
     handler: (values) =>
-      answerWith({ context, json: values.json }, async () => {
+      runCommand({ context, json: values.json }, async () => {
         const client = await createOperatorClient(context, values);
         const { kind, id } = values;
         const path = `/v1/operator/drains/${kind}/${encodeURIComponent(id)}`;
-        const data = await client.ask({ method: "DELETE", path });
+        const data = await client.request({ method: "DELETE", path });
         return { data, text: `The ${kind} "${id}" is no longer draining` };
       }),
   });
--- a/packages/kelpspar-cli/src/commands/validate_command.ts
+++ b/packages/kelpspar-cli/src/commands/validate_command.ts
@@ -5,7 +5,7 @@
 import { jsonFlag } from "../arguments/json_flag.ts";
 import { describeProblems } from "../configuration/describe_problems.ts";
 import { loadConfiguration } from "../configuration/load_configuration.ts";
-import { answerWith } from "./run_command.ts";
+import { runCommand } from "./run_command.ts";
 
 /** `kelpspar validate BASE [OVERLAY]`. */
 export function createValidateCommand(context: CliContext): CliCommand {
@@ -14,7 +14,7 @@
     description: "Check a configuration and report every error",
     args: { ...fileArguments, json: jsonFlag },
     handler: (values) =>
-      answerWith({ context, json: values.json }, async () => {
+      runCommand({ context, json: values.json }, async () => {
         const parsed = await loadConfiguration(context, values);
         if (!parsed.ok) return describeProblems(parsed.errors);
         const { site, accounts, pipelines, services } = parsed.configuration;
--- a/packages/kelpspar-cli/src/configuration/describe_changes.ts
+++ b/packages/kelpspar-cli/src/configuration/describe_changes.ts
@@ -14,7 +14,7 @@
     `~ ${path}, order: ${JSON.stringify(before)} -> ${JSON.stringify(after)}`,
 };
 
-/** One line for each change. */
+/** Formats the changes, one line each. */
 export function describeChanges(
   changes: readonly ConfigurationChange[],
 ): string {
--- a/packages/kelpspar-cli/src/configuration/describe_problems.ts
+++ b/packages/kelpspar-cli/src/configuration/describe_problems.ts
@@ -1,7 +1,7 @@
 import type { ConfigurationProblem } from "kelpspar-configuration";
 import type { CommandResult } from "../commands/command_result.ts";
 
-/** The result of a command whose configuration is not valid. */
+/** Creates the result of a command whose configuration is invalid. */
 export function describeProblems(
   errors: readonly ConfigurationProblem[],
 ): CommandResult {
--- a/packages/kelpspar-cli/src/configuration/load_configuration.ts
+++ b/packages/kelpspar-cli/src/configuration/load_configuration.ts
@@ -3,15 +3,15 @@
 import { mergeOverlay, parseConfiguration } from "kelpspar-configuration";
 import { KelpsparError } from "kelpspar-shared";
 
-/** The files that make a configuration. */
+/** The paths of a configuration's files. */
 export interface ConfigurationFiles {
   readonly base: string;
   readonly overlay: string | undefined;
 }
 
 /**
- * Reads a base, lays its overlay on it and checks the whole. Throws
- * KelpsparError, `configuration_unreadable`.
+ * Reads a base configuration, merges its overlay into it and validates the
+ * result. Throws KelpsparError, `configuration_unreadable`.
  */
 export async function loadConfiguration(
   context: CliContext,
--- a/packages/kelpspar-cli/src/configuration/poll_until_found.ts
+++ b/packages/kelpspar-cli/src/configuration/poll_until_found.ts
@@ -1,26 +1,26 @@
 import type { TimerService } from "kelpspar-shared";
 
-/** What is waited for, and how long. */
-export interface WaitForOptions<Found> {
+/** Options of `pollUntilFound`. */
+export interface PollOptions<Found> {
   readonly timer: TimerService;
-  readonly everyMilliseconds: number;
+  readonly intervalMilliseconds: number;
   readonly timeoutMilliseconds: number;
-  /** Undefined while it is not there. */
-  readonly look: () => Promise<Found | undefined>;
+  /** Resolves to undefined deadline the value is available. */
+  readonly poll: () => Promise<Found | undefined>;
 }
 
-/** Looks again and again; undefined when the time is over. */
-export async function waitFor<Found>(
-  options: WaitForOptions<Found>,
+/** Polls deadline a value is found; returns undefined after the timeout. */
+export async function pollUntilFound<Found>(
+  options: PollOptions<Found>,
 ): Promise<Found | undefined> {
-  const { timer, everyMilliseconds, timeoutMilliseconds } = options;
+  const { timer, intervalMilliseconds, timeoutMilliseconds } = options;
   const until = timer.now() + timeoutMilliseconds;
   for (;;) {
-    const found = await options.look();
+    const found = await options.poll();
     if (found !== undefined) return found;
-    if (timer.now() + everyMilliseconds > until) return undefined;
+    if (timer.now() + intervalMilliseconds > until) return undefined;
     await new Promise<void>((resolve) => {
-      timer.registerTimeout(resolve, everyMilliseconds);
+      timer.registerTimeout(resolve, intervalMilliseconds);
     });
   }
 }
--- a/packages/kelpspar-cli/src/configuration/submit_configuration.ts
+++ b/packages/kelpspar-cli/src/configuration/submit_configuration.ts
@@ -6,53 +6,53 @@
 import { appliedSchema, changeSchema } from "../operator/answers.ts";
 import { readFailure, toAnswerError } from "../operator/failure_answer.ts";
 import { readAnswer } from "../operator/read_answer.ts";
-import { waitFor } from "./poll_until_found.ts";
+import { pollUntilFound } from "./poll_until_found.ts";
 
 const STATUS_OK = 200;
-const ASK_AGAIN_MILLISECONDS = 500;
+const POLL_INTERVAL_MILLISECONDS = 500;
 
-/** What is offered to the daemons. */
-export interface ConfigurationOffer {
+/** A configuration change as it is submitted to the daemons. */
+export interface ConfigurationSubmission {
   readonly configuration: unknown;
   readonly expectedRevision: number;
   readonly changeId: string;
 }
 
-/** How an offer is made. */
-export interface OfferOptions {
+/** Options of `submitConfiguration`. */
+export interface SubmitOptions {
   readonly client: OperatorClient;
   readonly timer: TimerService;
-  /** How long to look for a lost answer, milliseconds. */
+  /** How long to search for a lost answer, in milliseconds. */
   readonly timeoutMilliseconds: number;
 }
 
-/** What became of an offer that was answered or found again. */
-export type OfferOutcome =
+/** The outcome of a submission, answered directly or recovered by look-up. */
+export type SubmitOutcome =
   | { readonly type: "accepted"; readonly revision: number }
   | { readonly type: "invalid"; readonly errors: unknown };
 
-/** What one daemon made of an offer; `lost` when that is not known. */
-type OfferReply =
-  | OfferOutcome
+/** One daemon's reply to a submission; `lost` if its outcome is unknown. */
+type SubmitReply =
+  | SubmitOutcome
   | { readonly type: "lost" }
   | { readonly type: "not_taken"; readonly error: KelpsparError };
 
 /**
- * Offers a configuration. What goes wrong: the change is accepted and its
- * answer lost; an operator who is told "failed" applies again, over what
- * others changed since. So only proof that a daemon did not take the offer
- * leads to the next one, and a lost answer is looked for by the change's id,
- * at every daemon, before it is called `apply_unconfirmed`. Throws
- * KelpsparError.
+ * Submits a configuration to the daemons in order. A change may be accepted
+ * although its answer is lost. If that were reported as a failure, the operator
+ * would apply it again and overwrite changes that others made since. So the
+ * next daemon is tried only if it is proven that the last one did not accept
+ * the change. After a lost answer, every daemon is queried by the change's id
+ * before the change is reported as `apply_unconfirmed`. Throws KelpsparError.
  */
-export async function offerConfiguration(
-  offer: ConfigurationOffer,
-  options: OfferOptions,
-): Promise<OfferOutcome> {
-  let failure = new KelpsparError("usage", "No daemon was named");
+export async function submitConfiguration(
+  submission: ConfigurationSubmission,
+  options: SubmitOptions,
+): Promise<SubmitOutcome> {
+  let failure = new KelpsparError("usage", "No daemon was specified");
   for (const place of options.client.daemons) {
-    const reply = await offerAt(place, { offer, client: options.client });
-    if (reply.type === "lost") return await findLostAnswer(offer, options);
+    const reply = await submitTo(place, { submission, client: options.client });
+    if (reply.type === "lost") return await findLostAnswer(submission, options);
     if (reply.type !== "not_taken") return reply;
     failure = reply.error;
     if (RESULT_CODES[failure.result].retry !== "elsewhere") break;
@@ -60,23 +60,23 @@
   throw failure;
 }
 
-async function offerAt(
+async function submitTo(
   place: string,
   options: {
-    readonly offer: ConfigurationOffer;
+    readonly submission: ConfigurationSubmission;
     readonly client: OperatorClient;
   },
-): Promise<OfferReply> {
-  const { client, offer } = options;
+): Promise<SubmitReply> {
+  const { client, submission } = options;
   try {
-    const answer = await client.exchangeAt(place, {
+    const answer = await client.exchangeWith(place, {
       method: "POST",
       path: "/v1/operator/configuration",
-      body: offer,
+      body: submission,
     });
     const reply = readReply(place, answer);
     return reply.type === "not_taken" && isConflict(reply.error)
-      ? await checkConflict(reply.error, options)
+      ? await resolveConflict(reply.error, options)
       : reply;
   } catch (error) {
     if (!(error instanceof ExchangeError)) throw error;
@@ -86,7 +86,7 @@
   }
 }
 
-function readReply(place: string, answer: JsonAnswer): OfferReply {
+function readReply(place: string, answer: JsonAnswer): SubmitReply {
   if (answer.status === STATUS_OK) {
     const { revision } = readAnswer(appliedSchema, answer.body);
     return { type: "accepted", revision };
@@ -105,37 +105,40 @@
   return error.result === "revision_conflict";
 }
 
-/** An offer that arrived twice conflicts with itself, though it is in force. */
-async function checkConflict(
+/** A submission that arrived twice conflicts with its own accepted revision. */
+async function resolveConflict(
   error: KelpsparError,
   options: {
-    readonly offer: ConfigurationOffer;
+    readonly submission: ConfigurationSubmission;
     readonly client: OperatorClient;
   },
-): Promise<OfferReply> {
-  const revision = await findChange(options.offer.changeId, options.client);
+): Promise<SubmitReply> {
+  const revision = await findChange(
+    options.submission.changeId,
+    options.client,
+  );
   if (revision === undefined) return { type: "not_taken", error };
   return { type: "accepted", revision };
 }
 
 async function findLostAnswer(
-  offer: ConfigurationOffer,
-  options: OfferOptions,
-): Promise<OfferOutcome> {
-  const revision = await waitFor({
+  submission: ConfigurationSubmission,
+  options: SubmitOptions,
+): Promise<SubmitOutcome> {
+  const revision = await pollUntilFound({
     timer: options.timer,
-    everyMilliseconds: ASK_AGAIN_MILLISECONDS,
+    intervalMilliseconds: POLL_INTERVAL_MILLISECONDS,
     timeoutMilliseconds: options.timeoutMilliseconds,
-    look: () => findChange(offer.changeId, options.client),
+    poll: () => findChange(submission.changeId, options.client),
   });
   if (revision !== undefined) return { type: "accepted", revision };
   throw new KelpsparError(
     "apply_unconfirmed",
-    `No daemon knows whether change "${offer.changeId}" was accepted`,
+    `Cannot confirm change "${submission.changeId}": no daemon reported that it was accepted`,
   );
 }
 
-/** The revision of an accepted change; undefined while nobody knows of it. */
+/** Finds the revision of a change; undefined if no daemon has accepted it. */
 export async function findChange(
   changeId: string,
   client: OperatorClient,
@@ -145,11 +148,11 @@
   }`;
   for (const place of client.daemons) {
     try {
-      const answer = await client.askAt(place, { method: "GET", path });
+      const answer = await client.requestFrom(place, { method: "GET", path });
       const change = readAnswer(changeSchema, answer);
       if (change.state === "accepted") return change.revision;
     } catch (error) {
-      // Another daemon may know; if none does, the caller says so.
+      // Another daemon may have the change; if none has, the caller reports it.
       if (!(error instanceof KelpsparError)) throw error;
     }
   }
--- a/packages/kelpspar-cli/src/configuration/wait_until_in_force.ts
+++ b/packages/kelpspar-cli/src/configuration/wait_until_in_force.ts
@@ -4,19 +4,19 @@
 import { KelpsparError } from "kelpspar-shared";
 import { statusSchema } from "../operator/answers.ts";
 import { readAnswer } from "../operator/read_answer.ts";
-import { waitFor } from "./poll_until_found.ts";
+import { pollUntilFound } from "./poll_until_found.ts";
 
-const LOOK_AGAIN_MILLISECONDS = 250;
+const POLL_INTERVAL_MILLISECONDS = 250;
 
-/** States of daemons that take no requests, and need no new revision. */
-const STATES_OUT_OF_SERVICE: ReadonlySet<string> = new Set([
+/** States of daemons that accept no requests and need no new revision. */
+const OUT_OF_SERVICE_STATES: ReadonlySet<string> = new Set([
   "leaving",
   "left",
   "gone",
   "dead",
 ]);
 
-/** Which revision is waited for, and how long. */
+/** Options of `waitUntilInForce`. */
 export interface WaitUntilInForceOptions {
   readonly revision: number;
   readonly client: OperatorClient;
@@ -25,31 +25,31 @@
 }
 
 /**
- * Waits until every live daemon reports the revision or a later one. A state
- * that this tool does not know counts as live, so that it never says "in
- * force" too early. Throws KelpsparError, `apply_wait_expired`.
+ * Waits until every live daemon reports the revision or a later one. An unknown
+ * state counts as live, so that the revision is never reported as in force too
+ * early. Throws KelpsparError, `apply_wait_expired`.
  */
 export async function waitUntilInForce(
   options: WaitUntilInForceOptions,
 ): Promise<void> {
   const { revision, client, timer, timeoutMilliseconds } = options;
-  let last = "no daemon answered";
-  const isInForce = await waitFor({
+  let progress = "no daemon answered";
+  const isInForce = await pollUntilFound({
     timer,
-    everyMilliseconds: LOOK_AGAIN_MILLISECONDS,
+    intervalMilliseconds: POLL_INTERVAL_MILLISECONDS,
     timeoutMilliseconds,
-    look: async () => {
+    poll: async () => {
       const status = await readStatus(client);
       if (status === undefined) return undefined;
       const late = findLateDaemons(status, revision);
-      last = `late: ${late.join(", ") || "the site itself"}`;
+      progress = `late: ${late.join(", ") || "the site itself"}`;
       return late.length === 0 && status.daemons.length > 0 ? true : undefined;
     },
   });
   if (isInForce) return;
   throw new KelpsparError(
     "apply_wait_expired",
-    `Revision ${revision} is accepted but not yet in force everywhere; ${last}`,
+    `Revision ${revision} is accepted but not yet in force everywhere; ${progress}`,
   );
 }
 
@@ -58,9 +58,12 @@
 ): Promise<StatusAnswer | undefined> {
   try {
     const path = "/v1/operator/status";
-    return readAnswer(statusSchema, await client.ask({ method: "GET", path }));
+    return readAnswer(
+      statusSchema,
+      await client.request({ method: "GET", path }),
+    );
   } catch (error) {
-    // The revision is accepted; a daemon that is silent now may answer soon.
+    // The revision is already accepted; a daemon may answer the next poll.
     if (error instanceof KelpsparError) return undefined;
     throw error;
   }
@@ -68,6 +71,6 @@
 
 function findLateDaemons(status: StatusAnswer, revision: number): string[] {
   return status.daemons.filter((daemon) =>
-    !STATES_OUT_OF_SERVICE.has(daemon.state) && daemon.revision < revision
+    !OUT_OF_SERVICE_STATES.has(daemon.state) && daemon.revision < revision
   ).map(({ daemonId, revision }) => `${daemonId} at ${revision}`);
 }
--- a/packages/kelpspar-cli/src/explain/explain_request.ts
+++ b/packages/kelpspar-cli/src/explain/explain_request.ts
@@ -1,19 +1,19 @@
 import type { LogLine } from "./log_line.ts";
 
-/** A request's story. */
-export interface RequestStory {
+/** The log lines about one request. */
+export interface RequestTimeline {
   /** The id of an attempt, or the fingerprint of all attempts of a request. */
   readonly id: string;
-  /** Lines of the request itself, in order of time. */
+  /** Lines about the request itself, sorted by time. */
   readonly own: readonly LogLine[];
-  /** What its daemons learned or lost around it. */
+  /** State changes of its daemons around the request, sorted by time. */
   readonly around: readonly LogLine[];
 }
 
-/** How long before a request what happened may have caused its fate, ms. */
-const BEFORE_MILLISECONDS = 3_000;
-/** Messages that change what a daemon believes. */
-const BELIEFS: ReadonlySet<string> = new Set([
+/** How long before a request an event may still have affected its outcome. */
+const CONTEXT_WINDOW_MILLISECONDS = 3_000;
+/** Log messages about changes of a daemon's state. */
+const CONTEXT_MESSAGES: ReadonlySet<string> = new Set([
   "configuration in force",
   "coordinator lost",
   "daemon heard",
@@ -37,11 +37,11 @@
   "store regained",
 ]);
 
-/** Finds what a log says of a request, and of its daemons around it. */
+/** Finds the log lines of a request and of its daemons' state changes. */
 export function explainRequest(
   id: string,
   lines: readonly LogLine[],
-): RequestStory {
+): RequestTimeline {
   const sorted = [...lines].sort((left, right) =>
     Date.parse(left.time) - Date.parse(right.time)
   );
@@ -54,13 +54,13 @@
   if (first === undefined || last === undefined) {
     return { id, own, around: [] };
   }
-  const from = Date.parse(first.time) - BEFORE_MILLISECONDS;
-  const until = Date.parse(last.time);
+  const from = Date.parse(first.time) - CONTEXT_WINDOW_MILLISECONDS;
+  const to = Date.parse(last.time);
   const daemons = new Set(own.map((line) => line.daemon));
   const around = sorted.filter((line) => {
     const time = Date.parse(line.time);
-    return BELIEFS.has(line.message) && daemons.has(line.daemon) &&
-      time >= from && time <= until && !own.includes(line);
+    return CONTEXT_MESSAGES.has(line.message) && daemons.has(line.daemon) &&
+      time >= from && time <= to && !own.includes(line);
   });
   return { id, own, around };
 }
--- a/packages/kelpspar-cli/src/explain/format_timeline.ts
+++ b/packages/kelpspar-cli/src/explain/format_timeline.ts
@@ -1,8 +1,8 @@
 import type { LogLine } from "./log_line.ts";
-import type { RequestStory } from "./explain_request.ts";
+import type { RequestTimeline } from "./explain_request.ts";
 
-/** Fields that each line begins with or that say nothing more. */
-const SHOWN_APART: ReadonlySet<string> = new Set([
+/** Fields that are shown at the start of a line, or not at all. */
+const OMITTED_FIELDS: ReadonlySet<string> = new Set([
   "time",
   "level",
   "message",
@@ -10,23 +10,23 @@
   "at",
 ]);
 
-/** A story as text for a person. */
-export function formatStory(story: RequestStory): string {
-  if (story.own.length === 0) {
-    return `No line names request "${story.id}"`;
+/** Formats a timeline as text. */
+export function formatTimeline(timeline: RequestTimeline): string {
+  if (timeline.own.length === 0) {
+    return `No line names request "${timeline.id}"`;
   }
   return [
-    `Request ${story.id}`,
-    ...story.own.map((line) => formatLine(line, story.id)),
+    `Request ${timeline.id}`,
+    ...timeline.own.map((line) => formatLine(line, timeline.id)),
     "",
     "What its daemons learned around it",
-    ...story.around.map((line) => formatLine(line, story.id)),
+    ...timeline.around.map((line) => formatLine(line, timeline.id)),
   ].join("\n");
 }
 
 function formatLine(line: LogLine, id: string): string {
   const fields = Object.entries(line)
-    .filter(([name, value]) => !SHOWN_APART.has(name) && value !== id)
+    .filter(([name, value]) => !OMITTED_FIELDS.has(name) && value !== id)
     .map(([name, value]) => `${name}=${String(value)}`);
   const clock = line.time.slice(11, 23);
   return `  ${clock} ${line.daemon} ${line.message}: ${fields.join(" ")}`;
--- a/packages/kelpspar-cli/src/explain/log_line.ts
+++ b/packages/kelpspar-cli/src/explain/log_line.ts
@@ -1,25 +1,25 @@
 import { z } from "zod";
 
 const schema = z.looseObject({
-  /** Wall-clock time; daemons' clocks may differ. */
+  /** Wall-clock time; clocks of different daemons may differ. */
   time: z.string(),
   level: z.string(),
   message: z.string(),
   daemon: z.string().default(""),
-  /** The request's attempt. */
+  /** The id of the request's attempt. */
   attempt: z.string().optional(),
-  /** The same for each repeat of a request. */
+  /** Identical for all attempts of a request. */
   fingerprint: z.string().optional(),
-  /** Attempts that a call carried pieces of, joined by commas. */
+  /** Ids of the attempts whose pieces a call carried, joined by commas. */
   attempts: z.string().optional(),
 });
 
-/** A structured line of a daemon's log. */
+/** A structured log line of a daemon. */
 export type LogLine = z.infer<typeof schema>;
 
 /**
- * Reads one line; undefined when it is no structured line. What a collector
- * put before the JSON is passed over.
+ * Parses one line; returns undefined if it is not a structured line. A prefix
+ * that a log collector added before the JSON is skipped.
  */
 export function parseLogLine(text: string): LogLine | undefined {
   const start = text.indexOf("{");
@@ -27,7 +27,7 @@
   try {
     return schema.safeParse(JSON.parse(text.slice(start))).data;
   } catch {
-    // A line that was cut or isn't ours; the others still tell their part.
+    // Skips lines that are truncated or from another program.
     return undefined;
   }
 }
--- a/packages/kelpspar-cli/src/operator/answers.ts
+++ b/packages/kelpspar-cli/src/operator/answers.ts
@@ -13,7 +13,7 @@
   })),
 });
 
-/** The state of a site, as a daemon sees it. */
+/** The state of a site, as reported by one daemon. */
 export type StatusAnswer = z.infer<typeof statusSchema>;
 
 /** The answer of `GET /v1/operator/accounts`. */
--- a/packages/kelpspar-cli/src/operator/create_operator_client.ts
+++ b/packages/kelpspar-cli/src/operator/create_operator_client.ts
@@ -4,11 +4,13 @@
 import { OperatorClient } from "./operator_client.ts";
 
 const KEY_VARIABLE = "KELPSPAR_OPERATOR_KEY";
-const PLACE = /^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$|^\[[0-9a-fA-F:]+\]:\d{1,5}$/;
+const ADDRESS_AND_PORT_PATTERN =
+  /^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$|^\[[0-9a-fA-F:]+\]:\d{1,5}$/;
 
 /**
- * Makes the client that a command line describes. The key comes from `--key`,
- * else `--key-file`, else the environment. Throws KelpsparError, `usage`.
+ * Creates the client for a command line's options. The key is taken from
+ * `--key`, then `--key-file`, then the environment. Throws KelpsparError,
+ * `usage`.
  */
 export async function createOperatorClient(
   context: CliContext,
@@ -16,13 +18,15 @@
 ): Promise<OperatorClient> {
   const { daemons } = values;
   if (daemons.length === 0) {
-    throw new KelpsparError("usage", "Name a daemon by --daemon address:port");
+    throw new KelpsparError("usage", "Missing option --daemon address:port");
   }
-  const wrong = daemons.find((place) => !PLACE.test(place));
-  if (wrong !== undefined) {
+  const malformed = daemons.find((place) =>
+    !ADDRESS_AND_PORT_PATTERN.test(place)
+  );
+  if (malformed !== undefined) {
     throw new KelpsparError(
       "usage",
-      `Cannot use daemon "${wrong}": it is not an IP number and a port`,
+      `Cannot use daemon "${malformed}": it is not an IP address and a port`,
     );
   }
   const key = await findKey(context, values);
@@ -41,7 +45,7 @@
   if (key !== undefined && key !== "") return key;
   throw new KelpsparError(
     "usage",
-    `Give an operator key by --key-file, --key or ${KEY_VARIABLE}`,
+    `Missing operator key: use --key-file, --key or ${KEY_VARIABLE}`,
   );
 }
 
--- a/packages/kelpspar-cli/src/operator/exchange_json.ts
+++ b/packages/kelpspar-cli/src/operator/exchange_json.ts
@@ -3,24 +3,25 @@
 import { ExchangeError, isConnectFailure } from "kelpspar-backends";
 import { Client } from "undici";
 
-/** How one exchange with one daemon is made. */
+/** Options of `exchangeJson`. */
 export interface ExchangeJsonOptions {
   readonly key: string;
   readonly timer: TimerService;
   readonly timeoutMilliseconds: number;
 }
 
-/** A daemon as `address:port`, and what to ask it. */
-export interface PlacedExchange extends JsonExchange {
+/** An exchange and the daemon to send it to, as `address:port`. */
+export interface AddressedExchange extends JsonExchange {
   readonly place: string;
 }
 
 /**
- * Exchanges JSON with a daemon over a new connection, so that a silent one is
- * never used again. Throws ExchangeError when no whole answer came in time.
+ * Exchanges JSON with a daemon over a new connection, so that a silent
+ * connection is never reused. Throws ExchangeError if no complete answer
+ * arrives in time.
  */
 export async function exchangeJson(
-  exchange: PlacedExchange,
+  exchange: AddressedExchange,
   options: ExchangeJsonOptions,
 ): Promise<JsonAnswer> {
   const { place, method, path, body } = exchange;
--- a/packages/kelpspar-cli/src/operator/failure_answer.ts
+++ b/packages/kelpspar-cli/src/operator/failure_answer.ts
@@ -9,15 +9,15 @@
   message: z.string(),
 });
 
-/** The body by which a daemon refuses an operator's command. */
+/** The body of a daemon's refusal of an operator's command. */
 export type FailureAnswer = z.infer<typeof failureSchema>;
 
-/** Reads a refusal; undefined for anything else. */
+/** Reads a refusal; returns undefined for any other body. */
 export function readFailure(body: unknown): FailureAnswer | undefined {
   return failureSchema.safeParse(body).data;
 }
 
-/** Turns an answer that is not 200 into an error. */
+/** Converts an answer with a status other than 200 to an error. */
 export function toAnswerError(place: string, answer: {
   readonly status: number;
   readonly body: unknown;
@@ -28,6 +28,6 @@
   }
   return new KelpsparError(
     "peer_unavailable",
-    `What answers at "${place}" is not a daemon: status ${answer.status}`,
+    `The server at "${place}" is not a daemon: status ${answer.status}`,
   );
 }
--- a/packages/kelpspar-cli/src/operator/operator_client.ts
+++ b/packages/kelpspar-cli/src/operator/operator_client.ts
@@ -8,17 +8,17 @@
 const DEFAULT_TIMEOUT_MILLISECONDS = 5_000;
 const STATUS_OK = 200;
 
-/** How an operator reaches the daemons. */
+/** Options of an `OperatorClient`. */
 export interface OperatorClientOptions {
-  /** As `address:port`, tried in turn. */
+  /** As `address:port`, tried in order. */
   readonly daemons: readonly string[];
   readonly key: string;
   readonly timer: TimerService;
-  /** How long one daemon may take, milliseconds; default 5,000. */
+  /** Timeout of one daemon, in milliseconds; default 5,000. */
   readonly timeoutMilliseconds?: number;
 }
 
-/** The operators' side of the daemons' HTTP interface. */
+/** Client of the daemons' HTTP interface for operators. */
 export class OperatorClient {
   readonly #options: OperatorClientOptions;
 
@@ -26,20 +26,20 @@
     this.#options = options;
   }
 
-  /** The daemons in the order they are tried. */
+  /** The daemons in the order in which they are tried. */
   get daemons(): readonly string[] {
     return this.#options.daemons;
   }
 
   /**
-   * Asks the daemons in turn until one answers. Only for exchanges that do no
-   * harm when they are made twice. Throws KelpsparError.
+   * Sends the exchange to the daemons in order until one answers. Only for
+   * idempotent exchanges. Throws KelpsparError.
    */
-  async ask(exchange: JsonExchange): Promise<unknown> {
-    let failure = new KelpsparError("usage", "No daemon was named");
+  async request(exchange: JsonExchange): Promise<unknown> {
+    let failure = new KelpsparError("usage", "No daemon was specified");
     for (const place of this.daemons) {
       try {
-        return await this.askAt(place, exchange);
+        return await this.requestFrom(place, exchange);
       } catch (error) {
         if (!(error instanceof KelpsparError)) throw error;
         if (RESULT_CODES[error.result].retry !== "elsewhere") throw error;
@@ -50,14 +50,15 @@
   }
 
   /**
-   * Asks each daemon in turn for what only one of them may have: one that
-   * does not find it, or does not answer, leads to the next.
+   * Sends the exchange to the daemons in order, for data that may exist at only
+   * one of them. The next daemon is tried after any failure. Throws
+   * KelpsparError.
    */
-  async askEach(exchange: JsonExchange): Promise<unknown> {
-    let failure = new KelpsparError("usage", "No daemon was named");
+  async requestUntilFound(exchange: JsonExchange): Promise<unknown> {
+    let failure = new KelpsparError("usage", "No daemon was specified");
     for (const place of this.daemons) {
       try {
-        return await this.askAt(place, exchange);
+        return await this.requestFrom(place, exchange);
       } catch (error) {
         if (!(error instanceof KelpsparError)) throw error;
         failure = error;
@@ -66,10 +67,13 @@
     throw failure;
   }
 
-  /** Asks one daemon. Throws KelpsparError, `peer_unavailable` if silent. */
-  async askAt(place: string, exchange: JsonExchange): Promise<unknown> {
+  /**
+   * Sends the exchange to one daemon and returns the answer's body. Throws
+   * KelpsparError, `peer_unavailable` if the daemon does not answer.
+   */
+  async requestFrom(place: string, exchange: JsonExchange): Promise<unknown> {
     try {
-      const answer = await this.exchangeAt(place, exchange);
+      const answer = await this.exchangeWith(place, exchange);
       if (answer.status === STATUS_OK) return answer.body;
       throw toAnswerError(place, answer);
     } catch (error) {
@@ -78,8 +82,8 @@
     }
   }
 
-  /** One exchange with one daemon. Throws ExchangeError. */
-  exchangeAt(place: string, exchange: JsonExchange): Promise<JsonAnswer> {
+  /** Sends one exchange to one daemon. Throws ExchangeError. */
+  exchangeWith(place: string, exchange: JsonExchange): Promise<JsonAnswer> {
     const { key, timer, timeoutMilliseconds } = this.#options;
     return exchangeJson({ ...exchange, place }, {
       key,
--- a/packages/kelpspar-cli/src/operator/read_answer.ts
+++ b/packages/kelpspar-cli/src/operator/read_answer.ts
@@ -1,7 +1,7 @@
 import { KelpsparError } from "kelpspar-shared";
 import { z } from "zod";
 
-/** Checks what a daemon answered. Throws KelpsparError. */
+/** Validates a daemon's answer. Throws KelpsparError, `peer_unavailable`. */
 export function readAnswer<Schema extends z.ZodType>(
   schema: Schema,
   answer: unknown,
@@ -10,6 +10,6 @@
   if (parsed.success) return parsed.data;
   throw new KelpsparError(
     "peer_unavailable",
-    `A daemon's answer has another form: ${z.prettifyError(parsed.error)}`,
+    `Cannot read the daemon's answer: ${z.prettifyError(parsed.error)}`,
   );
 }
--- a/packages/kelpspar-cli/src/output/format_table.ts
+++ b/packages/kelpspar-cli/src/output/format_table.ts
@@ -1,9 +1,9 @@
 type Row = Readonly<Record<string, unknown>>;
 
-const GAP = "  ";
+const COLUMN_SEPARATOR = "  ";
 const ABSENT = "-";
 
-/** Lays rows out in aligned columns under their names. */
+/** Formats rows as a table with aligned columns and headings. */
 export function formatTable(
   rows: readonly Row[],
   columns: readonly string[],
@@ -16,12 +16,14 @@
     Math.max(...lines.map((line) => line[index]?.length ?? 0))
   );
   return lines.map((line) =>
-    line.map((cell, index) => cell.padEnd(widths[index] ?? 0)).join(GAP)
+    line.map((cell, index) => cell.padEnd(widths[index] ?? 0)).join(
+      COLUMN_SEPARATOR,
+    )
       .trimEnd()
   ).join("\n");
 }
 
-/** `inFlight` becomes `IN FLIGHT`. */
+/** Converts `inFlight` to `IN FLIGHT`. */
 function toHeading(column: string): string {
   return column.replaceAll(/(?=[A-Z])/g, " ").toUpperCase();
 }
--- a/packages/kelpspar-cli/src/output/output.ts
+++ b/packages/kelpspar-cli/src/output/output.ts
@@ -1,7 +1,7 @@
-/** Where commands print. */
+/** The destination of commands' output. */
 export interface Output {
-  /** Prints an answer, as it is. */
+  /** Prints a result unchanged. */
   print(text: string): void;
-  /** Prints what went wrong, apart from answers. */
+  /** Prints an error message, separately from results. */
   printError(text: string): void;
 }
--- a/packages/kelpspar-cli/src/output/process_output.ts
+++ b/packages/kelpspar-cli/src/output/process_output.ts
@@ -6,8 +6,8 @@
 const LEVEL_INFORMATION = 3;
 
 /**
- * Prints to the process's streams: answers to standard output with nothing
- * added, so that other programs can read them, and errors by consola.
+ * Prints to the process's streams: results unchanged to standard output, so
+ * that other programs can parse them, and errors with consola.
  */
 export class ProcessOutput implements Output {
   readonly #log: ConsolaInstance = createConsola({
--- a/packages/kelpspar-cli/src/report/account_figures.ts
+++ b/packages/kelpspar-cli/src/report/account_figures.ts
@@ -1,19 +1,22 @@
 import type { DaemonRecord } from "./site_records.ts";
 import { compareKeys } from "./compare_keys.ts";
 
-/** What became of a client account's requests at all daemons. */
+/** The outcomes of a client account's requests, summed over total daemons. */
 export interface AccountFigures {
   readonly id: string;
-  /** The share that the configuration gives it. */
+  /** The share in the configuration. */
   readonly share: number;
   readonly completed: number;
   readonly failed: number;
   readonly refused: number;
-  /** Completed of all, refused ones too, 0 to 1; null when there are none. */
+  /**
+   * Completed requests as a fraction of total requests, including refused ones,
+   * 0 to 1; null if there are none.
+   */
   readonly attainment: number | null;
 }
 
-/** Adds up what the daemons tell about client accounts. */
+/** Sums the client accounts' figures of total daemons. */
 export function sumAccounts(
   records: readonly DaemonRecord[],
 ): readonly AccountFigures[] {
@@ -24,8 +27,8 @@
     const completed = (sum?.completed ?? 0) + account.completed;
     const failed = (sum?.failed ?? 0) + account.failed;
     const refused = (sum?.refused ?? 0) + account.refused;
-    const all = completed + failed + refused;
-    const attainment = all === 0 ? null : completed / all;
+    const total = completed + failed + refused;
+    const attainment = total === 0 ? null : completed / total;
     sums.set(id, { id, share, completed, failed, refused, attainment });
   }
   return [...sums.values()].sort((left, right) =>
--- a/packages/kelpspar-cli/src/report/collect_records.ts
+++ b/packages/kelpspar-cli/src/report/collect_records.ts
@@ -23,18 +23,18 @@
   };
 
 /**
- * Asks every daemon of the client once. A daemon that does not answer is
- * listed as silent, so that a report never passes for one of the whole site.
- * Throws KelpsparError when none answers or one refuses the operator.
+ * Queries every daemon of the client once. A daemon that does not answer is
+ * listed as silent, so that an incomplete report can be recognized. Throws
+ * KelpsparError if no daemon answers or one refuses the operator.
  */
 export async function collectRecords(
   client: OperatorClient,
   timer: TimerService,
 ): Promise<SiteRecords> {
-  // A daemon named twice would be counted twice.
+  // Removes duplicates, because a daemon must not be counted twice.
   const places = [...new Set(client.daemons)];
   const outcomes = await Promise.all(
-    places.map((place) => askOrNote(client, place)),
+    places.map((place) => tryCollect(client, place)),
   );
   const silent = outcomes.filter((outcome) => outcome.kind === "silent");
   const answered = outcomes.filter((outcome) => outcome.kind === "answered");
@@ -50,12 +50,12 @@
   };
 }
 
-async function askOrNote(
+async function tryCollect(
   client: OperatorClient,
   place: string,
 ): Promise<Outcome> {
   try {
-    return { kind: "answered", record: await askDaemon(client, place) };
+    return { kind: "answered", record: await collectFromDaemon(client, place) };
   } catch (error) {
     if (!(error instanceof KelpsparError)) throw error;
     if (RESULT_CODES[error.result].retry !== "elsewhere") throw error;
@@ -64,14 +64,17 @@
   }
 }
 
-async function askDaemon(
+async function collectFromDaemon(
   client: OperatorClient,
   place: string,
 ): Promise<DaemonRecord> {
-  const ask = (report: string): Promise<unknown> =>
-    client.askAt(place, { method: "GET", path: `/v1/operator/${report}` });
-  const status = readAnswer(statusSchema, await ask("status"));
-  const { accounts } = readAnswer(accountTalliesSchema, await ask("accounts"));
-  const { histograms } = readAnswer(histogramsSchema, await ask("histograms"));
+  const get = (report: string): Promise<unknown> =>
+    client.requestFrom(place, {
+      method: "GET",
+      path: `/v1/operator/${report}`,
+    });
+  const status = readAnswer(statusSchema, await get("status"));
+  const { accounts } = readAnswer(accountTalliesSchema, await get("accounts"));
+  const { histograms } = readAnswer(histogramsSchema, await get("histograms"));
   return { daemon: place, status, accounts, histograms };
 }
--- a/packages/kelpspar-cli/src/report/compare_keys.ts
+++ b/packages/kelpspar-cli/src/report/compare_keys.ts
@@ -1,4 +1,4 @@
-/** Orders lists of names by code units, the same on every machine. */
+/** Compares lists of names by code units, independently of the locale. */
 export function compareKeys(
   left: readonly string[],
   right: readonly string[],
--- a/packages/kelpspar-cli/src/report/create_report_page.ts
+++ b/packages/kelpspar-cli/src/report/create_report_page.ts
@@ -4,7 +4,7 @@
 import { escapeHtml } from "./escape_html.ts";
 import { renderPlot } from "./render_plot.ts";
 
-const DIGITS = 3;
+const MAX_DECIMALS = 3;
 const ABSENT = "-";
 const STYLE = [
   "body{font:14px sans-serif;margin:2em;color:#222}",
@@ -13,11 +13,11 @@
   "td.number{text-align:right;font-variant-numeric:tabular-nums}",
   "figure{margin:1em 0}",
 ].join("");
-// The page holds everything it shows. If a name got past the escaping, this
-// policy would keep the browser from running it or loading anything by it.
-const POLICY = "default-src 'none'; style-src 'unsafe-inline'";
+// The page loads no resources. If a name were not escaped correctly, this
+// policy would still keep the browser from running scripts or loading anything.
+const CONTENT_SECURITY_POLICY = "default-src 'none'; style-src 'unsafe-inline'";
 
-/** Makes one HTML page with inline plots; it loads nothing. */
+/** Creates a self-contained HTML page with inline plots. */
 export async function createReportPage(
   report: SiteReport,
   sections: readonly ReportSection[],
@@ -31,7 +31,7 @@
   return [
     "<!DOCTYPE html>",
     '<html lang="en"><head><meta charset="utf-8">',
-    `<meta http-equiv="Content-Security-Policy" content="${POLICY}">`,
+    `<meta http-equiv="Content-Security-Policy" content="${CONTENT_SECURITY_POLICY}">`,
     `<title>${title}</title><style>${STYLE}</style></head><body>`,
     `<h1>${title}</h1>`,
     ...lines,
@@ -59,7 +59,7 @@
 
 function toCell(value: string | number | null | undefined): string {
   if (typeof value === "number") {
-    const text = String(Number(value.toFixed(DIGITS)));
+    const text = String(Number(value.toFixed(MAX_DECIMALS)));
     return `<td class="number">${text}</td>`;
   }
   return `<td>${escapeHtml(value ?? ABSENT)}</td>`;
--- a/packages/kelpspar-cli/src/report/describe_report.ts
+++ b/packages/kelpspar-cli/src/report/describe_report.ts
@@ -1,6 +1,6 @@
 import type { SiteReport } from "./site_report.ts";
 
-/** Says what the figures are of: the lines above the first table. */
+/** Describes the origin of the figures, in the lines above the first table. */
 export function describeReport(report: SiteReport): readonly string[] {
   const { site, revision, collectedAt, daemons, liveDaemons } = report;
   const silent = report.silentDaemons.map(({ daemon, message }) =>
--- a/packages/kelpspar-cli/src/report/escape_html.ts
+++ b/packages/kelpspar-cli/src/report/escape_html.ts
@@ -6,7 +6,10 @@
   "'": "&#39;",
 };
 
-/** Makes a text safe between tags and within quoted attributes. */
+/** Escapes text for use between tags and in quoted attributes. */
 export function escapeHtml(text: string): string {
-  return text.replaceAll(/[&<>"']/g, (sign) => ENTITIES[sign] ?? sign);
+  return text.replaceAll(
+    /[&<>"']/g,
+    (character) => ENTITIES[character] ?? character,
+  );
 }
--- a/packages/kelpspar-cli/src/report/format_report.ts
+++ b/packages/kelpspar-cli/src/report/format_report.ts
@@ -3,7 +3,7 @@
 import { formatTable } from "../output/format_table.ts";
 import { describeReport } from "./describe_report.ts";
 
-/** Lays a report out for the terminal. */
+/** Formats a report for the terminal. */
 export function formatReport(
   report: SiteReport,
   sections: readonly ReportSection[],
--- a/packages/kelpspar-cli/src/report/load_records.ts
+++ b/packages/kelpspar-cli/src/report/load_records.ts
@@ -3,11 +3,11 @@
 import { KelpsparError } from "kelpspar-shared";
 import { siteRecordsSchema } from "./site_records.ts";
 
-const MOST_PROBLEMS = 10;
+const MAX_LISTED_PROBLEMS = 10;
 
 /**
- * Reads a file that `--save` wrote. Throws KelpsparError: `usage` when it
- * cannot be read, `malformed_request` when it holds something else.
+ * Reads a file written by `--save`. Throws KelpsparError: `usage` if the file
+ * cannot be read, `malformed_request` if its content is not valid.
  */
 export async function loadRecords(
   context: CliContext,
@@ -17,7 +17,7 @@
   const parsed = siteRecordsSchema.safeParse(parseJson(text, path));
   if (parsed.success) return parsed.data;
   const { issues } = parsed.error;
-  const problems = issues.slice(0, MOST_PROBLEMS).map((issue) =>
+  const problems = issues.slice(0, MAX_LISTED_PROBLEMS).map((issue) =>
     `${issue.path.map(String).join(".") || "(root)"}: ${issue.message}`
   );
   const omitted = issues.length - problems.length;
--- a/packages/kelpspar-cli/src/report/merge_histograms.ts
+++ b/packages/kelpspar-cli/src/report/merge_histograms.ts
@@ -1,16 +1,16 @@
 import type { HistogramRecord } from "./site_records.ts";
 import { compareKeys } from "./compare_keys.ts";
 
-/** A histogram of several daemons. */
+/** A histogram merged from several daemons. */
 export interface MergedHistogram {
   readonly name: string;
   readonly account: string;
   readonly class: string;
   readonly stage: string | undefined;
-  /** How many daemons had values. */
+  /** The number of daemons with values. */
   readonly daemons: number;
   readonly count: number;
-  /** Weighted by count, so it is the mean of all values. */
+  /** The daemons' means weighted by count, which is the mean of all values. */
   readonly mean: number;
   /** Largest of the daemons: an upper bound of the whole's percentile. */
   readonly p50: number;
@@ -22,8 +22,8 @@
 }
 
 /**
- * Merges the histograms of all daemons that have the same name and tags.
- * Percentiles cannot be merged exactly, since the daemons send no buckets.
+ * Merges the daemons' histograms that have the same name and tags. Percentiles
+ * cannot be merged exactly, because the daemons send no buckets.
  */
 export function mergeHistograms(
   records: readonly HistogramRecord[],
@@ -33,15 +33,20 @@
     if (record.count === 0) continue;
     const { account, class: className, stage } = record.tags;
     const key = JSON.stringify([record.name, account, className, stage]);
-    const known = merged.get(key);
-    merged.set(key, known === undefined ? begin(record) : add(known, record));
+    const existing = merged.get(key);
+    merged.set(
+      key,
+      existing === undefined
+        ? toMergedHistogram(record)
+        : addRecord(existing, record),
+    );
   }
   return [...merged.values()].sort((left, right) =>
     compareKeys(keysOf(left), keysOf(right))
   );
 }
 
-function begin(record: HistogramRecord): MergedHistogram {
+function toMergedHistogram(record: HistogramRecord): MergedHistogram {
   const { name, tags, count, mean, p50, p95, p99, maximum } = record;
   return {
     name,
@@ -58,17 +63,20 @@
   };
 }
 
-function add(known: MergedHistogram, record: HistogramRecord): MergedHistogram {
-  const count = known.count + record.count;
+function addRecord(
+  existing: MergedHistogram,
+  record: HistogramRecord,
+): MergedHistogram {
+  const count = existing.count + record.count;
   return {
-    ...known,
-    daemons: known.daemons + 1,
+    ...existing,
+    daemons: existing.daemons + 1,
     count,
-    mean: (known.mean * known.count + record.mean * record.count) / count,
-    p50: Math.max(known.p50, record.p50),
-    p95: Math.max(known.p95, record.p95),
-    p99: Math.max(known.p99, record.p99),
-    maximum: Math.max(known.maximum, record.maximum),
+    mean: (existing.mean * existing.count + record.mean * record.count) / count,
+    p50: Math.max(existing.p50, record.p50),
+    p95: Math.max(existing.p95, record.p95),
+    p99: Math.max(existing.p99, record.p99),
+    maximum: Math.max(existing.maximum, record.maximum),
   };
 }
 
--- a/packages/kelpspar-cli/src/report/plot.ts
+++ b/packages/kelpspar-cli/src/report/plot.ts
@@ -1,26 +1,26 @@
 import type { TopLevelSpec } from "vega-lite";
 
-/** A plot, not drawn yet. */
+/** The definition of a plot. */
 export interface Plot {
-  /** Says what it leaves out. */
+  /** Also states which rows are omitted. */
   readonly caption: string;
   readonly specification: TopLevelSpec;
 }
 
-/** Rows that a plot can show and still be read. */
-export const MOST_PLOTTED_ROWS = 40;
+/** The maximum number of rows at which a plot remains readable. */
+export const MAX_PLOTTED_ROWS = 40;
 
-/** Takes the rows that matter most, those with the largest weight. */
-export function chooseRows<Row>(
+/** Selects the rows with the largest weight, in descending order. */
+export function selectTopRows<Row>(
   rows: readonly Row[],
-  weigh: (row: Row) => number,
+  weightOf: (row: Row) => number,
 ): readonly Row[] {
-  return [...rows].sort((left, right) => weigh(right) - weigh(left))
-    .slice(0, MOST_PLOTTED_ROWS);
+  return [...rows].sort((left, right) => weightOf(right) - weightOf(left))
+    .slice(0, MAX_PLOTTED_ROWS);
 }
 
-/** What the caption says when rows were left out. */
-export function describeChoice(count: number, criterion: string): string {
-  if (count <= MOST_PLOTTED_ROWS) return "";
-  return ` (the ${MOST_PLOTTED_ROWS} of ${count} with the ${criterion}; the table has all)`;
+/** Describes the omitted rows for a caption; "" if none are omitted. */
+export function describeOmission(count: number, criterion: string): string {
+  if (count <= MAX_PLOTTED_ROWS) return "";
+  return ` (the ${MAX_PLOTTED_ROWS} of ${count} with the ${criterion}; the table has all)`;
 }
--- a/packages/kelpspar-cli/src/report/plots.ts
+++ b/packages/kelpspar-cli/src/report/plots.ts
@@ -1,35 +1,35 @@
 import type { MergedHistogram } from "./merge_histograms.ts";
 import type { Plot } from "./plot.ts";
 import type { StageCostFigures } from "./stage_costs.ts";
-import { chooseRows, describeChoice } from "./plot.ts";
+import { describeOmission, selectTopRows } from "./plot.ts";
 import { sumCostsByStage } from "./stage_costs.ts";
 
 const WIDTH = 640;
 const ROW_STEP = 18;
-const MOST_COLOURED_ACCOUNTS = 9;
+const MAX_COLORED_ACCOUNTS = 9;
 const OTHER_ACCOUNTS = "(all others)";
 const PERCENTILES = ["p50", "p95", "p99"] as const;
 const FRAME = { width: WIDTH, height: { step: ROW_STEP } } as const;
-// Labels that were cut to a width would lose their end, which tells the stages
-// of a client account apart; a limit of 0 leaves them whole.
-const NO_LIMIT = 0;
+// Truncated labels would lose their end, which distinguishes the stages of a
+// client account; a limit of 0 disables truncation.
+const UNLIMITED_LABEL_WIDTH = 0;
 const ROW_AXIS = {
   field: "label",
   type: "nominal",
   sort: null,
   title: null,
-  axis: { labelLimit: NO_LIMIT },
+  axis: { labelLimit: UNLIMITED_LABEL_WIDTH },
 } as const;
 
-/** Attainment in percent, the lowest first. */
+/** Plots attainment in percent, lowest first. */
 export function plotAttainment(rows: readonly MergedHistogram[]): Plot {
-  const values = chooseRows(rows, (row) => -row.mean).map((row) => ({
+  const values = selectTopRows(rows, (row) => -row.mean).map((row) => ({
     label: labelOf(row),
     attainment: row.mean,
   }));
   return {
     caption: `Attainment, percent${
-      describeChoice(rows.length, "lowest attainment")
+      describeOmission(rows.length, "lowest attainment")
     }`,
     specification: {
       ...FRAME,
@@ -48,12 +48,12 @@
   };
 }
 
-/** Percentiles of a time in milliseconds, the largest p99 first. */
+/** Plots percentiles of a duration in milliseconds, largest p99 first. */
 export function plotTimes(
   subject: string,
   rows: readonly MergedHistogram[],
 ): Plot {
-  const values = chooseRows(rows, (row) => row.p99).flatMap((row) =>
+  const values = selectTopRows(rows, (row) => row.p99).flatMap((row) =>
     PERCENTILES.map((percentile) => ({
       label: labelOf(row),
       percentile,
@@ -62,7 +62,7 @@
   );
   return {
     caption: `${subject}, milliseconds${
-      describeChoice(rows.length, "largest p99")
+      describeOmission(rows.length, "largest p99")
     }`,
     specification: {
       ...FRAME,
@@ -85,23 +85,23 @@
   };
 }
 
-/** Runner-milliseconds by stage, parted by client account. */
+/** Plots runner-milliseconds by stage, split by client account. */
 export function plotCosts(costs: readonly StageCostFigures[]): Plot {
   const sums = sumCostsByStage(costs);
-  const labels = chooseRows(sums, (sum) => sum.runnerMilliseconds)
+  const labels = selectTopRows(sums, (sum) => sum.runnerMilliseconds)
     .map(stageLabelOf);
   const shown = new Set(labels);
-  const coloured = findLargestAccounts(costs);
+  const colored = findLargestAccounts(costs);
   const values = costs.filter((cost) => shown.has(stageLabelOf(cost))).map((
     cost,
   ) => ({
     label: stageLabelOf(cost),
-    account: coloured.has(cost.account) ? cost.account : OTHER_ACCOUNTS,
+    account: colored.has(cost.account) ? cost.account : OTHER_ACCOUNTS,
     runnerMilliseconds: cost.runnerMilliseconds,
   }));
   return {
     caption: `Runner-milliseconds by class and stage${
-      describeChoice(sums.length, "largest cost")
+      describeOmission(sums.length, "largest cost")
     }`,
     specification: {
       ...FRAME,
@@ -119,14 +119,14 @@
           field: "account",
           type: "nominal",
           title: "client account",
-          legend: { labelLimit: NO_LIMIT },
+          legend: { labelLimit: UNLIMITED_LABEL_WIDTH },
         },
       },
     },
   };
 }
 
-/** More colours than these could not be told apart. */
+/** Selects the accounts with their own color; more colors look too similar. */
 function findLargestAccounts(
   costs: readonly StageCostFigures[],
 ): ReadonlySet<string> {
@@ -136,7 +136,7 @@
   }
   const sorted = [...sums].sort(([, left], [, right]) => right - left);
   return new Set(
-    sorted.slice(0, MOST_COLOURED_ACCOUNTS).map(([account]) => account),
+    sorted.slice(0, MAX_COLORED_ACCOUNTS).map(([account]) => account),
   );
 }
 
--- a/packages/kelpspar-cli/src/report/render_plot.ts
+++ b/packages/kelpspar-cli/src/report/render_plot.ts
@@ -1,9 +1,9 @@
 import type { TopLevelSpec } from "vega-lite";
 
 /**
- * Draws a plot as SVG, without a browser or a network. The libraries are
- * loaded here and not at the top, since loading them would slow the start of
- * every other command.
+ * Renders a plot as SVG, without a browser or network access. The libraries are
+ * imported dynamically, because loading them would slow down the start of every
+ * other command.
  */
 export async function renderPlot(specification: TopLevelSpec): Promise<string> {
   const [vega, vegaLite] = await Promise.all([
--- a/packages/kelpspar-cli/src/report/report_arguments.ts
+++ b/packages/kelpspar-cli/src/report/report_arguments.ts
@@ -3,18 +3,18 @@
 import { jsonFlag } from "../arguments/json_flag.ts";
 import { operatorArguments } from "../arguments/operator_arguments.ts";
 
-/** What a report is made from and where it goes. */
+/** The sources and the outputs of a report. */
 export const reportArguments = {
   ...operatorArguments,
   daemons: multioption({
     long: "daemon",
     type: array(string),
-    description: "A daemon as address:port; each one given is asked",
+    description: "A daemon as address:port; repeat to query several",
   }),
   records: option({
     long: "records",
     type: optional(string),
-    description: "A file written by --save, read in place of asking daemons",
+    description: "A file written by --save, read instead of querying daemons",
   }),
   save: option({
     long: "save",
--- a/packages/kelpspar-cli/src/report/report_command.ts
+++ b/packages/kelpspar-cli/src/report/report_command.ts
@@ -5,7 +5,7 @@
 import type { SiteRecords } from "./site_records.ts";
 import { command } from "cmd-ts";
 import { KelpsparError } from "kelpspar-shared";
-import { answerWith } from "../commands/run_command.ts";
+import { runCommand } from "../commands/run_command.ts";
 import { createOperatorClient } from "../operator/create_operator_client.ts";
 import { collectRecords } from "./collect_records.ts";
 import { createReportPage } from "./create_report_page.ts";
@@ -23,18 +23,18 @@
     description: "Show times, attainment and cost by client account and class",
     args: reportArguments,
     handler: (values) =>
-      answerWith(
+      runCommand(
         { context, json: values.json },
-        () => makeReport(context, values),
+        () => runReport(context, values),
       ),
   });
 }
 
-async function makeReport(
+async function runReport(
   context: CliContext,
   values: ReportValues,
 ): Promise<CommandResult> {
-  const records = await findRecords(context, values);
+  const records = await loadOrCollectRecords(context, values);
   const report = createSiteReport(records);
   const sections = createReportSections(report);
   const written: string[] = [];
@@ -51,7 +51,7 @@
   return { data: report, text };
 }
 
-async function findRecords(
+async function loadOrCollectRecords(
   context: CliContext,
   values: ReportValues,
 ): Promise<SiteRecords> {
--- a/packages/kelpspar-cli/src/report/report_section.ts
+++ b/packages/kelpspar-cli/src/report/report_section.ts
@@ -1,13 +1,13 @@
 import type { Plot } from "./plot.ts";
 
-/** A row's cells, by the heading of their column. */
+/** A row's cells, keyed by column heading. */
 export type ReportRow = Readonly<Record<string, string | number | null>>;
 
-/** A part of a report, for the terminal as well as for a page. */
+/** A section of a report, for the terminal and for HTML pages. */
 export interface ReportSection {
   readonly title: string;
   readonly columns: readonly string[];
   readonly rows: readonly ReportRow[];
-  /** Shown on pages only; absent when a table says enough. */
+  /** Shown on HTML pages only; absent if the table is sufficient. */
   readonly plot?: Plot;
 }
--- a/packages/kelpspar-cli/src/report/report_sections.ts
+++ b/packages/kelpspar-cli/src/report/report_sections.ts
@@ -16,7 +16,7 @@
   "tokens in all",
 ];
 
-/** Lays a report out, section by section. */
+/** Creates the sections of a report. */
 export function createReportSections(
   report: SiteReport,
 ): readonly ReportSection[] {
@@ -115,7 +115,7 @@
   return report.histograms.filter((histogram) => histogram.name === name);
 }
 
-/** Percentiles of one daemon are its own; those of several are a bound. */
+/** Percentiles of one daemon are exact; those of several are upper bounds. */
 function describePercentiles(report: SiteReport): string {
   const count = report.daemons.length;
   if (count === 1) return "";
--- a/packages/kelpspar-cli/src/report/site_records.ts
+++ b/packages/kelpspar-cli/src/report/site_records.ts
@@ -3,7 +3,7 @@
 
 /** The version of the files that `--save` writes. */
 export const RECORDS_VERSION = 1;
-const LATEST_TIME = 8.64e15;
+const MAX_TIME_MILLISECONDS = 8.64e15;
 
 const amountSchema = z.number().nonnegative();
 const countSchema = z.int().nonnegative();
@@ -26,12 +26,12 @@
   })),
 });
 
-/** A histogram's figures, in the unit that its name says. */
+/** A histogram's figures, in the unit that its name states. */
 export type HistogramRecord = z.infer<
   typeof histogramsSchema
 >["histograms"][number];
 
-/** The answer of `GET /v1/operator/accounts`, as far as a report needs it. */
+/** The fields of `GET /v1/operator/accounts` that a report uses. */
 export const accountTalliesSchema = z.looseObject({
   accounts: z.array(z.looseObject({
     id: z.string(),
@@ -50,24 +50,24 @@
   histograms: histogramsSchema.shape.histograms,
 });
 
-/** What one daemon answered. */
+/** The answers of one daemon. */
 export type DaemonRecord = z.infer<typeof daemonRecordSchema>;
 
-/** What `--save` writes and `--records` reads. */
+/** The file that `--save` writes and `--records` reads. */
 export const siteRecordsSchema = z.object({
   version: z.literal(RECORDS_VERSION),
-  /** Milliseconds since 1970, by the clock of the VM that asked. */
-  collectedAt: amountSchema.max(LATEST_TIME),
+  /** Milliseconds since 1970, by the clock of the VM that ran the command. */
+  collectedAt: amountSchema.max(MAX_TIME_MILLISECONDS),
   daemons: z.array(daemonRecordSchema).min(1),
-  /** Daemons that were asked and gave no answer. */
+  /** Daemons that were queried and did not answer. */
   silentDaemons: z.array(z.object({
     daemon: z.string(),
     message: z.string(),
   })),
 });
 
-/** The figures of a site's daemons, before they are merged. */
+/** The unmerged figures of a site's daemons. */
 export type SiteRecords = z.infer<typeof siteRecordsSchema>;
 
-/** A daemon that gave no answer, and why. */
+/** A daemon that did not answer, and the reason. */
 export type SilentDaemon = SiteRecords["silentDaemons"][number];
--- a/packages/kelpspar-cli/src/report/site_report.ts
+++ b/packages/kelpspar-cli/src/report/site_report.ts
@@ -7,24 +7,24 @@
 import { mergeHistograms } from "./merge_histograms.ts";
 import { computeStageCosts } from "./stage_costs.ts";
 
-/** The merged figures of a site; what `--json` prints. */
+/** The merged figures of a site, as printed by `--json`. */
 export interface SiteReport {
   readonly site: string;
   /** The highest revision that a daemon reports. */
   readonly revision: number;
-  /** As ISO 8601, by the clock of the VM that asked. */
+  /** As ISO 8601, by the clock of the VM that ran the command. */
   readonly collectedAt: string;
-  /** The daemons whose figures are in here, as `address:port`. */
+  /** The daemons whose figures are included, as `address:port`. */
   readonly daemons: readonly string[];
   readonly silentDaemons: readonly SilentDaemon[];
-  /** How many live daemons the site has, as the daemons see it. */
+  /** The largest number of live daemons that a daemon reports. */
   readonly liveDaemons: number;
   readonly accounts: readonly AccountFigures[];
   readonly histograms: readonly MergedHistogram[];
   readonly costs: readonly StageCostFigures[];
 }
 
-/** Merges records. Throws KelpsparError, `usage`, for those of two sites. */
+/** Merges records. Throws KelpsparError, `usage`, if they are of two sites. */
 export function createSiteReport(records: SiteRecords): SiteReport {
   const { daemons, silentDaemons, collectedAt } = records;
   const statuses = daemons.map(({ status }) => status);
@@ -48,7 +48,7 @@
   };
 }
 
-/** A daemon that has no configuration yet has no site's name either. */
+/** A daemon without a configuration reports no site name and is ignored. */
 function findSite(records: SiteRecords): string {
   const sites = new Set(records.daemons.map(({ status }) => status.site));
   sites.delete("");
--- a/packages/kelpspar-cli/src/report/stage_costs.ts
+++ b/packages/kelpspar-cli/src/report/stage_costs.ts
@@ -1,6 +1,6 @@
 import type { MergedHistogram } from "./merge_histograms.ts";
 
-/** What a stage took of the endpoints for one client account and class. */
+/** The endpoint usage of a stage for one client account and class. */
 export interface StageCostFigures {
   readonly account: string;
   readonly class: string;
@@ -9,19 +9,19 @@
   readonly requests: number;
   readonly runnerMilliseconds: number;
   readonly runnerMillisecondsPerRequest: number;
-  /** Tokens in and out. */
+  /** Input and output tokens. */
   readonly tokens: number;
   readonly tokensPerRequest: number;
 }
 
-/** A part of the cost, and how to tell what it is added to. */
+/** Total costs, without the figures per request. */
 export interface CostTotals {
   readonly requests: number;
   readonly runnerMilliseconds: number;
   readonly tokens: number;
 }
 
-/** Works out the cost by client account, class and stage. */
+/** Computes the cost by client account, class and stage. */
 export function computeStageCosts(
   histograms: readonly MergedHistogram[],
 ): readonly StageCostFigures[] {
@@ -36,7 +36,7 @@
       account: histogram.account,
       class: histogram.class,
       stage: histogram.stage ?? "",
-      ...perRequest({
+      ...addPerRequestFigures({
         requests: histogram.count,
         runnerMilliseconds: histogram.mean * histogram.count,
         tokens: tokens.get(keyOf(histogram)) ?? 0,
@@ -44,7 +44,7 @@
     }));
 }
 
-/** Adds the cost of all client accounts up, by class and stage. */
+/** Sums the cost of all client accounts by class and stage. */
 export function sumCostsByStage(
   costs: readonly StageCostFigures[],
 ): readonly Omit<StageCostFigures, "account">[] {
@@ -52,7 +52,7 @@
   for (const cost of costs) {
     const key = JSON.stringify([cost.class, cost.stage]);
     const sum = sums.get(key);
-    const totals = perRequest({
+    const totals = addPerRequestFigures({
       requests: (sum?.requests ?? 0) + cost.requests,
       runnerMilliseconds: (sum?.runnerMilliseconds ?? 0) +
         cost.runnerMilliseconds,
@@ -63,7 +63,7 @@
   return [...sums.values()];
 }
 
-function perRequest(
+function addPerRequestFigures(
   totals: CostTotals,
 ): Omit<StageCostFigures, "account" | "class" | "stage"> {
   const { requests, runnerMilliseconds, tokens } = totals;
--- a/packages/kelpspar-cli/src/report/write_text.ts
+++ b/packages/kelpspar-cli/src/report/write_text.ts
@@ -1,7 +1,7 @@
 import { writeFile } from "node:fs/promises";
 import { KelpsparError } from "kelpspar-shared";
 
-/** Writes or replaces a file. Throws KelpsparError, `usage`. */
+/** Creates or overwrites a file. Throws KelpsparError, `usage`. */
 export async function writeText(path: string, text: string): Promise<void> {
   try {
     await writeFile(path, text, "utf8");
--- a/packages/kelpspar-cli/src/run_cli.ts
+++ b/packages/kelpspar-cli/src/run_cli.ts
@@ -26,7 +26,7 @@
   return RESULT_CODES.usage.exitCode;
 }
 
-/** Handlers return exit codes; subcommands wrap them by command. */
+/** Extracts the handler's exit code, which subcommands wrap in an object. */
 async function findExitCode(value: unknown): Promise<number> {
   const inner = await value;
   if (typeof inner === "number") return inner;
