--- a/packages/kelpspar-client/src/__tests__/unit/answer_assembler_test.ts
+++ b/packages/kelpspar-client/src/__tests__/unit/answer_assembler_test.ts
@@ -16,7 +16,7 @@
   };
 }
 
-/** Reference implementation: the first chunk that covers a code unit sets it. */
+/** Reference implementation: the first chunk sets each code unit. */
 function referenceText(chunks: readonly ChunkRecord[]): string {
   const units: string[] = [];
   for (const { offset, text } of chunks) {
--- a/packages/kelpspar-client/src/answer/answer.ts
+++ b/packages/kelpspar-client/src/answer/answer.ts
@@ -5,6 +5,6 @@
   readonly requestId: string;
   readonly text: string;
   readonly cost: readonly StageCost[];
-  /** Milliseconds from the request's arrival at the daemon to the answer's end. */
+  /** Milliseconds from arrival at the daemon to the end of the answer. */
   readonly elapsedMilliseconds: number;
 }
--- a/packages/kelpspar-client/src/request/client_request.ts
+++ b/packages/kelpspar-client/src/request/client_request.ts
@@ -4,7 +4,7 @@
   readonly pipeline: string;
   /** The input of the first stage. */
   readonly input: string;
-  /** The time limit for the whole answer, including retries, in milliseconds. */
+  /** The time limit for the whole answer with retries, in milliseconds. */
   readonly deadlineMilliseconds: number;
   /**
    * Identifies the request for look-ups within the client account. The library
--- a/packages/kelpspar-client/src/request/request_run.ts
+++ b/packages/kelpspar-client/src/request/request_run.ts
@@ -53,7 +53,7 @@
     });
   }
 
-  /** Yields pieces of text; returns the whole answer or throws KelpsparError. */
+  /** Yields pieces of text; returns the answer or throws KelpsparError. */
   async *pieces(): AsyncGenerator<string, Answer, void> {
     let shouldKeepRunning = false;
     try {
--- a/packages/kelpspar-client/src/request/step.ts
+++ b/packages/kelpspar-client/src/request/step.ts
@@ -10,7 +10,7 @@
   readonly kind: StepKind;
   /** The daemon of the last step, an untried daemon, or any daemon. */
   readonly where: "same" | "other" | "any";
-  /** Daemons that the last one suggested instead of itself, as `address:port`. */
+  /** Daemons that the last one suggested instead, as `address:port`. */
   readonly elsewhere?: readonly string[];
   /**
    * `none` means no wait. `backoff` grows with the steps without progress. A
--- a/packages/kelpspar-client/src/transport/exchange_failure.ts
+++ b/packages/kelpspar-client/src/transport/exchange_failure.ts
@@ -1,4 +1,4 @@
-/** An exchange with a daemon that failed before its answer was read. */
+/** An exchange with a daemon that failed without a whole answer. */
 export class ExchangeFailure extends Error {
   /** True only if it is proven that no byte reached the daemon. */
   readonly nothingArrived: boolean;
