--- a/packages/kelpspar-standins/src/__tests__/unit/engine_test.ts
+++ b/packages/kelpspar-standins/src/__tests__/unit/engine_test.ts
@@ -13,7 +13,7 @@
 } from "../../endpoint/engine/engine_answer.ts";
 import { Engine } from "../../endpoint/engine/engine.ts";
 import { ExecutionLog } from "../../endpoint/execution_log.ts";
-import { FaultScript } from "../../endpoint/fault_script.ts";
+import { FaultScript } from "../../endpoint/fault_injector.ts";
 import { FaultyWriter } from "../../endpoint/faulty_writer.ts";
 import { CollectingWriter } from "./collecting_writer.ts";
 
--- a/packages/kelpspar-standins/src/endpoint/endpoint_routes.ts
+++ b/packages/kelpspar-standins/src/endpoint/endpoint_routes.ts
@@ -9,7 +9,7 @@
 import type { EndpointCore } from "./endpoint_core.ts";
 import type { EndpointFaults } from "./endpoint_faults.ts";
 import type { ExecutionLog } from "./execution_log.ts";
-import type { FaultScript } from "./fault_script.ts";
+import type { FaultScript } from "./fault_injector.ts";
 import { answer, NO_REPLY } from "../http/json_reply.ts";
 import { createSilenceRoute } from "../http/silence_route.ts";
 import { FaultyWriter } from "./faulty_writer.ts";
--- a/packages/kelpspar-standins/src/endpoint/engine/attempt.ts
+++ b/packages/kelpspar-standins/src/endpoint/engine/attempt.ts
@@ -1,7 +1,7 @@
 import type { StageCall, StageFailureReason } from "kelpspar-shared";
-import type { CallFate } from "../call_fate.ts";
+import type { CallFate } from "../call_faults.ts";
 import type { RecordWriter } from "../record_writer.ts";
-import { writeFailure } from "../refuse.ts";
+import { writeFailure } from "../write_failure.ts";
 import { countTokens } from "./count_tokens.ts";
 
 /** The call whose records an attempt writes now, and where to. */
--- a/packages/kelpspar-standins/src/endpoint/fault_script.ts
+++ b/packages/kelpspar-standins/src/endpoint/fault_injector.ts
@@ -1,5 +1,5 @@
 import type { RandomSource } from "kelpspar-shared";
-import type { CallFate } from "./call_fate.ts";
+import type { CallFate } from "./call_faults.ts";
 import type { EndpointFaults } from "./endpoint_faults.ts";
 import { happens } from "../faults/delay.ts";
 import { endpointFaultsSchema } from "./endpoint_faults.ts";
--- a/packages/kelpspar-standins/src/endpoint/faulty_writer.ts
+++ b/packages/kelpspar-standins/src/endpoint/faulty_writer.ts
@@ -1,5 +1,5 @@
 import type { StageChunkRecord, StageRecord } from "kelpspar-shared";
-import type { FaultScript } from "./fault_script.ts";
+import type { FaultScript } from "./fault_injector.ts";
 import type { RecordWriter } from "./record_writer.ts";
 import { happens } from "../faults/delay.ts";
 
--- a/packages/kelpspar-standins/src/endpoint/plain/plain_service.ts
+++ b/packages/kelpspar-standins/src/endpoint/plain/plain_service.ts
@@ -1,12 +1,12 @@
 import type { LoadReport, StageCall, TimerService } from "kelpspar-shared";
 import type { JsonRoute } from "../../http/json_route.ts";
-import type { CallFate } from "../call_fate.ts";
+import type { CallFate } from "../call_faults.ts";
 import type { EndpointCore } from "../endpoint_core.ts";
 import type { PlainSettings } from "../endpoint_settings.ts";
 import type { ExecutionLog } from "../execution_log.ts";
-import type { FaultScript } from "../fault_script.ts";
+import type { FaultScript } from "../fault_injector.ts";
 import type { RecordWriter } from "../record_writer.ts";
-import { writeFailure } from "../refuse.ts";
+import { writeFailure } from "../write_failure.ts";
 import { plainAnswer } from "./plain_answer.ts";
 
 /** What a plain service is made of. */
--- a/packages/kelpspar-standins/src/endpoint/start_endpoint.ts
+++ b/packages/kelpspar-standins/src/endpoint/start_endpoint.ts
@@ -12,7 +12,7 @@
 import { endpointSettingsSchema } from "./endpoint_settings.ts";
 import { Engine } from "./engine/engine.ts";
 import { ExecutionLog } from "./execution_log.ts";
-import { FaultScript } from "./fault_script.ts";
+import { FaultScript } from "./fault_injector.ts";
 import { PlainService } from "./plain/plain_service.ts";
 
 const INCARNATION_BYTES = 6;
--- a/packages/kelpspar-standins/src/soak/check_soak.ts
+++ b/packages/kelpspar-standins/src/soak/check_soak.ts
@@ -1,5 +1,5 @@
 import type { RunnerRun } from "../wire/runner_stand_in.ts";
-import type { NamedLimit } from "../wire/named_limit.ts";
+import type { NamedLimit } from "../wire/advertised_limit.ts";
 import type { WireAnswer } from "../wire/wire_caller.ts";
 import { CRASHING_PATH } from "../wire/runner_stand_in.ts";
 
--- a/packages/kelpspar-standins/src/wire/runner_stand_in.ts
+++ b/packages/kelpspar-standins/src/wire/runner_stand_in.ts
@@ -1,7 +1,7 @@
 import type { IncomingMessage, Server, ServerResponse } from "node:http";
 import { createTextServer } from "./create_text_server.ts";
 import { listenOnLoopback } from "./listen_on_loopback.ts";
-import { NamedLimit } from "./named_limit.ts";
+import { NamedLimit } from "./advertised_limit.ts";
 
 /** What a runner does to requests while a fault is set. */
 export type RunnerFault =
