--- a/packages/kelpspar-standins/src/__tests__/unit/kept_code_test.ts
+++ b/packages/kelpspar-standins/src/__tests__/unit/kept_code_test.ts
@@ -13,18 +13,17 @@
 import { fileURLToPath } from "node:url";
 
 const ROOT = fileURLToPath(new URL("../../../../../", import.meta.url));
-/** What the build reads. */
+/** Inputs of the build. */
 const SOURCES = ["deploy", "packages", "platform", "tsconfig.base.json"];
 const RUN = /^run = "node (.*) (target\/\S+)"$/m;
 
-test("the daemon starts with the code that its build compiled", () => {
-  // Symptom: a daemon that was killed is away a third longer.
-  // Sequence: the build compiles under other options of Node.js than the
-  // daemon is run with; Node.js refuses the code and compiles again.
-  // Cause: nobody looks whether it was taken; the daemon runs all the same.
+test("Node.js accepts the code cache that the build created for the daemon", () => {
+  // A restart takes a third longer if Node.js rejects the code cache, which it
+  // does without an error when the build created the cache under other Node.js
+  // options than those that the daemon runs with.
   const folder = mkdtempSync(join(tmpdir(), "kelpspar-build-"));
   try {
-    // In a folder of its own: another test builds in the work tree.
+    // Builds in a separate folder, because another test builds in the work tree.
     for (const name of SOURCES) {
       cpSync(join(ROOT, name), join(folder, name), {
         recursive: true,
@@ -35,12 +34,12 @@
     execFileSync(process.execPath, ["deploy/build.mjs"], { cwd: folder });
     const deployment = readFileSync(join(folder, "deploy/system.toml"), "utf8");
     const [, options = "", program = ""] = RUN.exec(deployment) ?? [];
-    const look = `const { script } = require("./${program}");
+    const inspect = `const { script } = require("./${program}");
       process.stdout.write(String(script.cachedDataRejected));
       process.exit(0);`;
     const printed = execFileSync(
       process.execPath,
-      [...options.split(" "), "-e", look],
+      [...options.split(" "), "-e", inspect],
       { cwd: folder, encoding: "utf8" },
     );
     expect(printed).toEqual("false");
--- a/packages/kelpspar-standins/src/__tests__/unit/soak_test.ts
+++ b/packages/kelpspar-standins/src/__tests__/unit/soak_test.ts
@@ -14,7 +14,7 @@
 import { setTimeout as setTimeoutPromise } from "node:timers/promises";
 import { fileURLToPath } from "node:url";
 import { checkSoak } from "../../soak/check_soak.ts";
-import { CRASHING_PATH } from "../../wire/runner_stand_in.ts";
+import { CRASHING_PATH_SUFFIX } from "../../wire/runner_stand_in.ts";
 import { WireCaller } from "../../wire/wire_caller.ts";
 import { WireSite } from "../../wire/wire_site.ts";
 import { DaemonProcess } from "../../wire/daemon_process.ts";
@@ -30,12 +30,12 @@
   lastEventId: undefined,
 };
 
-// A connection that a proxy left behind must not keep the process.
+// Connections left open by a proxy must not keep the process alive.
 after(() => {
   setImmediate(() => process.exit());
 });
 
-test("a short soak with faults breaks no promise", async () => {
+test("a short soak with faults violates no guarantee", async () => {
   execFileSync(process.execPath, ["deploy/build.mjs"], { cwd: ROOT });
   const verdict = await runSoak({
     seed: 1,
@@ -45,12 +45,12 @@
     hasFaults: true,
     print: () => {},
   });
-  expect([...verdict.broken]).toEqual([]);
-  expect(verdict.served > verdict.asked / 2).toEqual(true);
+  expect([...verdict.violations]).toEqual([]);
+  expect(verdict.served > verdict.submitted / 2).toEqual(true);
 });
 
-// Guards against a fleet that forgets poison requests when all of it ends.
-test("a fleet that was killed whole twice still holds quarantined requests", async () => {
+// Guards against losing the quarantine when all daemons are killed.
+test("the quarantine survives when all daemons are killed twice", async () => {
   const site = new WireSite({ modelRunners: 6 });
   await site.start();
   const folder = mkdtempSync(join(tmpdir(), "kelpspar-daemons-"));
@@ -63,7 +63,7 @@
         settings: await site.createSettings(name),
       }),
   ));
-  const target = `all${CRASHING_PATH}`;
+  const target = `all${CRASHING_PATH_SUFFIX}`;
   const repeat = async (seconds: number): Promise<number> => {
     const endsAt = performance.now() + seconds * 1_000;
     await new WireCaller({
@@ -74,7 +74,7 @@
       routes: ["stream"],
       pauseMilliseconds: 100,
     }).run(() => performance.now() >= endsAt);
-    return site.models.flatMap((one) => one.runs).length;
+    return site.models.flatMap((model) => model.runs).length;
   };
   try {
     for (const daemon of daemons) daemon.start();
@@ -84,7 +84,7 @@
     let after = before;
     for (let kills = 0; kills < 2; kills++) {
       for (const daemon of daemons) daemon.signal("SIGKILL");
-      await Promise.all(daemons.map((daemon) => daemon.startAgain()));
+      await Promise.all(daemons.map((daemon) => daemon.restartAfterExit()));
       await setTimeoutPromise(2_000);
       after = await repeat(3);
     }
@@ -96,11 +96,10 @@
   }
 });
 
-test("a daemon that is to start again doesn't outlive the soak", async () => {
-  // Symptom: the soak didn't end after its last seed, and daemons ran on.
-  // Sequence: a daemon was told to stop and to start again; the soak ended and
-  // killed it; that end was the one that its start waited for.
-  // Cause: nothing told the last end from the others.
+test("a daemon with a pending restart doesn't outlive the soak", async () => {
+  // Guards against a soak that never ends: a daemon is stopped for a restart, and
+  // the end of the soak kills it. Unless that exit is recognized as the last one,
+  // the pending restart starts a process that nobody ends.
   const folder = mkdtempSync(join(tmpdir(), "kelpspar-daemon-"));
   const program = join(folder, "idle.mjs");
   writeFileSync(program, "setInterval(() => {}, 1000);");
@@ -112,7 +111,7 @@
   });
   daemon.start();
   const first = daemon.processId;
-  const again = daemon.startAgain();
+  const again = daemon.restartAfterExit();
   await daemon.end();
   await again;
   const last = daemon.processId;
@@ -121,11 +120,10 @@
   expect(last).toEqual(first);
 });
 
-test("a daemon that is told twice to start again is started once", async () => {
-  // Symptom: a daemon of the soak ran on that nobody knew of.
-  // Sequence: it was told to stop, and killed before it had; both times it was
-  // to start again, and both waited for the same end.
-  // Cause: each wait started a process, and the first one was forgotten.
+test("two pending restarts of a daemon start one process", async () => {
+  // Guards against a stray daemon: it is stopped for a restart and killed for
+  // another before it exited. If both restarts wait for the same exit and each
+  // starts a process, the reference to the first process is lost.
   const folder = mkdtempSync(join(tmpdir(), "kelpspar-daemon-"));
   const starts = join(folder, "starts");
   const program = join(folder, "idle.mjs");
@@ -152,7 +150,7 @@
   };
   daemon.start();
   await waitForStarts(1);
-  const again = [daemon.startAgain(), daemon.startAgain()];
+  const again = [daemon.restartAfterExit(), daemon.restartAfterExit()];
   daemon.signal("SIGKILL");
   await Promise.all(again);
   await waitForStarts(2);
@@ -160,39 +158,39 @@
   const processes = readFileSync(starts, "utf8").trim().split("\n").map(Number);
   const known = daemon.processId;
   await daemon.end();
-  // One that was forgotten would outlive this test.
-  for (const one of processes.slice(1)) {
-    if (one !== known) process.kill(one, "SIGKILL");
+  // A stray process would outlive this test.
+  for (const processId of processes.slice(1)) {
+    if (processId !== known) process.kill(processId, "SIGKILL");
   }
   rmSync(folder, { recursive: true });
   expect(processes.length).toEqual(2);
 });
 
-test("the soak notices each kind of broken promise", () => {
+test("the soak check reports each kind of violation", () => {
   const answer = { attemptId: "a", route: "once", text: undefined } as const;
   const run = { ...RUN, attemptId: "a" };
-  const broken = (
-    one: { readonly status: number; readonly text?: string },
+  const violations = (
+    response: { readonly status: number; readonly text?: string },
     runs: number,
   ): number =>
-    checkSoak([{ ...answer, text: one.text, status: one.status }], [
+    checkSoak([{ ...answer, text: response.text, status: response.status }], [
       ...Array.from({ length: runs }, () => run),
-    ]).broken.length;
-  expect(broken({ status: 200, text: "answer to a" }, 1)).toEqual(0);
-  expect(broken({ status: 200, text: "answer to a" }, 2)).toEqual(1);
-  expect(broken({ status: 200, text: "answer" }, 1)).toEqual(1);
-  expect(broken({ status: 503 }, 0)).toEqual(0);
-  expect(broken({ status: 503 }, 1)).toEqual(1);
-  expect(checkSoak([], [run]).broken.length).toEqual(1);
+    ]).violations.length;
+  expect(violations({ status: 200, text: "answer to a" }, 1)).toEqual(0);
+  expect(violations({ status: 200, text: "answer to a" }, 2)).toEqual(1);
+  expect(violations({ status: 200, text: "answer" }, 1)).toEqual(1);
+  expect(violations({ status: 503 }, 0)).toEqual(0);
+  expect(violations({ status: 503 }, 1)).toEqual(1);
+  expect(checkSoak([], [run]).violations.length).toEqual(1);
   const crashing = (...times: readonly number[]): number =>
     checkSoak(
       [{ ...answer, status: 502, text: "" }],
       times.map((at) => ({
         ...run,
         at,
-        target: `/stream/all${CRASHING_PATH}`,
+        target: `/stream/all${CRASHING_PATH_SUFFIX}`,
       })),
-    ).broken.filter((line) => line.includes("crashes runners")).length;
+    ).violations.filter((line) => line.includes("crashes runners")).length;
   expect(crashing(0, 100, 200, 3_300, 3_400, 3_500)).toEqual(0);
   expect(crashing(0, 100, 200, 3_300, 3_400, 3_500, 3_600)).toEqual(1);
 });
--- a/packages/kelpspar-standins/src/mod.ts
+++ b/packages/kelpspar-standins/src/mod.ts
@@ -34,7 +34,7 @@
 export type { StageFault } from "./wire/stage_runner_stand_in.ts";
 export type { StoreFault } from "./wire/store_stand_in.ts";
 export type { WireSiteOptions } from "./wire/wire_site.ts";
-export { CRASHING_PATH, RunnerStandIn } from "./wire/runner_stand_in.ts";
+export { CRASHING_PATH_SUFFIX, RunnerStandIn } from "./wire/runner_stand_in.ts";
 export { StageRunnerStandIn } from "./wire/stage_runner_stand_in.ts";
 export { StoreStandIn } from "./wire/store_stand_in.ts";
 export { WireSite } from "./wire/wire_site.ts";
--- a/packages/kelpspar-standins/src/programs/soak_main.ts
+++ b/packages/kelpspar-standins/src/programs/soak_main.ts
@@ -66,7 +66,8 @@
       hasFaults: !asked.isCalm,
       print: (line) => printText(`  ${line}`),
     });
-    const { asked: requests, served, refused, broken } = verdict;
+    const { submitted: requests, served, refused, violations: broken } =
+      verdict;
     printText(
       `Seed ${seed}: ${requests} requests, ${served} served, ` +
         `${refused} refused, ${broken.length} promises broken`,
--- a/packages/kelpspar-standins/src/soak/run_soak.ts
+++ b/packages/kelpspar-standins/src/soak/run_soak.ts
@@ -5,38 +5,38 @@
 import { join } from "node:path";
 import { WireSite } from "../wire/wire_site.ts";
 import { checkSoak } from "./check_soak.ts";
-import { CRASHING_PATH } from "../wire/runner_stand_in.ts";
+import { CRASHING_PATH_SUFFIX } from "../wire/runner_stand_in.ts";
 import { WireCaller } from "../wire/wire_caller.ts";
 import { DaemonProcess } from "../wire/daemon_process.ts";
 import { SOAK_FAULTS } from "./soak_faults.ts";
 
-/** What a soak is run with. */
+/** Settings of a soak test. */
 export interface SoakOptions {
   readonly seed: number;
   readonly seconds: number;
   readonly daemons: number;
-  /** The bundle that the platform runs. */
+  /** Path of the bundle that the platform runs. */
   readonly program: string;
-  /** Without faults it is a demonstration. */
+  /** Whether faults are injected; without them it is a demonstration. */
   readonly hasFaults: boolean;
   readonly print: (line: string) => void;
 }
 
-const CALLERS = 10;
+const CALLER_COUNT = 10;
 const MILLISECONDS_PER_SECOND = 1_000;
-/** Time for daemons to start and hear of each other. */
-const START_MILLISECONDS = 2_000;
-/** Time between faults: several overlap. */
-const FAULT_MILLISECONDS = 500;
-/** Time without faults at the end, in which what hangs is answered. */
-const CALM_MILLISECONDS = 3_000;
+/** Time for daemons to start and discover each other. */
+const STARTUP_MILLISECONDS = 2_000;
+/** Time between faults; shorter than most faults, so that several overlap. */
+const FAULT_INTERVAL_MILLISECONDS = 500;
+/** Time without new faults at the end, so that pending requests finish. */
+const QUIET_MILLISECONDS = 3_000;
 const CALLER_NAME_BYTES = 4;
-/** Between the repeats of a request that crashes runners. */
-const CRASHING_PAUSE_MILLISECONDS = 200;
+/** Pause between repeats of a request that crashes runners. */
+const CRASHING_REQUEST_PAUSE_MILLISECONDS = 200;
 
 /**
- * Runs real daemons as processes before stand-ins and harms them from outside.
- * The faults follow the seed; what the processes do in their time doesn't.
+ * Runs real daemon processes against stand-ins and injects faults from outside.
+ * The seed determines the faults, but not the timing inside the processes.
  */
 export async function runSoak(options: SoakOptions): Promise<SoakVerdict> {
   const timer = new SystemTimer();
@@ -45,22 +45,22 @@
   const site = new WireSite({
     plainRunners: 3,
     modelRunners: 3,
-    proxied: true,
+    hasProxies: true,
   });
   await site.start();
   const daemons = await startDaemons(site, { folder, ...options });
   const sleep = (milliseconds: number): Promise<void> =>
     new Promise((resolve) => timer.registerTimeout(resolve, milliseconds));
   try {
-    await sleep(START_MILLISECONDS);
+    await sleep(STARTUP_MILLISECONDS);
     const endsAt = timer.now() + options.seconds * MILLISECONDS_PER_SECOND;
     const callers = Array.from(
-      { length: CALLERS },
+      { length: CALLER_COUNT },
       (_, index) =>
         new WireCaller({
           name: `${random.nextHexadecimal(CALLER_NAME_BYTES)}-${index}`,
           daemons,
-          random: new SeededRandom(options.seed * CALLERS + index),
+          random: new SeededRandom(options.seed * CALLER_COUNT + index),
         }),
     );
     callers.push(
@@ -68,15 +68,17 @@
         name: random.nextHexadecimal(CALLER_NAME_BYTES),
         daemons,
         random: new SeededRandom(options.seed),
-        target: `all${CRASHING_PATH}`,
+        target: `all${CRASHING_PATH_SUFFIX}`,
         routes: ["stream"],
-        pauseMilliseconds: CRASHING_PAUSE_MILLISECONDS,
+        pauseMilliseconds: CRASHING_REQUEST_PAUSE_MILLISECONDS,
       }),
     );
-    const calls = callers.map((one) => one.run(() => timer.now() >= endsAt));
+    const calls = callers.map((caller) =>
+      caller.run(() => timer.now() >= endsAt)
+    );
     const targets = { site, daemons, proxies: site.proxies, random, timer };
-    while (timer.now() < endsAt - CALM_MILLISECONDS) {
-      await sleep(FAULT_MILLISECONDS);
+    while (timer.now() < endsAt - QUIET_MILLISECONDS) {
+      await sleep(FAULT_INTERVAL_MILLISECONDS);
       if (!options.hasFaults) continue;
       const names = Object.keys(SOAK_FAULTS);
       const name = names[random.nextInteger(names.length)] ?? "kill";
@@ -85,8 +87,8 @@
     await Promise.all(calls);
     const runners = [...site.plain, ...site.models];
     return checkSoak(
-      callers.flatMap((one) => one.answers),
-      runners.flatMap((one) => one.runs),
+      callers.flatMap((caller) => caller.answers),
+      runners.flatMap((runner) => runner.runs),
       [...runners, ...site.stages].map(({ limit }) => limit),
     );
   } finally {
@@ -105,8 +107,8 @@
   const daemons: DaemonProcess[] = [];
   for (let index = 0; index < options.daemons; index++) {
     const name = `daemon-${index}`;
-    const seeds = daemons.map((one) =>
-      (one.options.settings["listen"] as Record<string, string>)["control"] ??
+    const seeds = daemons.map((seed) =>
+      (seed.options.settings["listen"] as Record<string, string>)["control"] ??
         ""
     );
     const daemon = new DaemonProcess({
--- a/packages/kelpspar-standins/src/soak/soak_faults.ts
+++ b/packages/kelpspar-standins/src/soak/soak_faults.ts
@@ -3,7 +3,7 @@
 import type { WireSite } from "../wire/wire_site.ts";
 import type { DaemonProcess } from "../wire/daemon_process.ts";
 
-/** What faults strike. */
+/** The components that faults are injected into. */
 export interface SoakTargets {
   readonly site: WireSite;
   readonly daemons: readonly DaemonProcess[];
@@ -12,7 +12,7 @@
   readonly timer: TimerService;
 }
 
-/** Strikes once; its end may come later. Gives what it did. */
+/** Injects one fault, which may end later. Returns a description of it. */
 export type SoakFault = (targets: SoakTargets) => string;
 
 const RUNNER_FAULTS = [
@@ -27,86 +27,89 @@
 ] as const;
 const STAGE_FAULTS = ["mute", "slow", "no_room", "gone"] as const;
 const STORE_FAULTS = ["busy", "reset", "silent"] as const;
-/** Limits in requests a second; the last one can't be read. */
+/** Limits in requests per second; the last one can't be parsed. */
 const LIMITS = ["0.5", "1", "3", "few"] as const;
-/** A limit stays for once to twice so long: it counts after 3 s only. */
-const LIMIT_MILLISECONDS = 7_000;
-const LONGEST_FAULT_MILLISECONDS = 2_000;
-/** A store comes back from a copy that is at most so old, milliseconds. */
-const OLDEST_COPY_MILLISECONDS = 5_000;
-/** What was lost is written again within this time, milliseconds. */
-const WRITTEN_AGAIN_MILLISECONDS = 1_200;
-const DELAY_MILLISECONDS = 120;
+/**
+ * A limit lasts this time or up to twice as long. It must be longer than 3 s,
+ * because the check of a limit starts 3 s after its change.
+ */
+const MINIMUM_LIMIT_MILLISECONDS = 7_000;
+const MAXIMUM_FAULT_MILLISECONDS = 2_000;
+/** Maximum age of the backup that a store is restored from. */
+const MAXIMUM_BACKUP_AGE_MILLISECONDS = 5_000;
+/** Maximum time until lost rows are rewritten after a restore. */
+const MAXIMUM_REWRITE_DELAY_MILLISECONDS = 1_200;
+const CONNECTION_DELAY_MILLISECONDS = 120;
 
-/** Every fault by name. */
+/** All faults by name. */
 export const SOAK_FAULTS: Readonly<Record<string, SoakFault>> = {
   kill: (targets) => {
-    const daemon = draw(targets.daemons, targets.random);
+    const daemon = pickRandom(targets.daemons, targets.random);
     daemon.signal("SIGKILL");
-    void daemon.startAgain();
+    void daemon.restartAfterExit();
     return daemon.options.name;
   },
   stop: (targets) => {
-    const daemon = draw(targets.daemons, targets.random);
-    // A paused process would not see the signal.
+    const daemon = pickRandom(targets.daemons, targets.random);
+    // A paused process doesn't handle SIGTERM until it continues.
     daemon.signal("SIGCONT");
     daemon.signal("SIGTERM");
-    void daemon.startAgain();
+    void daemon.restartAfterExit();
     return daemon.options.name;
   },
   pause: (targets) => {
-    const daemon = draw(targets.daemons, targets.random);
+    const daemon = pickRandom(targets.daemons, targets.random);
     daemon.signal("SIGSTOP");
     later(targets, () => daemon.signal("SIGCONT"));
     return daemon.options.name;
   },
   reload: (targets) => {
-    const daemon = draw(targets.daemons, targets.random);
+    const daemon = pickRandom(targets.daemons, targets.random);
     daemon.signal("SIGHUP");
     return daemon.options.name;
   },
   runner: (targets) => {
     const { site, random } = targets;
-    const runner = draw([...site.plain, ...site.models], random);
-    runner.fault = draw(RUNNER_FAULTS, random);
+    const runner = pickRandom([...site.plain, ...site.models], random);
+    runner.fault = pickRandom(RUNNER_FAULTS, random);
     later(targets, () => runner.fault = "none");
     return runner.fault;
   },
   stage: (targets) => {
-    const stage = draw(targets.site.stages, targets.random);
-    stage.fault = draw(STAGE_FAULTS, targets.random);
+    const stage = pickRandom(targets.site.stages, targets.random);
+    stage.fault = pickRandom(STAGE_FAULTS, targets.random);
     later(targets, () => stage.fault = "none");
     return stage.fault;
   },
   limit: (targets) => {
     const { site, random, timer } = targets;
-    const { limit } = draw(
+    const { limit } = pickRandom(
       [...site.plain, ...site.models, ...site.stages],
       random,
     );
-    limit.text = draw(LIMITS, random);
+    limit.text = pickRandom(LIMITS, random);
     timer.registerTimeout(
       () => limit.text = undefined,
-      (1 + random.next()) * LIMIT_MILLISECONDS,
+      (1 + random.next()) * MINIMUM_LIMIT_MILLISECONDS,
     );
     return limit.text;
   },
   store: (targets) => {
     const { store } = targets.site;
-    store.fault = draw(STORE_FAULTS, targets.random);
+    store.fault = pickRandom(STORE_FAULTS, targets.random);
     later(targets, () => store.fault = "none");
     return store.fault;
   },
   drill: (targets) => {
     const { site, random, timer } = targets;
-    const lost = random.next() * OLDEST_COPY_MILLISECONDS;
-    site.store.fault = draw(STORE_FAULTS, random);
+    const lost = random.next() * MAXIMUM_BACKUP_AGE_MILLISECONDS;
+    site.store.fault = pickRandom(STORE_FAULTS, random);
     later(targets, () => {
-      site.store.restore(lost);
+      site.store.restoreBackup(lost);
       site.store.fault = "none";
       timer.registerTimeout(
-        () => site.writeAgain(),
-        random.next() * WRITTEN_AGAIN_MILLISECONDS,
+        () => site.rewriteLostRows(),
+        random.next() * MAXIMUM_REWRITE_DELAY_MILLISECONDS,
       );
     });
     return `store, from a copy of ${Math.round(lost)} ms before`;
@@ -120,30 +123,33 @@
     return "configuration";
   },
   reset: (targets) => {
-    draw(targets.proxies, targets.random).reset();
+    pickRandom(targets.proxies, targets.random).reset();
     return "connections";
   },
   silence: (targets) => {
-    draw(targets.proxies, targets.random).silence();
+    pickRandom(targets.proxies, targets.random).silence();
     return "connections";
   },
   oneWay: (targets) => {
-    draw(targets.proxies, targets.random).cutAnswers();
+    pickRandom(targets.proxies, targets.random).blockResponses();
     return "connections";
   },
   delay: (targets) => {
-    const proxy = draw(targets.proxies, targets.random);
-    proxy.delayMilliseconds = DELAY_MILLISECONDS;
+    const proxy = pickRandom(targets.proxies, targets.random);
+    proxy.delayMilliseconds = CONNECTION_DELAY_MILLISECONDS;
     later(targets, () => proxy.delayMilliseconds = 0);
     return "connections";
   },
 };
 
 function later(targets: SoakTargets, end: () => void): void {
-  const milliseconds = targets.random.next() * LONGEST_FAULT_MILLISECONDS;
+  const milliseconds = targets.random.next() * MAXIMUM_FAULT_MILLISECONDS;
   targets.timer.registerTimeout(end, milliseconds);
 }
 
-function draw<Value>(values: readonly Value[], random: RandomSource): Value {
+function pickRandom<Value>(
+  values: readonly Value[],
+  random: RandomSource,
+): Value {
   return values[random.nextInteger(values.length)] as Value;
 }
--- a/packages/kelpspar-standins/src/wire/advertised_limit.ts
+++ b/packages/kelpspar-standins/src/wire/advertised_limit.ts
@@ -1,15 +1,15 @@
-/** A limit that a runner named from a moment on. */
+/** A change of the limit that a runner advertises. */
 export interface LimitChange {
-  /** Monotonic milliseconds. */
+  /** Time of the change, monotonic milliseconds. */
   readonly at: number;
-  /** What it names; undefined for none. */
+  /** Header value; undefined for no limit. */
   readonly text: string | undefined;
 }
 
-/** The limit that a stand-in names in all answers, and what came meanwhile. */
-export class NamedLimit {
+/** The limit advertised in all responses, and the requests received. */
+export class AdvertisedLimit {
   readonly changes: LimitChange[] = [];
-  /** When requests came, those that it refused too; monotonic milliseconds. */
+  /** Arrival times of all requests, refused or not; monotonic milliseconds. */
   readonly arrivals: number[] = [];
 
   get text(): string | undefined {
@@ -21,8 +21,8 @@
     this.changes.push({ at: performance.now(), text });
   }
 
-  /** Notes that a request came. */
-  arrived(): void {
+  /** Records the arrival of a request. */
+  recordArrival(): void {
     this.arrivals.push(performance.now());
   }
 }
--- a/packages/kelpspar-standins/src/wire/daemon_process.ts
+++ b/packages/kelpspar-standins/src/wire/daemon_process.ts
@@ -2,47 +2,47 @@
 import { writeFileSync } from "node:fs";
 import { StartedProcess } from "../process/started_process.ts";
 
-/** How a daemon process is started. */
+/** How to start a daemon process. */
 export interface DaemonProcessOptions {
   readonly name: string;
-  /** The bundle that the platform runs. */
+  /** Path of the bundle that the platform runs. */
   readonly program: string;
-  /** Where its settings are written. */
+  /** Path that the settings file is written to. */
   readonly settingsPath: string;
   readonly settings: Readonly<Record<string, unknown>>;
 }
 
-/** A daemon as a process of its own that is started again after its end. */
+/** A daemon in a child process that can be restarted after it exits. */
 export class DaemonProcess {
   readonly options: DaemonProcessOptions;
-  readonly #start: ProgramStart;
+  readonly #programStart: ProgramStart;
   #process: StartedProcess | undefined;
-  #isOver = false;
+  #isTerminated = false;
 
   constructor(options: DaemonProcessOptions) {
     this.options = options;
     const { name, program, settingsPath, settings } = options;
     const environment = { KELPSPAR_BOOT: settingsPath };
-    this.#start = { name, program, environment };
+    this.#programStart = { name, program, environment };
     writeFileSync(settingsPath, JSON.stringify(settings));
   }
 
-  /** Address that callers connect to. */
+  /** Address that callers connect to, `address:port`. */
   get front(): string {
-    return this.#listen("front");
+    return this.#listenAddress("front");
   }
 
   get directory(): string {
-    return this.#listen("directory");
+    return this.#listenAddress("directory");
   }
 
-  /** Of the process that runs now. */
+  /** Id of the current process. */
   get processId(): number | undefined {
     return this.#process?.processId;
   }
 
   start(): void {
-    this.#process = new StartedProcess(this.#start);
+    this.#process = new StartedProcess(this.#programStart);
   }
 
   signal(signal: NodeJS.Signals): void {
@@ -50,23 +50,23 @@
   }
 
   /**
-   * Waits for the end of the process and starts it again, unless that end is
-   * the last one: a daemon started then would outlive whoever started it.
+   * Waits until the process exits and starts it again, unless `end` was
+   * called: a daemon started after that would outlive its owner.
    */
-  async startAgain(): Promise<void> {
-    const ended = this.#process;
-    await ended?.exited;
-    // Another call may have waited for the same end.
-    if (!this.#isOver && this.#process === ended) this.start();
+  async restartAfterExit(): Promise<void> {
+    const previous = this.#process;
+    await previous?.exited;
+    // Another call may have waited for the same exit and restarted it.
+    if (!this.#isTerminated && this.#process === previous) this.start();
   }
 
-  /** Ends the process for good. */
+  /** Kills the process and prevents further restarts. */
   async end(): Promise<void> {
-    this.#isOver = true;
+    this.#isTerminated = true;
     await this.#process?.kill();
   }
 
-  #listen(name: string): string {
+  #listenAddress(name: string): string {
     const listen = this.options.settings["listen"] as Record<string, string>;
     return listen[name] ?? "";
   }
--- a/packages/kelpspar-standins/src/wire/free_ports.ts
+++ b/packages/kelpspar-standins/src/wire/free_ports.ts
@@ -2,28 +2,28 @@
 import { createServer } from "node:net";
 import { listenOnLoopback } from "./listen_on_loopback.ts";
 
-/** Ports that were given out by this process; never given out again. */
-const givenOut = new Set<number>();
+/** Ports allocated by this process; none is allocated twice. */
+const allocatedPorts = new Set<number>();
 
 /**
- * Finds `count` ports of loopback that are free now and that nobody else got
- * from here. A process that is started takes a moment until it listens; its
- * ports are still free then, and the next process would be given them too.
+ * Finds `count` loopback ports that are free now and weren't returned by an
+ * earlier call. A started process doesn't listen at once: until then its ports
+ * look free, and the next process would get them too.
  */
 export async function findFreePorts(count: number): Promise<readonly number[]> {
   const ports: number[] = [];
   while (ports.length < count) {
-    for (const port of await listenForPorts(count - ports.length)) {
-      if (givenOut.has(port)) continue;
-      givenOut.add(port);
+    for (const port of await probeFreePorts(count - ports.length)) {
+      if (allocatedPorts.has(port)) continue;
+      allocatedPorts.add(port);
       ports.push(port);
     }
   }
   return ports;
 }
 
-async function listenForPorts(count: number): Promise<readonly number[]> {
-  // All at once, so that no port is found twice.
+async function probeFreePorts(count: number): Promise<readonly number[]> {
+  // All listen at the same time, so that no port is found twice.
   const servers = Array.from({ length: count }, () => createServer());
   const addresses = await Promise.all(servers.map(listenOnLoopback));
   await Promise.all(
--- a/packages/kelpspar-standins/src/wire/listen_on_loopback.ts
+++ b/packages/kelpspar-standins/src/wire/listen_on_loopback.ts
@@ -1,6 +1,6 @@
 import type { AddressInfo, Server } from "node:net";
 
-/** Listens on a free port of loopback; gives `address:port`. */
+/** Listens on a free loopback port; resolves to `address:port`. */
 export function listenOnLoopback(server: Server): Promise<string> {
   return new Promise((resolve, reject) => {
     server.once("error", reject);
--- a/packages/kelpspar-standins/src/wire/loopback_proxy.ts
+++ b/packages/kelpspar-standins/src/wire/loopback_proxy.ts
@@ -3,35 +3,37 @@
 import { connect, createServer } from "node:net";
 import { listenOnLoopback } from "./listen_on_loopback.ts";
 
-interface Pair {
+interface SocketPair {
+  /** The connection from the caller. */
   readonly near: Socket;
+  /** The connection to the target. */
   readonly far: Socket;
   isSilent: boolean;
 }
 
-/** A loopback proxy that harms connections from outside the processes. */
+/** A loopback proxy that injects connection faults between processes. */
 export class LoopbackProxy {
-  /** Time that each new connection waits before it is passed on, ms. */
+  /** Delay before a new connection forwards requests, milliseconds. */
   delayMilliseconds = 0;
   readonly #target: string;
   readonly #server: Server;
   #address: AddressInfo | undefined;
-  readonly #pairs = new Set<Pair>();
+  readonly #pairs = new Set<SocketPair>();
 
   /** `target` is `address:port`. */
   constructor(target: string) {
     this.#target = target;
-    this.#server = createServer((near) => this.#take(near));
+    this.#server = createServer((near) => this.#accept(near));
   }
 
-  /** Listens on loopback; gives `address:port`. */
+  /** Listens on loopback; resolves to `address:port`. */
   start(): Promise<string> {
     return listenOnLoopback(this.#server);
   }
 
   stop(): void {
     this.reset();
-    // A reset waits for writes that may never end.
+    // A reset waits for pending writes, which may never finish.
     for (const { near, far } of this.#pairs) {
       near.destroy();
       far.destroy();
@@ -53,55 +55,59 @@
     this.stop();
   }
 
-  /** Takes connections again, where it did before. */
-  acceptAgain(): void {
+  /** Accepts connections again on the same port. */
+  resumeListening(): void {
     this.#server.listen(this.#address?.port, "127.0.0.1");
   }
 
-  /** Lets open connections stand and passes nothing on; new ones work. */
+  /** Keeps open connections but forwards nothing on them; new ones work. */
   silence(): void {
     for (const pair of this.#pairs) pair.isSilent = true;
   }
 
-  /** Passes nothing on towards the caller from open connections. */
-  cutAnswers(): void {
+  /** Stops forwarding data to the caller on connections that are open now. */
+  blockResponses(): void {
     for (const { far } of this.#pairs) far.pause();
   }
 
-  #take(near: Socket): void {
+  #accept(near: Socket): void {
     const { address: host, port } = parseHost(this.#target);
     const far = connect({ host, port });
-    const pair: Pair = { near, far, isSilent: false };
+    const pair: SocketPair = {
+      near,
+      far,
+      isSilent: false,
+    };
     this.#pairs.add(pair);
-    this.#pass(pair, { from: far, to: near });
-    if (this.delayMilliseconds === 0) this.#pass(pair, { from: near, to: far });
+    this.#pipe(pair, { from: far, to: near });
+    if (this.delayMilliseconds === 0) this.#pipe(pair, { from: near, to: far });
     else {
       near.pause();
       setTimeout(() => {
-        this.#pass(pair, { from: near, to: far });
+        this.#pipe(pair, { from: near, to: far });
         near.resume();
       }, this.delayMilliseconds);
     }
-    // A reset must stay one: it tells a cut body from a whole one.
+    // Forwards a reset as a reset: it marks a body as truncated.
     near.on("error", () => far.resetAndDestroy());
     far.on("error", () => near.resetAndDestroy());
-    near.on("close", () => this.#end(pair, far));
-    far.on("close", () => this.#end(pair, near));
+    near.on("close", () => this.#close(pair, far));
+    far.on("close", () => this.#close(pair, near));
   }
 
-  #pass(
-    pair: Pair,
-    way: { readonly from: Socket; readonly to: Socket },
+  #pipe(
+    pair: SocketPair,
+    direction: { readonly from: Socket; readonly to: Socket },
   ): void {
-    way.from.on("data", (chunk) => {
-      if (!pair.isSilent) way.to.write(chunk);
+    direction.from.on("data", (chunk) => {
+      if (!pair.isSilent) direction.to.write(chunk);
     });
-    way.from.on("end", () => {
-      if (!pair.isSilent) way.to.end();
+    direction.from.on("end", () => {
+      if (!pair.isSilent) direction.to.end();
     });
   }
 
-  #end(pair: Pair, other: Socket): void {
+  #close(pair: SocketPair, other: Socket): void {
     if (pair.isSilent) return;
     this.#pairs.delete(pair);
     other.destroy();
--- a/packages/kelpspar-standins/src/wire/runner_stand_in.ts
+++ b/packages/kelpspar-standins/src/wire/runner_stand_in.ts
@@ -1,32 +1,32 @@
 import type { IncomingMessage, Server, ServerResponse } from "node:http";
 import { createTextServer } from "./create_text_server.ts";
 import { listenOnLoopback } from "./listen_on_loopback.ts";
-import { NamedLimit } from "./advertised_limit.ts";
+import { AdvertisedLimit } from "./advertised_limit.ts";
 
-/** What a runner does to requests while a fault is set. */
+/** How a runner handles requests while a fault is set. */
 export type RunnerFault =
   | "none"
-  /** Refuses as full. */
+  /** Refuses each request with 503 as overloaded. */
   | "full"
-  /** Runs the request, then closes the connection without an answer. */
+  /** Runs the request, then closes the connection without a response. */
   | "answer_lost"
-  /** Breaks the answer off midway. */
+  /** Closes the connection in the middle of the response. */
   | "cut"
-  /** Takes requests and says nothing. */
+  /** Accepts requests and never responds. */
   | "mute"
-  /** Answers with another request's id. */
+  /** Responds with another request's attempt id. */
   | "foreign"
-  /** Sends a second answer after the first. */
+  /** Sends a second response after the first. */
   | "extra"
-  /** Answers without a length and resets the connection midway. */
+  /** Responds without a content length and resets the connection midway. */
   | "unframed_reset"
-  /** Answers with a failure of its own. */
+  /** Responds with status 500. */
   | "failing";
 
-/** One request that a runner ran. */
+/** A request that a runner executed. */
 export interface RunnerRun {
   readonly attemptId: string;
-  /** When it came, monotonic milliseconds. */
+  /** Arrival time, monotonic milliseconds. */
   readonly at: number;
   /** Path and query. */
   readonly target: string;
@@ -35,65 +35,65 @@
   readonly lastEventId: string | undefined;
 }
 
-/** How a runner answers. */
+/** How a runner responds. */
 export interface RunnerStandInOptions {
   readonly id: string;
   readonly isStream: boolean;
-  /** Events of a whole stream. */
+  /** Number of events in a complete stream; default 5. */
   readonly events?: number;
-  /** Time before the answer and between events, milliseconds. */
-  readonly paceMilliseconds?: number;
+  /** Delay before the response and each event, milliseconds; default 5. */
+  readonly delayMilliseconds?: number;
 }
 
-/** Requests to paths that end so crash the runner that begins to run them. */
-export const CRASHING_PATH = "/crash";
+/** A request whose path ends with this crashes the runner that starts it. */
+export const CRASHING_PATH_SUFFIX = "/crash";
 
-/** A runner of requests at its published protocol. */
+/** A stand-in for a request runner; speaks the published protocol. */
 export class RunnerStandIn {
   fault: RunnerFault = "none";
-  /** Says in all answers that it leaves. */
+  /** Whether all responses carry `Server-Leaving`. */
   isLeaving = false;
-  readonly limit = new NamedLimit();
-  /** What it adds when it refuses as full; undefined for nothing. */
+  readonly limit = new AdvertisedLimit();
+  /** `Retry-After` value of 503 responses; undefined for no header. */
   retryAfter: string | undefined;
-  /** Requests that it refused as full. */
+  /** Number of requests refused as overloaded. */
   refusals = 0;
   readonly runs: RunnerRun[] = [];
   readonly #options: RunnerStandInOptions;
   readonly #server: Server;
   #address: string | undefined;
-  #lives = 1;
+  #incarnation = 1;
   /** Called when a request crashes the runner. */
   onCrash = (): void => {};
 
   constructor(options: RunnerStandInOptions) {
     this.#options = options;
     this.#server = createTextServer((message, text, response) =>
-      this.#take(message, text, response)
+      this.#handle(message, text, response)
     );
   }
 
-  /** New with each life. */
+  /** Changes with each restart. */
   get id(): string {
     const { id } = this.#options;
-    return this.#lives === 1 ? id : `${id}-life-${this.#lives}`;
+    return this.#incarnation === 1 ? id : `${id}-life-${this.#incarnation}`;
   }
 
-  /** Listens on loopback; gives `address:port`. */
+  /** Listens on loopback; resolves to `address:port`. */
   async start(): Promise<string> {
     this.#address = await listenOnLoopback(this.#server);
     return this.#address;
   }
 
-  /** Cuts all connections and refuses new ones until it listens again. */
+  /** Closes all connections and refuses new ones until `restart`. */
   crash(): void {
     this.#server.closeAllConnections();
     this.#server.close();
   }
 
-  /** Begins a new life under a new id, where it listened before a crash. */
-  startAgain(): void {
-    this.#lives++;
+  /** Restarts after a crash, on the same port and under a new id. */
+  restart(): void {
+    this.#incarnation++;
     this.limit.text = undefined;
     const port = Number(this.#address?.split(":")[1]);
     this.#server.listen(port, "127.0.0.1");
@@ -104,7 +104,7 @@
     this.#server.close();
   }
 
-  #take(
+  #handle(
     message: IncomingMessage,
     body: string,
     response: ServerResponse,
@@ -114,12 +114,12 @@
       response.writeHead(421).end();
       return;
     }
-    this.limit.arrived();
+    this.limit.recordArrival();
     if (this.fault === "full") {
       this.refusals++;
       const headers = {
         "X-Not-Executed": "1",
-        ...this.#notices(),
+        ...this.#noticeHeaders(),
         ...(this.retryAfter === undefined
           ? {}
           : { "Retry-After": this.retryAfter }),
@@ -136,11 +136,11 @@
       mute: () => {},
       unframed_reset: () => this.#resetMidway(attemptId, response),
       failing: () => {
-        response.writeHead(500, this.#head(attemptId)).end("failed");
+        response.writeHead(500, this.#responseHeaders(attemptId)).end("failed");
       },
     };
     const handler = handlers[this.fault];
-    if (target.endsWith(CRASHING_PATH)) {
+    if (target.endsWith(CRASHING_PATH_SUFFIX)) {
       void this.#crashMidway(attemptId, response);
     } else if (handler !== undefined) handler();
     else if (this.#options.isStream) {
@@ -153,31 +153,31 @@
     response: ServerResponse,
   ): Promise<void> {
     if (this.#options.isStream) {
-      response.writeHead(200, this.#head(attemptId)).flushHeaders();
+      response.writeHead(200, this.#responseHeaders(attemptId)).flushHeaders();
     }
-    await this.#pace();
-    // Two requests that crash it may have begun together.
+    await this.#delay();
+    // Another request that crashes the runner may have been faster.
     if (this.#server.listening) this.onCrash();
   }
 
   #resetMidway(attemptId: string, response: ServerResponse): void {
     const { socket } = response;
-    const head = Object.entries(this.#head(attemptId))
+    const head = Object.entries(this.#responseHeaders(attemptId))
       .map(([name, value]) => `${name}: ${value}\r\n`).join("");
     socket?.write(`HTTP/1.1 200 OK\r\n${head}\r\npart of`, () => {
       setTimeout(() => socket.resetAndDestroy(), 20);
     });
   }
 
-  #head(attemptId: string): Record<string, string> {
+  #responseHeaders(attemptId: string): Record<string, string> {
     return {
       "X-Attempt-Id": this.fault === "foreign" ? "of-another" : attemptId,
       "X-Server-Seal": `seal-${this.id}`,
-      ...this.#notices(),
+      ...this.#noticeHeaders(),
     };
   }
 
-  #notices(): Record<string, string> {
+  #noticeHeaders(): Record<string, string> {
     return {
       ...(this.isLeaving ? { "Server-Leaving": "1" } : {}),
       ...(this.limit.text === undefined
@@ -187,10 +187,10 @@
   }
 
   async #answer(attemptId: string, response: ServerResponse): Promise<void> {
-    await this.#pace();
+    await this.#delay();
     const text = `answer to ${attemptId}`;
     const length = { "Content-Length": String(text.length) };
-    response.writeHead(200, { ...this.#head(attemptId), ...length });
+    response.writeHead(200, { ...this.#responseHeaders(attemptId), ...length });
     if (this.fault === "cut") {
       response.write(text.slice(0, 4), () => response.destroy());
       return;
@@ -208,11 +208,11 @@
   ): Promise<void> {
     const { events = 5 } = this.#options;
     response.writeHead(200, {
-      ...this.#head(attemptId),
+      ...this.#responseHeaders(attemptId),
       "Content-Type": "text/event-stream",
     });
     for (let id = Number(lastEventId ?? 0) + 1; id <= events; id++) {
-      await this.#pace();
+      await this.#delay();
       if (response.destroyed) return;
       const event = `id: ${id}\ndata: ${attemptId} ${id}\n\n`;
       if (this.fault === "cut" && id > events / 2) {
@@ -224,8 +224,8 @@
     response.end();
   }
 
-  #pace(): Promise<void> {
-    const { paceMilliseconds = 5 } = this.#options;
-    return new Promise((resolve) => setTimeout(resolve, paceMilliseconds));
+  #delay(): Promise<void> {
+    const { delayMilliseconds = 5 } = this.#options;
+    return new Promise((resolve) => setTimeout(resolve, delayMilliseconds));
   }
 }
--- a/packages/kelpspar-standins/src/wire/stage_runner_stand_in.ts
+++ b/packages/kelpspar-standins/src/wire/stage_runner_stand_in.ts
@@ -1,9 +1,9 @@
 import type { Server, ServerResponse } from "node:http";
 import { createTextServer } from "./create_text_server.ts";
 import { listenOnLoopback } from "./listen_on_loopback.ts";
-import { NamedLimit } from "./advertised_limit.ts";
+import { AdvertisedLimit } from "./advertised_limit.ts";
 
-/** What a stage runner does to calls while a fault is set. */
+/** How a stage runner handles calls while a fault is set. */
 export type StageFault = "none" | "mute" | "slow" | "no_room" | "gone";
 
 interface StageEntry {
@@ -14,51 +14,51 @@
   readonly inputs?: readonly string[];
 }
 
-/** How a stage runner works. */
+/** Timing and capacity of a stage runner. */
 export interface StageRunnerStandInOptions {
   readonly id: string;
   readonly callMilliseconds: number;
   readonly pieceMilliseconds: number;
-  /** Results that it has room for. */
+  /** Number of results that its memory holds. */
   readonly room: number;
   readonly resultBytes: number;
 }
 
 const BYTES_PER_MEGABYTE = 1_000_000;
 
-/** How many times as long a slow runner takes. */
+/** Factor by which the `slow` fault lengthens each call. */
 const SLOW_FACTOR = 6;
 
-/** A runner of stage pieces at its published protocol, one call at a time. */
+/** A stand-in for a stage runner; runs one call at a time. */
 export class StageRunnerStandIn {
   fault: StageFault = "none";
-  /** Says in all answers that it leaves. */
+  /** Whether all responses carry `Server-Leaving`. */
   isLeaving = false;
-  readonly limit = new NamedLimit();
-  /** Refuses calls and asks for a pause of so long; undefined to take them. */
+  readonly limit = new AdvertisedLimit();
+  /** Refuses calls with this `Retry-After` value; undefined accepts calls. */
   retryAfter: string | undefined;
-  /** Calls that it refused so. */
+  /** Number of calls refused with `Retry-After`. */
   refusals = 0;
-  /** Pieces of each call that was worked on. */
+  /** Pieces of each call that was run. */
   readonly calls: (readonly StageEntry[])[] = [];
-  /** Handles that are kept now. */
-  readonly kept = new Set<string>();
+  /** Handles of results that were not freed. */
+  readonly heldHandles = new Set<string>();
   readonly #options: StageRunnerStandInOptions;
   readonly #server: Server;
   #address = "";
-  #turn: Promise<void> = Promise.resolve();
-  #made = 0;
+  #callQueue: Promise<void> = Promise.resolve();
+  #resultCount = 0;
 
   constructor(options: StageRunnerStandInOptions) {
     this.#options = options;
     this.#server = createTextServer((message, text, response) => {
       if (message.headers["x-expect-instance"] === options.id) {
-        this.#take(message.url ?? "", text, response);
+        this.#handle(message.url ?? "", text, response);
       } else response.writeHead(421).end();
     });
   }
 
-  /** Listens on loopback; gives `address:port`. */
+  /** Listens on loopback; resolves to `address:port`. */
   async start(): Promise<string> {
     this.#address = await listenOnLoopback(this.#server);
     return this.#address;
@@ -69,7 +69,7 @@
     this.#server.close();
   }
 
-  #take(path: string, text: string, response: ServerResponse): void {
+  #handle(path: string, text: string, response: ServerResponse): void {
     const handlers: Readonly<Record<string, () => void>> = {
       "/-/report": () => this.#report(response),
       "/-/stage-free": () => this.#free(JSON.parse(text) as object, response),
@@ -90,7 +90,7 @@
   }
 
   #report(response: ServerResponse): void {
-    const free = this.#options.room - this.kept.size;
+    const free = this.#options.room - this.heldHandles.size;
     const freeMb = free * this.#options.resultBytes / BYTES_PER_MEGABYTE;
     response.writeHead(200, { "Content-Type": "application/json" });
     response.end(JSON.stringify({ waiting: 0, busy: false, freeMb }));
@@ -98,12 +98,12 @@
 
   #free(body: object, response: ServerResponse): void {
     const { handles } = body as { readonly handles: readonly string[] };
-    for (const handle of handles) this.kept.delete(handle);
+    for (const handle of handles) this.heldHandles.delete(handle);
     response.writeHead(200).end();
   }
 
   #run(entries: readonly StageEntry[], response: ServerResponse): void {
-    this.limit.arrived();
+    this.limit.recordArrival();
     if (this.fault === "mute") return;
     if (this.retryAfter !== undefined) {
       this.refusals++;
@@ -111,32 +111,33 @@
       response.writeHead(503, { "X-Not-Executed": "1" }).end();
       return;
     }
-    this.#turn = this.#turn.then(async () => {
+    this.#callQueue = this.#callQueue.then(async () => {
       if (response.destroyed) return;
       this.calls.push(entries);
-      await this.#work(entries.length);
-      const answers = entries.map((entry) => this.#make(entry));
+      await this.#simulateWork(entries.length);
+      const answers = entries.map((entry) => this.#createResult(entry));
       response.writeHead(200, { "Content-Type": "application/json" });
       response.end(JSON.stringify({ entries: answers }));
     });
   }
 
-  #make(entry: StageEntry): object {
+  #createResult(entry: StageEntry): object {
     if (this.fault === "gone" && entry.inputs !== undefined) {
       return { reason: "gone" };
     }
     const hasNoRoom = this.fault === "no_room" ||
-      this.kept.size >= this.#options.room;
+      this.heldHandles.size >= this.#options.room;
     if (hasNoRoom) return { reason: "room" };
-    const handle = `${this.#address}/${(++this.#made).toString(16)}`;
-    this.kept.add(handle);
+    const handle = `${this.#address}/${(++this.#resultCount).toString(16)}`;
+    this.heldHandles.add(handle);
     return { handle };
   }
 
-  #work(pieces: number): Promise<void> {
+  #simulateWork(pieces: number): Promise<void> {
     const { callMilliseconds, pieceMilliseconds } = this.#options;
     const factor = this.fault === "slow" ? SLOW_FACTOR : 1;
-    const time = (callMilliseconds + pieces * pieceMilliseconds) * factor;
+    const time = (callMilliseconds + pieces * pieceMilliseconds) *
+      factor;
     return new Promise((resolve) => setTimeout(resolve, time));
   }
 }
--- a/packages/kelpspar-standins/src/wire/store_stand_in.ts
+++ b/packages/kelpspar-standins/src/wire/store_stand_in.ts
@@ -2,10 +2,10 @@
 import { createTextServer } from "./create_text_server.ts";
 import { listenOnLoopback } from "./listen_on_loopback.ts";
 
-/** How the store misbehaves: 503, a reset connection, or no answer. */
+/** A fault of the store: status 503, a connection reset, or no response. */
 export type StoreFault = "none" | "busy" | "reset" | "silent";
 
-/** When a change was written, by the process's monotonic clock. */
+/** A written row and its time, monotonic milliseconds. */
 interface Change {
   readonly row: Row;
   readonly at: number;
@@ -20,28 +20,28 @@
   readonly tombstone: boolean;
 }
 
-interface Waiter {
+interface PendingFeed {
   readonly table: string;
   readonly after: number;
   readonly answer: () => void;
-  /** Loses the answer with its connection. */
+  /** Resets the connection without a response. */
   readonly drop: () => void;
 }
 
-/** The platform's store at its published protocol: rows, transactions, feed. */
+/** A stand-in for the platform's store: rows, transactions and feed. */
 export class StoreStandIn {
   fault: StoreFault = "none";
-  /** Calls that were answered or failed. */
+  /** Number of calls received, including failed ones. */
   calls = 0;
-  /** Rises by one each time that the store comes back from an older copy. */
+  /** Incremented each time that the store is restored from a backup. */
   era = 1;
-  #ver = 0;
-  /** Feeds from before this version get 410. */
-  #oldest = 0;
+  #version = 0;
+  /** Feed requests from before this version get status 410. */
+  #oldestFeedVersion = 0;
   readonly #rows = new Map<string, Row>();
-  /** Every change by itself, in order. */
+  /** All changes in the order of their versions. */
   #history: Change[] = [];
-  readonly #waiters = new Set<Waiter>();
+  readonly #pendingFeeds = new Set<PendingFeed>();
   readonly #server: Server;
 
   constructor() {
@@ -51,7 +51,7 @@
     });
   }
 
-  /** Listens on loopback; gives `address:port`. */
+  /** Listens on loopback; resolves to `address:port`. */
   start(): Promise<string> {
     return listenOnLoopback(this.#server);
   }
@@ -61,7 +61,7 @@
     this.#server.close();
   }
 
-  /** Writes a row as the operator or a runner does. */
+  /** Writes a row in place of the operator or a runner. */
   put(table: string, key: string, value: object): void {
     const text = Buffer.from(JSON.stringify(value)).toString("base64");
     this.#write({ table, part: "", key, value: text, tombstone: false });
@@ -71,36 +71,36 @@
     this.#write({ table, part: "", key, value: "", tombstone: true });
   }
 
-  /** Forgets the history, so that feeds must read tables again. */
+  /** Compacts the history, so that feed readers must read tables again. */
   compact(): void {
-    this.#oldest = ++this.#ver;
+    this.#oldestFeedVersion = ++this.#version;
   }
 
-  /** Whether there is a row of that value. */
-  holds(table: string, key: string, value: object): boolean {
+  /** Whether the row exists and has this value. */
+  hasRow(table: string, key: string, value: object): boolean {
     const text = Buffer.from(JSON.stringify(value)).toString("base64");
-    const row = this.#rows.get(nameOf({ table, part: "", key }));
+    const row = this.#rows.get(rowId({ table, part: "", key }));
     return row !== undefined && !row.tombstone && row.value === text;
   }
 
-  /** Comes back as it was so long ago; what was written since is lost. */
-  restore(lostMilliseconds: number): void {
+  /** Restores the state of this long ago, losing later writes. */
+  restoreBackup(lostMilliseconds: number): void {
     const until = performance.now() - lostMilliseconds;
     this.#history = this.#history.filter(({ at }) => at <= until);
     this.#rows.clear();
-    for (const { row } of this.#history) this.#rows.set(nameOf(row), row);
-    this.#ver = this.#history.at(-1)?.row.ver ?? 0;
-    this.#oldest = Math.min(this.#oldest, this.#ver);
+    for (const { row } of this.#history) this.#rows.set(rowId(row), row);
+    this.#version = this.#history.at(-1)?.row.ver ?? 0;
+    this.#oldestFeedVersion = Math.min(this.#oldestFeedVersion, this.#version);
     this.era++;
-    for (const waiter of [...this.#waiters]) waiter.drop();
+    for (const pending of [...this.#pendingFeeds]) pending.drop();
   }
 
   #write(row: Omit<Row, "ver">): void {
-    const changed = { ...row, ver: ++this.#ver };
-    this.#rows.set(nameOf(row), changed);
+    const changed = { ...row, ver: ++this.#version };
+    this.#rows.set(rowId(row), changed);
     this.#history.push({ row: changed, at: performance.now() });
-    for (const waiter of [...this.#waiters]) {
-      if (waiter.table === row.table) waiter.answer();
+    for (const pending of [...this.#pendingFeeds]) {
+      if (pending.table === row.table) pending.answer();
     }
   }
 
@@ -149,7 +149,7 @@
   #feed(url: URL, response: ServerResponse): void {
     const table = url.searchParams.get("table") ?? "";
     const after = Number(url.searchParams.get("after"));
-    if (after < this.#oldest || after > this.#ver) {
+    if (after < this.#oldestFeedVersion || after > this.#version) {
       response.writeHead(410, this.#headers()).end();
       return;
     }
@@ -160,33 +160,33 @@
       this.#send(response, { rows: changed() });
       return;
     }
-    const waiter: Waiter = {
+    const pending: PendingFeed = {
       table,
       after,
       answer: () => {
         clearTimeout(timeout);
-        this.#waiters.delete(waiter);
+        this.#pendingFeeds.delete(pending);
         this.#send(response, { rows: changed() });
       },
       drop: () => {
         clearTimeout(timeout);
-        this.#waiters.delete(waiter);
+        this.#pendingFeeds.delete(pending);
         response.socket?.resetAndDestroy();
       },
     };
     const waitMs = Number(url.searchParams.get("waitMs"));
-    const timeout = setTimeout(waiter.answer, waitMs);
-    this.#waiters.add(waiter);
+    const timeout = setTimeout(pending.answer, waitMs);
+    this.#pendingFeeds.add(pending);
     response.on("close", () => {
       clearTimeout(timeout);
-      this.#waiters.delete(waiter);
+      this.#pendingFeeds.delete(pending);
     });
   }
 
   #send(response: ServerResponse, fields: object): void {
     if (response.destroyed) return;
     response.writeHead(200, this.#headers());
-    response.end(JSON.stringify({ ...fields, ver: this.#ver, nowMs: 0 }));
+    response.end(JSON.stringify({ ...fields, ver: this.#version, nowMs: 0 }));
   }
 
   #headers(): Readonly<Record<string, string>> {
@@ -197,6 +197,6 @@
   }
 }
 
-function nameOf(row: Pick<Row, "table" | "part" | "key">): string {
+function rowId(row: Pick<Row, "table" | "part" | "key">): string {
   return `${row.table}/${row.part}/${row.key}`;
 }
--- a/packages/kelpspar-standins/src/wire/wire_caller.ts
+++ b/packages/kelpspar-standins/src/wire/wire_caller.ts
@@ -3,26 +3,26 @@
 import { setTimeout as setTimeoutPromise } from "node:timers/promises";
 import { Agent, request as sendRequest } from "undici";
 
-/** Routes of the site that callers use. */
+/** Names of the site's routes that callers use. */
 export const WIRE_ROUTES = ["once", "often", "stream", "resumed"] as const;
 
-/** A route of the site. */
+/** The name of a route. */
 export type WireRoute = typeof WIRE_ROUTES[number];
 
-/** What a caller got for one attempt. */
+/** The outcome of one attempt of a caller. */
 export interface WireAnswer {
   readonly attemptId: string;
   readonly route: WireRoute;
-  /** Undefined when the connection ended without an answer. */
+  /** Undefined when the connection ended without a response. */
   readonly status: number | undefined;
-  /** Undefined when the body was cut. */
+  /** Undefined when the body was truncated. */
   readonly text: string | undefined;
 }
 
 const DEADLINE_MILLISECONDS = 2_500;
-const DIRECTORY_MILLISECONDS = 1_000;
+const DIRECTORY_TIMEOUT_MILLISECONDS = 1_000;
 
-/** One caller: asks the directory, keeps connections, sends requests. */
+/** A caller that resolves addresses, reuses connections and sends requests. */
 export class WireCaller {
   readonly answers: WireAnswer[] = [];
   readonly #daemons: readonly DaemonProcess[];
@@ -32,16 +32,16 @@
   readonly #routes: readonly WireRoute[];
   readonly #pauseMilliseconds: number;
   readonly #agent = new Agent({ pipelining: 1 });
-  #count = 0;
+  #attemptCount = 0;
 
   constructor(options: {
     readonly name: string;
     readonly daemons: readonly DaemonProcess[];
     readonly random: RandomSource;
-    /** The path below the route. */
+    /** Path below the route's prefix; default `x`. */
     readonly target?: string;
     readonly routes?: readonly WireRoute[];
-    /** Between an answer and the next request. */
+    /** Pause between a response and the next request; default 0. */
     readonly pauseMilliseconds?: number;
   }) {
     this.#target = options.target ?? "x";
@@ -52,36 +52,36 @@
     this.#random = options.random;
   }
 
-  /** Sends requests one after the other until `isOver`. */
+  /** Sends requests one at a time until `isOver` returns true. */
   async run(isOver: () => boolean): Promise<void> {
     while (!isOver()) {
       const addresses = await this.#resolve();
-      const address = this.#draw(addresses);
+      const address = this.#pickRandom(addresses);
       if (address === undefined) continue;
-      const route = this.#draw(this.#routes) ?? "once";
-      this.answers.push(await this.#ask(address, route));
+      const route = this.#pickRandom(this.#routes) ?? "once";
+      this.answers.push(await this.#sendAttempt(address, route));
       await setTimeoutPromise(this.#pauseMilliseconds);
     }
     await this.#agent.destroy();
   }
 
   async #resolve(): Promise<readonly string[]> {
-    const daemon = this.#draw(this.#daemons);
+    const daemon = this.#pickRandom(this.#daemons);
     try {
       const { body } = await sendRequest(
         `http://${daemon?.directory}/-/resolve?name=x&region=r&zone=a`,
-        { signal: AbortSignal.timeout(DIRECTORY_MILLISECONDS) },
+        { signal: AbortSignal.timeout(DIRECTORY_TIMEOUT_MILLISECONDS) },
       );
       const answer = await body.json() as { readonly addresses?: string[] };
       return answer.addresses ?? [];
     } catch {
-      // Another daemon is asked in the next round.
+      // The next iteration picks a daemon again.
       return [];
     }
   }
 
-  async #ask(address: string, route: WireRoute): Promise<WireAnswer> {
-    const attemptId = `${this.#name}-${this.#count++}`;
+  async #sendAttempt(address: string, route: WireRoute): Promise<WireAnswer> {
+    const attemptId = `${this.#name}-${this.#attemptCount++}`;
     const answer = { attemptId, route };
     try {
       const { statusCode, body } = await sendRequest(
@@ -104,12 +104,12 @@
       const text = await body.text().catch(() => undefined);
       return { ...answer, status: statusCode, text };
     } catch {
-      // Nothing was promised: the connection was refused, reset or too slow.
+      // The connection was refused, reset or too slow: the outcome is unknown.
       return { ...answer, status: undefined, text: undefined };
     }
   }
 
-  #draw<Value>(values: readonly Value[]): Value | undefined {
+  #pickRandom<Value>(values: readonly Value[]): Value | undefined {
     return values[this.#random.nextInteger(Math.max(1, values.length))];
   }
 }
--- a/packages/kelpspar-standins/src/wire/wire_site.ts
+++ b/packages/kelpspar-standins/src/wire/wire_site.ts
@@ -4,35 +4,35 @@
 import { StageRunnerStandIn } from "./stage_runner_stand_in.ts";
 import { StoreStandIn } from "./store_stand_in.ts";
 
-/** How large a site is and how long its work takes. */
+/** Size, timing and limits of a site. */
 export interface WireSiteOptions {
   readonly plainRunners?: number;
   readonly modelRunners?: number;
   readonly stageRunners?: number;
-  /** What a stage call costs whatever it carries, milliseconds. */
+  /** Fixed time of a stage call, milliseconds. */
   readonly callMilliseconds?: number;
-  /** Pieces that a stage call takes. */
+  /** Maximum number of pieces in a stage call. */
   readonly batch?: number;
-  /** Results that a stage runner has room for. */
+  /** Number of results that a stage runner's memory holds. */
   readonly room?: number;
-  /** Availability zones of runners, in turn. */
+  /** Availability zones, assigned to runners in rotation. */
   readonly zones?: readonly string[];
-  /** Requests a second that a cold runner bears; 0 for no limit. */
+  /** Limit of requests per second to a cold runner; 0 for none. */
   readonly coldPerSecond?: number;
-  /** Puts a proxy that harms connections before runners and store. */
-  readonly proxied?: boolean;
+  /** Whether a fault-injecting proxy precedes each runner and the store. */
+  readonly hasProxies?: boolean;
 }
 
 const HOST = "site.example";
 const PIECE_MILLISECONDS = 1;
 const RESULT_BYTES = 1_000;
-/** A runner that crashed is back after this time, milliseconds. */
-const CRASHED_MILLISECONDS = 500;
+/** Time until a crashed runner restarts. */
+const RESTART_DELAY_MILLISECONDS = 500;
 const BYTES_PER_MEGABYTE = 1_000_000;
 
 /**
- * A whole platform on loopback: store, runners of a plain service, of a model
- * and of one stage service, and a configuration that routes to them.
+ * A complete platform on loopback: a store, runners of a plain service, of a
+ * model and of a stage service, and a configuration that routes to them.
  */
 export class WireSite {
   readonly host = HOST;
@@ -40,16 +40,16 @@
   readonly plain: readonly RunnerStandIn[];
   readonly models: readonly RunnerStandIn[];
   readonly stages: readonly StageRunnerStandIn[];
-  /** Empty unless the site is proxied. */
+  /** Empty unless `hasProxies` is set. */
   readonly proxies: LoopbackProxy[] = [];
   readonly #options: Required<WireSiteOptions>;
-  /** Starts of runners that crashed and aren't back yet. */
+  /** Pending restarts of crashed runners. */
   readonly #restarts = new Set<NodeJS.Timeout>();
   #storeAddress = "";
   #version = 1;
-  /** What the operator and the runners wrote, by table and key. */
+  /** Rows written by the operator and the runners, by table and key. */
   readonly #written = new Map<string, readonly [string, string, object]>();
-  /** Keys that are in force. */
+  /** API keys in the configuration. */
   keys: readonly string[] = ["key-1", "key-2"];
 
   constructor(options: WireSiteOptions = {}) {
@@ -62,7 +62,7 @@
       room: 40,
       zones: ["a"],
       coldPerSecond: 0,
-      proxied: false,
+      hasProxies: false,
       ...options,
     };
     const { plainRunners, modelRunners, stageRunners } = this.#options;
@@ -91,10 +91,10 @@
   }
 
   async start(): Promise<void> {
-    this.#storeAddress = await this.#reach(await this.store.start());
-    await this.#list("plain", this.plain);
-    await this.#list("model", this.models);
-    await this.#list("stage", this.stages);
+    this.#storeAddress = await this.#exposeAddress(await this.store.start());
+    await this.#registerRunners("plain", this.plain);
+    await this.#registerRunners("model", this.models);
+    await this.#registerRunners("stage", this.stages);
     this.publish();
   }
 
@@ -102,8 +102,8 @@
     for (const restart of this.#restarts) clearTimeout(restart);
     for (const proxy of this.proxies) proxy.stop();
     this.store.stop();
-    for (const one of [...this.plain, ...this.models, ...this.stages]) {
-      one.stop();
+    for (const runner of [...this.plain, ...this.models, ...this.stages]) {
+      runner.stop();
     }
   }
 
@@ -112,32 +112,32 @@
     this.#write("op", "config", this.#configuration(this.#version++));
   }
 
-  /** Asks that nothing more be sent to the runners of a zone. */
+  /** Requests that daemons send nothing more to the runners of a zone. */
   evacuate(zone: string): void {
     this.#write("op", `evacuate/${zone}`, {});
   }
 
-  takeBack(zone: string): void {
+  cancelEvacuation(zone: string): void {
     this.#remove("op", `evacuate/${zone}`);
   }
 
-  /** Lets a runner say that it is cold for so long. */
-  becomeCold(runnerId: string, coldLeftMs: number): void {
+  /** Marks a runner as cold for this time. */
+  setCold(runnerId: string, coldLeftMs: number): void {
     const [, , entry] = this.#written.get(`servers/${runnerId}`) ?? [];
     this.#write("servers", runnerId, { ...entry, coldLeftMs });
   }
 
-  /** Writes again what the store lost, as the operator and runners do. */
-  writeAgain(): void {
+  /** Rewrites rows that the store lost, as the operator and runners do. */
+  rewriteLostRows(): void {
     for (const [table, key, value] of this.#written.values()) {
-      if (!this.store.holds(table, key, value)) {
+      if (!this.store.hasRow(table, key, value)) {
         this.store.put(table, key, value);
       }
     }
   }
 
-  /** What runners of a service wrote last of themselves. */
-  entriesOf(
+  /** The latest rows of a service's runners. */
+  runnerRowsOf(
     service: string,
   ): readonly { readonly key: string; readonly value: object }[] {
     return [...this.#written.values()]
@@ -152,7 +152,7 @@
     this.store.put(table, key, value);
   }
 
-  /** Settings of a daemon; addresses are free ones of loopback. */
+  /** Creates the settings of a daemon, with free loopback ports. */
   async createSettings(
     nodeName: string,
     seeds: readonly string[] = [],
@@ -182,15 +182,15 @@
     };
   }
 
-  /** The address by which daemons reach what listens at `address`. */
-  async #reach(address: string): Promise<string> {
-    if (!this.#options.proxied) return address;
+  /** The address for daemons: a proxy of `address`, or `address` itself. */
+  async #exposeAddress(address: string): Promise<string> {
+    if (!this.#options.hasProxies) return address;
     const proxy = new LoopbackProxy(address);
     this.proxies.push(proxy);
     return await proxy.start();
   }
 
-  async #list(
+  async #registerRunners(
     service: string,
     runners: readonly { start(): Promise<string> }[],
   ): Promise<void> {
@@ -198,7 +198,7 @@
     for (const [index, runner] of runners.entries()) {
       const zone = zones[index % zones.length] ?? "a";
       const runnerAddress = await runner.start();
-      const address = await this.#reach(runnerAddress);
+      const address = await this.#exposeAddress(runnerAddress);
       const proxy = address === runnerAddress ? undefined : this.proxies.at(-1);
       const write = (id: string): void => {
         this.#write("servers", id, {
@@ -214,12 +214,12 @@
       };
       write(`${service}-${index}`);
       if (!(runner instanceof RunnerStandIn)) continue;
-      this.#watchCrashes(runner, { proxy, write });
+      this.#restartOnCrash(runner, { proxy, write });
     }
   }
 
-  /** Starts a runner that crashed again, under a new id. */
-  #watchCrashes(
+  /** Restarts a runner after each crash, under a new id. */
+  #restartOnCrash(
     runner: RunnerStandIn,
     { proxy, write }: {
       readonly proxy: LoopbackProxy | undefined;
@@ -232,10 +232,10 @@
       const restart = setTimeout(() => {
         this.#restarts.delete(restart);
         this.#remove("servers", runner.id);
-        runner.startAgain();
-        proxy?.acceptAgain();
+        runner.restart();
+        proxy?.resumeListening();
         write(runner.id);
-      }, CRASHED_MILLISECONDS);
+      }, RESTART_DELAY_MILLISECONDS);
       this.#restarts.add(restart);
     };
   }
