--- a/packages/kelpspar-standins/src/__tests__/unit/process_group_test.ts
+++ b/packages/kelpspar-standins/src/__tests__/unit/process_group_test.ts
@@ -39,7 +39,7 @@
   }
 });
 
-test("a program that ends before it listens is an error with its output", async () => {
+test("start fails with the output of a program that exits before it listens", async () => {
   const group = new ProcessGroup({ timer: new SystemTimer() });
   const starting = start(group, { kind: "neither" });
   await expect(starting).toBeRejectedWith(Error, /Invalid/);
--- a/packages/kelpspar-standins/src/process/process_group.ts
+++ b/packages/kelpspar-standins/src/process/process_group.ts
@@ -2,30 +2,30 @@
 import type { RunningProcess } from "./running_process.ts";
 import { StartedProcess } from "./started_process.ts";
 
-const DEFAULT_START_LIMIT_MILLISECONDS = 20_000;
-const DEFAULT_STOP_LIMIT_MILLISECONDS = 20_000;
+const DEFAULT_START_TIMEOUT_MILLISECONDS = 20_000;
+const DEFAULT_STOP_TIMEOUT_MILLISECONDS = 20_000;
 
 /** A program to start. */
 export interface ProgramStart {
   /** The path of the program's JavaScript file. */
   readonly program: string;
-  /** Given as JSON behind `settingsOption`; absent gives no such option. */
+  /** Passed as JSON after `settingsOption`; absent omits the option. */
   readonly settings?: unknown;
   /** Default `--settings-json`. */
   readonly settingsOption?: string;
-  /** Arguments before the settings, such as a subcommand. */
+  /** Arguments that precede the settings, such as a subcommand. */
   readonly arguments?: readonly string[];
   /** Arguments for Node.js itself. */
   readonly nodeArguments?: readonly string[];
-  /** Variables beside those of this process. */
+  /** Environment variables in addition to those of this process. */
   readonly environment?: Readonly<Record<string, string>>;
-  /** A name for messages; default the program's path. */
+  /** Name used in messages; default: the program's path. */
   readonly name?: string;
 }
 
 /**
- * Starts the processes of a demonstration, a test or an experiment and ends
- * all of them. The product itself starts no process.
+ * Starts and terminates the processes of a demonstration, a test or an
+ * experiment. The product itself starts no process.
  */
 export class ProcessGroup {
   readonly #timer: TimerService;
@@ -40,20 +40,21 @@
 
   /**
    * Starts a program and waits for its listening line. Throws, with the
-   * program's last output, when it ends or stays silent before that.
+   * program's last output, when it exits or times out before that.
    */
   async start(
     start: ProgramStart,
     options: { readonly limitMilliseconds?: number } = {},
   ): Promise<RunningProcess> {
-    // What goes wrong: the parent ends by an error and its children run on.
-    // It shows as stray processes and busy ports. The exit hook ends them.
+    // Without the exit hook, child processes keep running and occupy ports when
+    // the parent exits by an error.
     process.off("exit", this.#killAll);
     process.on("exit", this.#killAll);
     const started = new StartedProcess(start);
     this.#processes.add(started);
     void started.exited.then(() => this.#processes.delete(started));
-    const limit = options.limitMilliseconds ?? DEFAULT_START_LIMIT_MILLISECONDS;
+    const limit = options.limitMilliseconds ??
+      DEFAULT_START_TIMEOUT_MILLISECONDS;
     const stopTimer = this.#timer.registerTimeout(() => {
       started.signal("SIGKILL");
     }, limit);
@@ -66,13 +67,14 @@
   }
 
   /**
-   * Stops every process gracefully. Returns the names of those that had to be
-   * killed, because they did not end in time.
+   * Stops every process gracefully. Returns the names of those that were killed
+   * because they did not exit in time.
    */
   async stopAll(
     options: { readonly limitMilliseconds?: number } = {},
   ): Promise<readonly string[]> {
-    const limit = options.limitMilliseconds ?? DEFAULT_STOP_LIMIT_MILLISECONDS;
+    const limit = options.limitMilliseconds ??
+      DEFAULT_STOP_TIMEOUT_MILLISECONDS;
     const killed: string[] = [];
     const stopTimer = this.#timer.registerTimeout(() => {
       for (const started of this.#processes) {
--- a/packages/kelpspar-standins/src/process/running_process.ts
+++ b/packages/kelpspar-standins/src/process/running_process.ts
@@ -5,23 +5,23 @@
   readonly signal: string | null;
 }
 
-/** A process that listens. */
+/** A started process that listens for connections. */
 export interface RunningProcess {
   readonly name: string;
   readonly processId: number;
-  /** What its listening line said, such as ports. */
+  /** Content of its listening line, such as ports. */
   readonly listening: Readonly<Record<string, unknown>>;
-  /** Its last lines of output and of errors. */
+  /** The last lines of its standard output and standard error. */
   readonly lastLines: readonly string[];
   readonly exited: Promise<ProcessExit>;
-  /** Calls `listener` for each further line of output. */
+  /** Calls `listener` for each new line of output. Returns its teardown. */
   registerLine(listener: (line: string) => void): () => void;
-  /** Ends it gracefully (SIGTERM) and waits. */
+  /** Stops the process gracefully (SIGTERM) and waits for its exit. */
   stop(): Promise<ProcessExit>;
-  /** Ends it without warning (SIGKILL) and waits. */
+  /** Kills the process (SIGKILL) and waits for its exit. */
   kill(): Promise<ProcessExit>;
-  /** Pauses it (SIGSTOP). */
+  /** Pauses the process (SIGSTOP). */
   pause(): void;
-  /** Lets it go on (SIGCONT). */
+  /** Continues a paused process (SIGCONT). */
   continue(): void;
 }
--- a/packages/kelpspar-standins/src/process/started_process.ts
+++ b/packages/kelpspar-standins/src/process/started_process.ts
@@ -4,9 +4,9 @@
 import { spawn } from "node:child_process";
 import { createInterface } from "node:readline";
 
-const LINES_KEPT = 100;
+const MAXIMUM_KEPT_LINES = 100;
 
-/** A child process and what it printed. */
+/** A child process and its recent output. */
 export class StartedProcess implements RunningProcess {
   readonly name: string;
   readonly exited: Promise<ProcessExit>;
@@ -24,7 +24,7 @@
     this.exited = new Promise((resolve) => {
       this.#child.once("close", (code, signal) => resolve({ code, signal }));
       this.#child.once("error", (error) => {
-        this.#keep(error.message);
+        this.#recordLine(error.message);
         resolve({ code: null, signal: null });
       });
     });
@@ -35,11 +35,11 @@
     return this.#child.pid ?? -1;
   }
 
-  /** Throws when the process ends before it listens. */
+  /** Throws when the process exits before it listens. */
   waitUntilListening(): Promise<void> {
     return new Promise((resolve, reject) => {
       const stop = this.registerLine((line) => {
-        const listening = readListening(line);
+        const listening = parseListeningLine(line);
         if (listening === undefined) return;
         this.listening = listening;
         stop();
@@ -55,7 +55,7 @@
   }
 
   stop(): Promise<ProcessExit> {
-    // A paused process would not see the other signal.
+    // A paused process doesn't handle SIGTERM until it continues.
     this.signal("SIGCONT");
     this.signal("SIGTERM");
     return this.exited;
@@ -81,20 +81,23 @@
   #readLines(): void {
     for (const stream of [this.#child.stdout, this.#child.stderr]) {
       if (stream === null) continue;
-      createInterface({ input: stream }).on("line", (line) => this.#keep(line));
+      createInterface({ input: stream }).on(
+        "line",
+        (line) => this.#recordLine(line),
+      );
     }
   }
 
-  #keep(line: string): void {
+  #recordLine(line: string): void {
     this.lastLines.push(line);
-    if (this.lastLines.length > LINES_KEPT) this.lastLines.shift();
+    if (this.lastLines.length > MAXIMUM_KEPT_LINES) this.lastLines.shift();
     for (const listener of this.#listeners) listener(line);
   }
 
   #createStartError(): Error {
     const output = this.lastLines.join("\n");
     return new Error(
-      `Process "${this.name}" ended before it listened: ${output}`,
+      `Process "${this.name}" exited before it listened: ${output}`,
     );
   }
 }
@@ -111,7 +114,7 @@
   ];
 }
 
-function readListening(
+function parseListeningLine(
   line: string,
 ): Readonly<Record<string, unknown>> | undefined {
   if (!line.startsWith("{")) return undefined;
--- a/packages/kelpspar-standins/src/site/apply_first_configuration.ts
+++ b/packages/kelpspar-standins/src/site/apply_first_configuration.ts
@@ -3,20 +3,21 @@
 import { Client } from "undici";
 import { BOOTSTRAP_KEY } from "./site.ts";
 
-const POLL_MILLISECONDS = 50;
-const LIMIT_MILLISECONDS = 15_000;
+const POLL_INTERVAL_MILLISECONDS = 50;
+const TIMEOUT_MILLISECONDS = 15_000;
 
-/** A site's first configuration and who applies it. */
+/** A site's first configuration and the key used to poll its state. */
 export interface FirstConfiguration {
   readonly timer: TimerService;
-  /** A key of an administrator in the configuration itself. */
+  /** Key of an administrator that the configuration itself defines. */
   readonly administratorKey: string;
   readonly configuration: unknown;
 }
 
 /**
  * Applies a site's first configuration and waits until it is in force at every
- * daemon and each has heard of the others' endpoints. Returns the revision.
+ * daemon and each daemon has capacity reports of all endpoints. Returns the
+ * revision. Throws when the configuration is refused or not in force in time.
  */
 export async function applyFirstConfiguration(
   site: Site,
@@ -36,14 +37,16 @@
   }) as { readonly revision?: number };
   const { revision } = answer;
   if (revision === undefined) {
-    throw new Error(`Not accepted: ${JSON.stringify(answer)}`);
+    throw new Error(
+      `The daemon refused the first configuration: ${JSON.stringify(answer)}`,
+    );
   }
-  const limit = first.timer.now() + LIMIT_MILLISECONDS;
+  const limit = first.timer.now() + TIMEOUT_MILLISECONDS;
   for (const { port } of site.daemons) {
     while (!await isInForce(port, { first, revision, site })) {
-      if (first.timer.now() > limit) throw new Error("Not in force in time");
+      if (first.timer.now() > limit) throw new Error("Configuration timed out");
       await new Promise<void>((resolve) => {
-        first.timer.registerTimeout(resolve, POLL_MILLISECONDS);
+        first.timer.registerTimeout(resolve, POLL_INTERVAL_MILLISECONDS);
       });
     }
   }
@@ -52,24 +55,28 @@
 
 async function isInForce(
   port: number,
-  wanted: {
+  expected: {
     readonly first: FirstConfiguration;
     readonly revision: number;
     readonly site: Site;
   },
 ): Promise<boolean> {
-  const ask = (path: string): Promise<unknown> =>
-    exchange(port, { method: "GET", path, key: wanted.first.administratorKey });
-  const status = await ask("/v1/operator/status") as {
+  const get = (path: string): Promise<unknown> =>
+    exchange(port, {
+      method: "GET",
+      path,
+      key: expected.first.administratorKey,
+    });
+  const status = await get("/v1/operator/status") as {
     readonly revision?: number;
     readonly daemons?: readonly unknown[];
   };
-  if (status.revision !== wanted.revision) return false;
-  if (status.daemons?.length !== wanted.site.daemons.length) return false;
-  const { endpoints } = await ask("/v1/operator/endpoints") as {
+  if (status.revision !== expected.revision) return false;
+  if (status.daemons?.length !== expected.site.daemons.length) return false;
+  const { endpoints } = await get("/v1/operator/endpoints") as {
     readonly endpoints: readonly { readonly concurrency: number }[];
   };
-  return endpoints.length === wanted.site.endpoints.length &&
+  return endpoints.length === expected.site.endpoints.length &&
     endpoints.every((endpoint) => endpoint.concurrency > 0);
 }
 
--- a/packages/kelpspar-standins/src/site/programs.ts
+++ b/packages/kelpspar-standins/src/site/programs.ts
@@ -1,15 +1,21 @@
 import { fileURLToPath } from "node:url";
 
-/** The built programs that a site starts. */
+/** Paths of the built programs that a site starts. */
 export const PROGRAMS = {
-  platform: built("../../../kelpspar-standins/dist/programs/platform_main.js"),
-  endpoint: built("../../../kelpspar-standins/dist/programs/endpoint_main.js"),
-  daemon: built("../../../kelpspar-daemon/dist/main.js"),
-  /** Takes a daemon's place in experiments. */
-  naive: built("../../../kelpspar-standins/dist/programs/naive_main.js"),
+  platform: resolveBuiltProgram(
+    "../../../kelpspar-standins/dist/programs/platform_main.js",
+  ),
+  endpoint: resolveBuiltProgram(
+    "../../../kelpspar-standins/dist/programs/endpoint_main.js",
+  ),
+  daemon: resolveBuiltProgram("../../../kelpspar-daemon/dist/main.js"),
+  /** Replaces the daemon in experiments. */
+  naive: resolveBuiltProgram(
+    "../../../kelpspar-standins/dist/programs/naive_main.js",
+  ),
 } as const;
 
-/** Works from `src/site` and from `dist/site` alike. */
-function built(path: string): string {
+/** Resolves a path that is valid from both `src/site` and `dist/site`. */
+function resolveBuiltProgram(path: string): string {
   return fileURLToPath(new URL(path, import.meta.url));
 }
--- a/packages/kelpspar-standins/src/site/site.ts
+++ b/packages/kelpspar-standins/src/site/site.ts
@@ -12,15 +12,15 @@
 import { PROGRAMS } from "./programs.ts";
 
 const ADDRESS = "127.0.0.1";
-const STOP_LIMIT_MILLISECONDS = 20_000;
+const STOP_TIMEOUT_MILLISECONDS = 20_000;
 const PEER_SECRET = "sample-peer-secret-of-a-site";
-/** The key that applies a site's first configuration. */
+/** The operator key that applies a site's first configuration. */
 export const BOOTSTRAP_KEY = "sample-bootstrap-operator-key";
 
 /**
- * A whole site in separate processes on loopback: the platform's stand-in,
- * endpoints and daemons. Example and test tooling; the product starts no
- * process.
+ * A complete site in separate processes on loopback: the platform's stand-in,
+ * endpoints and daemons. For examples and tests only: the product itself starts
+ * no process.
  */
 export class Site {
   readonly #plan: SitePlan;
@@ -37,7 +37,7 @@
     this.#group = new ProcessGroup(options);
   }
 
-  /** Starts everything but does not apply the configuration. */
+  /** Starts all processes, but does not apply the configuration. */
   async start(): Promise<void> {
     const platform = await this.#group.start({
       program: PROGRAMS.platform,
@@ -73,7 +73,7 @@
     const endpoint: SiteEndpoint = {
       id,
       service: pool.service,
-      availabilityZone: this.#zone(index),
+      availabilityZone: this.#zoneOf(index),
       port: Number(process.listening["port"]),
       incarnation: String(process.listening["incarnation"]),
       checksFencing: pool.checksFencing ?? true,
@@ -97,7 +97,7 @@
     const listening = process.listening;
     const daemon: SiteDaemon = {
       id,
-      availabilityZone: this.#zone(index),
+      availabilityZone: this.#zoneOf(index),
       port: Number(listening["port"]),
       incarnation: String(listening["incarnation"]),
       process,
@@ -106,7 +106,7 @@
     return daemon;
   }
 
-  /** Tells the VM list of all endpoints and daemons that are not left out. */
+  /** Publishes all endpoints and daemons to the VM list, except `gone` ones. */
   async publishVms(
     options: {
       readonly leaving?: ReadonlySet<string>;
@@ -115,13 +115,13 @@
   ): Promise<void> {
     const vms: ListedVm[] = [
       ...this.endpoints.map((endpoint) => ({
-        ...this.#listed(endpoint),
+        ...this.#toVmFields(endpoint),
         kind: "endpoint" as const,
         service: endpoint.service,
         checksFencing: endpoint.checksFencing,
       })),
       ...this.daemons.map((daemon) => ({
-        ...this.#listed(daemon),
+        ...this.#toVmFields(daemon),
         kind: "daemon" as const,
         service: "",
         checksFencing: false,
@@ -137,7 +137,7 @@
     });
   }
 
-  /** Exchanges JSON with a part of the platform. */
+  /** Sends a JSON request to a service of the platform. */
   async control(
     part: "table" | "objects" | "weights" | "vms",
     exchange: {
@@ -149,7 +149,7 @@
     return await this.#exchange(Number(this.#ports[part]), exchange);
   }
 
-  /** Exchanges JSON with an endpoint's control interface. */
+  /** Sends a JSON request to an endpoint's control interface. */
   async controlEndpoint(
     endpoint: SiteEndpoint,
     exchange: {
@@ -162,8 +162,8 @@
   }
 
   /**
-   * Stops everything gracefully, daemons first, since they finish their work
-   * at the endpoints and the platform. Returns what had to be killed.
+   * Stops all processes gracefully, daemons first, because they still need the
+   * endpoints and the platform. Returns the names of processes that were killed.
    */
   async stop(): Promise<readonly string[]> {
     const daemons = this.daemons.map((daemon) => daemon.process.stop());
@@ -171,7 +171,7 @@
     const limit = new Promise<void>((resolve) => {
       stopTimer = this.#timer.registerTimeout(
         resolve,
-        STOP_LIMIT_MILLISECONDS,
+        STOP_TIMEOUT_MILLISECONDS,
       );
     });
     await Promise.race([Promise.all(daemons), limit]);
@@ -186,7 +186,7 @@
       daemonId: id,
       address: ADDRESS,
       port: 0,
-      availabilityZone: this.#zone(index),
+      availabilityZone: this.#zoneOf(index),
       platform: {
         tableOrigin: origin("table"),
         objectOrigin: origin("objects"),
@@ -201,12 +201,12 @@
     };
   }
 
-  #zone(index: number): string {
+  #zoneOf(index: number): string {
     const zones = this.#plan.availabilityZones;
     return zones[index % zones.length] ?? "a";
   }
 
-  #listed(
+  #toVmFields(
     part: SiteEndpoint | SiteDaemon,
   ): Pick<
     ListedVm,
--- a/packages/kelpspar-standins/src/site/site_plan.ts
+++ b/packages/kelpspar-standins/src/site/site_plan.ts
@@ -1,29 +1,29 @@
 import type { EndpointSettings } from "../endpoint/endpoint_settings.ts";
 import type { PlatformSettings } from "../platform/platform_settings.ts";
 
-/** A pool of endpoints of a site. */
+/** A pool of identical endpoints. */
 export interface PoolPlan {
   readonly service: string;
   readonly count: number;
-  /** True for endpoints that refuse orders with an old fencing number. */
+  /** Whether endpoints refuse orders with a stale fencing number. */
   readonly checksFencing?: boolean;
   readonly settings: Omit<EndpointSettings, "service">;
 }
 
-/** What a site consists of, for a demonstration or an experiment. */
+/** The composition of a site, for a demonstration or an experiment. */
 export interface SitePlan {
   readonly daemons: number;
   readonly availabilityZones: readonly string[];
   readonly pools: readonly PoolPlan[];
-  /** The whole configuration, as an operator would apply it. */
+  /** The complete configuration, as an operator would apply it. */
   readonly configuration: unknown;
   readonly platform?: PlatformSettings;
-  /** The program of each daemon; default the built daemon. */
+  /** Path of the daemons' program; default: the built daemon. */
   readonly daemonProgram?: string;
-  /** Laid over each daemon's settings. */
+  /** Override each daemon's settings. */
   readonly daemonSettings?: Readonly<Record<string, unknown>>;
-  /** Arguments for Node.js itself when it runs a daemon, for profiles. */
+  /** Node.js arguments of daemons, such as for profiling. */
   readonly daemonNodeArguments?: readonly string[];
-  /** Seeds the endpoints' chance. */
+  /** Seed of the endpoints' random generators. */
   readonly seed: number;
 }
