--- a/packages/kelpspar-standins/src/__tests__/unit/collecting_writer.ts
+++ b/packages/kelpspar-standins/src/__tests__/unit/collecting_writer.ts
@@ -1,7 +1,7 @@
 import type { StageRecord } from "kelpspar-shared";
 import type { RecordWriter } from "../../endpoint/record_writer.ts";
 
-/** Keeps the records of one call for a test. */
+/** Collects the records of one call. */
 export class CollectingWriter implements RecordWriter {
   readonly records: StageRecord[] = [];
   ended = false;
@@ -23,15 +23,15 @@
     return this.records.at(-1);
   }
 
-  /** True when no chunk begins before `offset`. */
-  isWithin(offset: number): boolean {
+  /** Whether all chunks start at `offset` or after it. */
+  startsAtOrAfter(offset: number): boolean {
     return this.records.every((record) =>
       record.type !== "chunk" || record.offset >= offset
     );
   }
 
-  /** Lays the chunks of one attempt over `text` by their offsets. */
-  layOver(text: string, attemptId: string): string {
+  /** Merges the chunks of one attempt into `text` by their offsets. */
+  mergeChunks(text: string, attemptId: string): string {
     let whole = text;
     const chunks = this.records.filter((record) => record.type === "chunk")
       .filter((record) => record.attemptId === attemptId)
--- a/packages/kelpspar-standins/src/__tests__/unit/endpoint_http_test.ts
+++ b/packages/kelpspar-standins/src/__tests__/unit/endpoint_http_test.ts
@@ -11,9 +11,9 @@
 
 const INPUT = "book lime token=abc tokens=5";
 const STEP_MILLISECONDS = 10;
-const MOST_TURNS = 10_000;
+const MAXIMUM_TURNS = 10_000;
 
-interface Bench {
+interface TestEndpoint {
   readonly timer: ManualTimer;
   readonly endpoint: RunningEndpoint;
   readonly client: HttpEndpointClient;
@@ -21,15 +21,15 @@
   call(changes?: Partial<StageCall>): AsyncIterator<StageRecord>;
 }
 
-async function withBench(
+async function withTestEndpoint(
   settings: EndpointSettings,
-  run: (bench: Bench) => Promise<void>,
+  run: (context: TestEndpoint) => Promise<void>,
 ): Promise<void> {
   const timer = new ManualTimer();
   const endpoint = await startEndpoint(settings, { timer });
   const client = new HttpEndpointClient({ timer: new SystemTimer() });
   const address = createAddress(endpoint);
-  const call: Bench["call"] = (changes = {}) =>
+  const call: TestEndpoint["call"] = (changes = {}) =>
     client.call(address, createCall(changes), {
       signal: new AbortController().signal,
       newConnection: true,
@@ -42,11 +42,9 @@
   }
 }
 
-test("an open connection goes silent for good while new ones work", async () => {
-  // Symptom: a stream stops without an error and never goes on.
-  // Sequence: a stream begins, something between the two ends loses track of
-  // its connection, the engine goes on writing into it.
-  // Cause: a connection without an error is taken for a working one.
+test("silenced connections stay silent while new ones work", async () => {
+  // A stream can stop without an error when a device between both ends loses the
+  // connection's state: a connection without an error isn't necessarily working.
   const settings: EndpointSettings = {
     kind: "engine",
     service: "generate",
@@ -57,7 +55,7 @@
       prefillPerTokenMilliseconds: 0,
     },
   };
-  await withBench(
+  await withTestEndpoint(
     settings,
     async ({ timer, endpoint, client, address, call }) => {
       const silent = call({ attemptId: "a1" });
@@ -65,11 +63,11 @@
       await untilAccepted(timer, endpoint);
       const first = (await firstRecord).value as { readonly text: string };
       endpoint.silence();
-      let heard = false;
-      const markHeard = (): void => {
-        heard = true;
+      let received = false;
+      const markReceived = (): void => {
+        received = true;
       };
-      void silent.next().then(markHeard, markHeard);
+      void silent.next().then(markReceived, markReceived);
       await timer.advance(STEP_MILLISECONDS);
       expect((await client.load(address)).incarnation)
         .toEqual(endpoint.incarnation);
@@ -80,7 +78,7 @@
         resumeOffset: first.text.length,
       }));
       expect(first.text + text).toEqual(engineAnswer("m", INPUT, 5));
-      expect(heard).toEqual(false);
+      expect(received).toEqual(false);
       expect(endpoint.executions()).toLooseEqual({
         ...endpoint.executions(),
         byToken: { abc: 1 },
@@ -92,16 +90,15 @@
 });
 
 test("a plain service runs what it was sent, also when its answer is lost", async () => {
-  // Symptom: one booking is made twice.
-  // Sequence: the service runs a call, its connection drops before the answer,
-  // the caller sends the call again.
-  // Cause: a dropped connection is taken as proof that nothing ran.
+  // Guards against duplicate bookings: a call runs, its connection drops before
+  // the response, and the caller retries because it takes a dropped connection as
+  // proof that nothing ran.
   const settings: EndpointSettings = {
     kind: "plain",
     service: "book",
     faults: { loseAnswerShare: 1 },
   };
-  await withBench(settings, async ({ timer, endpoint, call }) => {
+  await withTestEndpoint(settings, async ({ timer, endpoint, call }) => {
     const lost = readText(call()).catch(() => "lost");
     await untilAccepted(timer, endpoint);
     await timer.advance(100);
@@ -120,14 +117,14 @@
   });
 });
 
-/** Waits for the network, not for time, until so many calls have started. */
+/** Waits for the network, not for time, until `count` calls have started. */
 async function untilAccepted(
   timer: ManualTimer,
   endpoint: RunningEndpoint,
   count = 1,
 ): Promise<void> {
   for (let turn = 0; endpoint.executions().executions < count; turn++) {
-    if (turn === MOST_TURNS) throw new Error("The call never started");
+    if (turn === MAXIMUM_TURNS) throw new Error("The call never started");
     await timer.settle();
   }
   await timer.advance(STEP_MILLISECONDS);
--- a/packages/kelpspar-standins/src/__tests__/unit/engine_test.ts
+++ b/packages/kelpspar-standins/src/__tests__/unit/engine_test.ts
@@ -13,7 +13,7 @@
 } from "../../endpoint/engine/engine_answer.ts";
 import { Engine } from "../../endpoint/engine/engine.ts";
 import { ExecutionLog } from "../../endpoint/execution_log.ts";
-import { FaultScript } from "../../endpoint/fault_injector.ts";
+import { FaultInjector } from "../../endpoint/fault_injector.ts";
 import { FaultyWriter } from "../../endpoint/faulty_writer.ts";
 import { CollectingWriter } from "./collecting_writer.ts";
 
@@ -31,24 +31,27 @@
   tokensIn: expect.a(Number),
 };
 
-interface Bench {
+interface TestEngine {
   readonly timer: ManualTimer;
   readonly engine: Engine;
-  readonly script: FaultScript;
+  readonly injector: FaultInjector;
   readonly log: ExecutionLog;
 }
 
-function createBench(
+function createTestEngine(
   settings: Partial<EngineSettings> = {},
   options: {
     readonly faults?: Partial<EndpointFaults>;
     readonly timer?: ManualTimer;
     readonly seed?: number;
   } = {},
-): Bench {
+): TestEngine {
   const timer = options.timer ?? new ManualTimer();
   const faults = endpointFaultsSchema.parse(options.faults ?? {});
-  const script = new FaultScript(faults, new SeededRandom(options.seed ?? 1));
+  const injector = new FaultInjector(
+    faults,
+    new SeededRandom(options.seed ?? 1),
+  );
   const log = new ExecutionLog();
   const engine = new Engine({
     settings: engineSettingsSchema.parse({
@@ -60,10 +63,10 @@
     }),
     incarnation: "first",
     timer,
-    script,
+    injector,
     log,
   });
-  return { timer, engine, script, log };
+  return { timer, engine, injector, log };
 }
 
 function createCall(
@@ -83,12 +86,11 @@
   };
 }
 
-test("a stream taken up at any offset, there or elsewhere, is the same text", async () => {
-  // Symptom: a caller's text has a hole, a repeat or another request's words.
-  // Sequence: a stream breaks after some tokens, and goes on at the same
-  // engine by its attempt or at another one by its partial text, while
-  // records come twice, late, swapped or mixed with foreign ones.
-  // Cause: offsets and attempt ids were not kept through the break.
+test("a stream resumed at any offset, on any engine, yields the same text", async () => {
+  // Guards against gaps, repeats or text of another request after a stream broke
+  // and resumed, on the same engine by its attempt or on another by its partial
+  // text, while records are duplicated, late, swapped or foreign. This happens
+  // when offsets and attempt ids are not preserved.
   const share = fc.constantFrom(0, 0.4);
   const faults = fc.record({
     duplicateShare: share,
@@ -107,29 +109,32 @@
         elsewhere: fc.boolean(),
       }),
       async ({ faults, seed, breakAfter, gap, lost, elsewhere }) => {
-        const { timer, engine, script } = createBench({}, { faults, seed });
+        const { timer, engine, injector } = createTestEngine({}, {
+          faults,
+          seed,
+        });
         const first = new CollectingWriter();
         const firstCall = createCall("a1");
         const onBreak = engine.call(firstCall, first);
         await timer.advance(breakAfter * STEP_MILLISECONDS);
         onBreak();
-        const received = first.layOver("", "a1");
+        const received = first.mergeChunks("", "a1");
         expect(WHOLE.startsWith(received)).toEqual(true);
         const partialText = received.slice(0, received.length - lost);
         await timer.advance(gap);
         const second = new CollectingWriter();
         const resumeOffset = partialText.length;
         const next = elsewhere
-          ? createBench({}, { timer, seed }).engine
+          ? createTestEngine({}, { timer, seed }).engine
           : engine;
         const how = elsewhere ? { partialText } : { resumeAttemptId: "a1" };
         next.call(
           createCall("a2", { resumeOffset, ...how }),
-          new FaultyWriter(second, script),
+          new FaultyWriter(second, injector),
         );
         await timer.advance(200);
-        expect(second.layOver(partialText, "a2")).toEqual(WHOLE);
-        expect(second.isWithin(resumeOffset)).toEqual(true);
+        expect(second.mergeChunks(partialText, "a2")).toEqual(WHOLE);
+        expect(second.startsAtOrAfter(resumeOffset)).toEqual(true);
         const tokensOut = elsewhere ? tokensAfter(resumeOffset) : 12;
         expect<unknown>(second.last).toEqual({ ...END, tokensOut });
         expect(second.ended).toEqual(true);
@@ -139,8 +144,8 @@
   );
 });
 
-test("an attempt lives for its grace time and only for its own request", async () => {
-  const { timer, engine, log } = createBench({ graceMilliseconds: 50 });
+test("an attempt is kept for its grace period and only for its own request", async () => {
+  const { timer, engine, log } = createTestEngine({ graceMilliseconds: 50 });
   const onBreak = engine.call(createCall("a1"), new CollectingWriter());
   await timer.advance(20);
   onBreak();
@@ -157,8 +162,11 @@
   });
 });
 
-test("urgent calls go first, and what does not fit is refused", async () => {
-  const { timer, engine } = createBench({ maximumBatch: 1, maximumWaiting: 2 });
+test("urgent calls run first, and calls beyond the queue limit are refused", async () => {
+  const { timer, engine } = createTestEngine({
+    maximumBatch: 1,
+    maximumWaiting: 2,
+  });
   const order: string[] = [];
   const [running, low, urgent, refused] = ["a0", "a1", "a2", "a3"].map(
     (attemptId, index) => {
@@ -177,12 +185,14 @@
   await timer.advance(1_000);
   expect(order).toEqual(["a3", "a0", "a2", "a1"]);
   for (const writer of [running, low, urgent]) {
-    expect(writer?.layOver("", writer.last?.attemptId ?? "")).toEqual(WHOLE);
+    expect(writer?.mergeChunks("", writer.last?.attemptId ?? "")).toEqual(
+      WHOLE,
+    );
   }
 });
 
-test("a prefix that is cached is not read again, and its events come late", async () => {
-  const { timer, engine } = createBench({
+test("a cached prefix needs no prefill, and its events are delayed", async () => {
+  const { timer, engine } = createTestEngine({
     prefillPerTokenMilliseconds: 10,
     prefixShare: 1,
     cacheTokens: 10,
@@ -208,13 +218,12 @@
   expect(lastSequence).toEqual(5);
 });
 
-test("orders with an old fencing number are refused where they are checked", async () => {
-  // Symptom: an engine unloads a model that the present holder wants.
-  // Sequence: a holder pauses, its lease lapses, another takes over and gives
-  // orders, the first one wakes and gives its own.
-  // Cause: the engine does not check fencing numbers.
+test("orders with a stale fencing number are refused if fencing is checked", async () => {
+  // An engine that doesn't check fencing numbers unloads a model of the current
+  // lease holder: the previous holder pauses, its lease expires, the new holder
+  // sends orders, then the previous one resumes and sends its own.
   for (const checksFencing of [true, false]) {
-    const { timer, engine } = createBench({ checksFencing });
+    const { timer, engine } = createTestEngine({ checksFencing });
     expect(engine.order(createOrder(7, { m: "2" }))).toEqual(true);
     expect(engine.order(createOrder(6, { old: "1" }))).toEqual(!checksFencing);
     await timer.advance(499);
@@ -229,8 +238,8 @@
   }
 });
 
-test("an engine that leaves finishes what it has", async () => {
-  const { timer, engine } = createBench({ graceMilliseconds: 30 });
+test("a leaving engine finishes its calls", async () => {
+  const { timer, engine } = createTestEngine({ graceMilliseconds: 30 });
   const running = new CollectingWriter();
   engine.call(createCall("a1"), running);
   const repeated = createCall("a1", { input: "tokens=1" });
@@ -242,19 +251,19 @@
   expect(refusalOf(late)).toEqual("leaving");
   await timer.advance(149);
   expect(left).toEqual(false);
-  expect(running.layOver("", "a1")).toEqual(WHOLE);
+  expect(running.mergeChunks("", "a1")).toEqual(WHOLE);
   await timer.advance(1);
   expect(left).toEqual(true);
 });
 
-/** How many tokens of the answer end after an offset. */
+/** Counts the tokens of the answer that end after an offset. */
 function tokensAfter(offset: number): number {
   let end = 0;
   return engineTokens("m", INPUT, 12)
     .filter((token) => (end += token.length) > offset).length;
 }
 
-/** Why a call was refused; "started" when the engine does not vouch. */
+/** The reason of a refusal; "started" if the call may have run. */
 function refusalOf(writer: CollectingWriter | undefined): string {
   const last = writer?.last;
   if (last?.type !== "failure") return "none";
--- a/packages/kelpspar-standins/src/__tests__/unit/platform_http_test.ts
+++ b/packages/kelpspar-standins/src/__tests__/unit/platform_http_test.ts
@@ -30,7 +30,7 @@
   expectedVersion: fc.integer({ min: 0, max: 2 }),
 });
 
-test("the table over HTTP does what the table in memory does", async () => {
+test("the table over HTTP behaves like the table in memory", async () => {
   const timer = new ManualTimer();
   await fc.assert(
     fc.asyncProperty(
@@ -64,7 +64,7 @@
   );
 });
 
-test("the VM list lags and never goes back, loads are rationed", async () => {
+test("the VM list lags but never goes back, and loads are rate limited", async () => {
   const timer = new ManualTimer();
   const client = { timer: new SystemTimer() };
   const platform = await startPlatform({
--- a/packages/kelpspar-standins/src/__tests__/unit/table_model_test.ts
+++ b/packages/kelpspar-standins/src/__tests__/unit/table_model_test.ts
@@ -5,10 +5,10 @@
 import { KelpsparError, ManualTimer } from "kelpspar-shared";
 import { InMemoryTable } from "../../table/in_memory_table.ts";
 
-const MOST_ROWS = 100;
+const MAXIMUM_ROWS = 100;
 
-/** The table written as plainly as can be: a list that is copied whole. */
-class NaiveTable {
+/** A reference model of the table: a plain list of rows. */
+class ReferenceTable {
   rows: TableRow[] = [];
 
   find(table: string, key: string): TableRow | null {
@@ -64,36 +64,34 @@
   scan,
 );
 
-test("the table does what a naive one does", async () => {
+test("the in-memory table behaves like the reference model", async () => {
   await fc.assert(
     fc.asyncProperty(fc.array(step, { maxLength: 40 }), async (steps) => {
       const real = new InMemoryTable({ timer: new ManualTimer() });
-      const naive = new NaiveTable();
+      const reference = new ReferenceTable();
       for (const each of steps) {
         if ("writes" in each) {
           const result: unknown = await real.commit(each);
-          expect(result).toEqual(naive.commit(each.writes));
+          expect(result).toEqual(reference.commit(each.writes));
         } else {
-          expect(await real.scan(each)).toEqual(naive.scan(each));
+          expect(await real.scan(each)).toEqual(reference.scan(each));
         }
-        const keys = naive.rows.concat({
+        const keys = reference.rows.concat({
           table: "claims",
           key: "absent",
           value: 0,
           version: 0,
         });
-        expect(await real.read(keys)).toEqual([...naive.rows, null]);
+        expect(await real.read(keys)).toEqual([...reference.rows, null]);
       }
     }),
     { seed: 1, numRuns: 300 },
   );
 });
 
-test("a write whose answer is lost has taken effect, or takes it later", async () => {
-  // Symptom: a claim is thought unwritten and is there all the same.
-  // Sequence: a transaction is sent, it takes effect now or later, its answer
-  // never comes.
-  // Cause: the connection or the service failed between effect and answer.
+test("a write whose response is lost is committed, at once or late", async () => {
+  // Guards against treating a claim as unwritten although it was committed: the
+  // connection or the service can fail between the commit and the response.
   const timer = new ManualTimer();
   const real = new InMemoryTable({
     timer,
@@ -107,7 +105,7 @@
   expect(await keysOf(real)).toEqual(["kept", "later", "lost"]);
 });
 
-test("refusals write nothing, and the rate comes back with time", async () => {
+test("refused transactions write nothing, and the rate limit refills", async () => {
   const timer = new ManualTimer();
   const real = new InMemoryTable({
     timer,
@@ -120,7 +118,7 @@
   expect(await failureOf(commit(real, "third"))).toEqual("table_unavailable");
   await timer.advance(500);
   await commit(real, "fourth");
-  const writes = Array.from({ length: MOST_ROWS + 1 }, (_, index) => ({
+  const writes = Array.from({ length: MAXIMUM_ROWS + 1 }, (_, index) => ({
     table: "claims",
     key: `${index}`,
     value: 1,
@@ -130,11 +128,9 @@
   expect(await keysOf(real)).toEqual(["first", "fourth", "second"]);
 });
 
-test("a hanging or slow table answers nothing in time", async () => {
-  // Symptom: the writer gives up, and its row appears after that.
-  // Sequence: a transaction is sent, the service is slower than the writer
-  // waits, the transaction takes effect.
-  // Cause: giving up on an answer does not take the write back.
+test("a write that times out can still be committed later", async () => {
+  // A timeout doesn't revoke a write: when the service is slower than the
+  // writer's timeout, the row appears after the writer gave up.
   const timer = new ManualTimer();
   const real = new InMemoryTable({
     timer,
--- a/packages/kelpspar-standins/src/endpoint/call_faults.ts
+++ b/packages/kelpspar-standins/src/endpoint/call_faults.ts
@@ -1,11 +1,11 @@
-/** What the faults hold for one call. */
-export interface CallFate {
-  /** Fails it before it starts, or while it runs. */
+/** The faults drawn for one call. */
+export interface CallFaults {
+  /** Whether the call fails, before it starts or while it runs. */
   readonly fails: "never" | "before" | "running";
-  /** Runs it whole and drops the connection in place of the last record. */
+  /** Whether the call completes, but its connection drops before the end. */
   readonly losesAnswer: boolean;
-  /** Drops the connection on the way. */
+  /** Whether the connection drops while records are sent. */
   readonly cuts: boolean;
-  /** How far it comes before it fails or is cut, 0 to 1. */
+  /** Progress at which the call fails or its connection drops, 0 to 1. */
   readonly progress: number;
 }
--- a/packages/kelpspar-standins/src/endpoint/endpoint_core.ts
+++ b/packages/kelpspar-standins/src/endpoint/endpoint_core.ts
@@ -2,19 +2,19 @@
 import type { JsonRoute } from "../http/json_route.ts";
 import type { RecordWriter } from "./record_writer.ts";
 
-/** What runs behind an endpoint's HTTP front. */
+/** The service behind an endpoint's HTTP routes. */
 export interface EndpointCore {
   /**
-   * Takes a call, or refuses it by a record. Returns what to do when the
-   * connection breaks.
+   * Accepts a call, or refuses it with a failure record. Returns the handler
+   * to call when the connection breaks.
    */
   call(call: StageCall, writer: RecordWriter): () => void;
   cancel(attemptId: string): void;
   load(): LoadReport;
-  /** Refuses new calls; resolves when those it has are done. */
+  /** Refuses new calls; resolves when all accepted calls are done. */
   leave(): Promise<void>;
-  /** Stops every timer. */
+  /** Stops all timers. */
   close(): void;
-  /** Routes that only this kind of endpoint has. */
+  /** Routes specific to this kind of endpoint. */
   readonly routes: readonly JsonRoute[];
 }
--- a/packages/kelpspar-standins/src/endpoint/endpoint_routes.ts
+++ b/packages/kelpspar-standins/src/endpoint/endpoint_routes.ts
@@ -9,30 +9,33 @@
 import type { EndpointCore } from "./endpoint_core.ts";
 import type { EndpointFaults } from "./endpoint_faults.ts";
 import type { ExecutionLog } from "./execution_log.ts";
-import type { FaultScript } from "./fault_injector.ts";
+import type { FaultInjector } from "./fault_injector.ts";
 import { answer, NO_REPLY } from "../http/json_reply.ts";
 import { createSilenceRoute } from "../http/silence_route.ts";
 import { FaultyWriter } from "./faulty_writer.ts";
 import { ResponseWriter } from "./response_writer.ts";
 
-/** What the routes of an endpoint need. */
+/** Dependencies of an endpoint's routes. */
 export interface EndpointRoutesOptions {
   readonly core: EndpointCore;
-  readonly script: FaultScript;
+  readonly injector: FaultInjector;
   readonly log: ExecutionLog;
   readonly server: () => JsonServer;
   readonly die: () => void;
   readonly leave: () => void;
 }
 
-/** The endpoint protocol (docs/PLATFORM.md) and the control of its faults. */
+/** The endpoint protocol (docs/PLATFORM.md) and routes that set faults. */
 export function createEndpointRoutes(
   options: EndpointRoutesOptions,
 ): readonly JsonRoute[] {
   const protocol = [
     ...createCallRoutes(options),
     ...options.core.routes,
-  ].map((route) => ({ ...route, handler: orHang(route.handler, options) }));
+  ].map((route) => ({
+    ...route,
+    handler: withHangFault(route.handler, options),
+  }));
   return [...protocol, ...createControlRoutes(options)];
 }
 
@@ -47,7 +50,7 @@
       path: "/v1/calls",
       handler: (request) => {
         calls += 1;
-        return takeCall(request, { ...options, number: calls });
+        return handleCall(request, { ...options, number: calls });
       },
     },
     {
@@ -66,42 +69,42 @@
   ];
 }
 
-function takeCall(
+function handleCall(
   request: JsonRequest,
   options: EndpointRoutesOptions & { readonly number: number },
 ): JsonReply {
-  const { core, script, number } = options;
+  const { core, injector, number } = options;
   const writer = new ResponseWriter(request.response, options.server());
-  writer.begin();
-  const onBreak = core.call(
+  writer.sendHeaders();
+  const onDisconnect = core.call(
     request.body as StageCall,
-    new FaultyWriter(writer, script),
+    new FaultyWriter(writer, injector),
   );
-  writer.registerBreak(onBreak);
-  if (number === script.faults.silenceAtCall) options.server().silence();
-  if (number === script.faults.dieAtCall) options.die();
+  writer.registerDisconnect(onDisconnect);
+  if (number === injector.faults.silenceAtCall) options.server().silence();
+  if (number === injector.faults.dieAtCall) options.die();
   return NO_REPLY;
 }
 
-/** Control stays reachable while the protocol hangs. */
-function orHang(
+/** Applies the `hang` fault; control routes stay available under it. */
+function withHangFault(
   handler: JsonHandler,
-  { script }: EndpointRoutesOptions,
+  { injector }: EndpointRoutesOptions,
 ): JsonHandler {
-  return (request) => script.faults.hang ? NO_REPLY : handler(request);
+  return (request) => injector.faults.hang ? NO_REPLY : handler(request);
 }
 
 function createControlRoutes(
   options: EndpointRoutesOptions,
 ): readonly JsonRoute[] {
-  const { script, log } = options;
+  const { injector, log } = options;
   return [
     {
       method: "POST",
       path: "/control/faults",
       handler: ({ body }) => {
-        script.setFaults(body as Partial<EndpointFaults>);
-        return answer(script.faults);
+        injector.setFaults(body as Partial<EndpointFaults>);
+        return answer(injector.faults);
       },
     },
     {
--- a/packages/kelpspar-standins/src/endpoint/endpoint_settings.ts
+++ b/packages/kelpspar-standins/src/endpoint/endpoint_settings.ts
@@ -1,83 +1,83 @@
 import { z } from "zod";
 import { endpointFaultsSchema } from "./endpoint_faults.ts";
 
-/** How a model engine behaves. */
+/** Schema of a model engine's settings. */
 export const engineSettingsSchema = z.strictObject({
-  /** Models loaded from the beginning, with their version. */
+  /** Versions of the models loaded at the start, by model. */
   models: z.record(z.string(), z.string()).default({}),
   adapters: z.array(z.string()).default([]),
   role: z.enum(["any", "prefill", "decode"]).default("any"),
-  /** Calls that advance together. */
+  /** Maximum number of calls in a batch. */
   maximumBatch: z.number().int().min(1).default(8),
-  /** Calls that may wait beyond those. */
+  /** Maximum number of calls that wait in addition. */
   maximumWaiting: z.number().int().min(0).default(32),
-  /** Time of a step, and what each call of the batch adds, milliseconds. */
+  /** Fixed time of a step, and additional time per call, milliseconds. */
   stepMilliseconds: z.number().min(0).default(8),
   stepPerCallMilliseconds: z.number().min(0).default(1),
   prefillPerTokenMilliseconds: z.number().min(0).default(0.2),
-  /** Output tokens of an input that names no `tokens=N`. */
+  /** Output tokens for an input without a `tokens=N` tag. */
   defaultTokens: z.number().int().min(1).default(16),
   /** Size of the prefix cache, tokens. */
   cacheTokens: z.number().int().min(0).default(20_000),
-  /** Share of an input that is its shared prefix. */
+  /** Share of an input that belongs to its prefix. */
   prefixShare: z.number().min(0).max(1).default(0.8),
   loadModelMilliseconds: z.number().min(0).default(500),
-  /** Refuses orders with an old fencing number. */
+  /** Whether orders with a stale fencing number are refused. */
   checksFencing: z.boolean().default(true),
-  /** Cuts the calls of a model that an order unloads. */
+  /** Whether running calls fail when an order unloads their model. */
   unloadCutsRunning: z.boolean().default(false),
-  /** How long an attempt lives without a connection, milliseconds. */
+  /** Time that an attempt is kept without a connection, milliseconds. */
   graceMilliseconds: z.number().min(0).default(2_000),
-  /** How often a load report is taken, and how late it shows. */
+  /** Interval of load reports, and the delay of their publication. */
   reportEveryMilliseconds: z.number().min(1).default(100),
   reportLagMilliseconds: z.number().min(0).default(100),
-  /** How late cache events come, and the share that never does. */
+  /** Delay of cache events, and the share that is lost. */
   eventDelayMilliseconds: z.number().min(0).default(100),
   eventGapShare: z.number().min(0).max(1).default(0),
 });
 
-/** How a plain service behaves. */
+/** Schema of a plain service's settings. */
 export const plainSettingsSchema = z.strictObject({
-  /** Begins its answers; default the name of the service. */
+  /** Prefix of all answers; default: the name of the service. */
   marker: z.string().optional(),
-  /** Calls it runs at a time. */
+  /** Maximum number of calls that run at a time. */
   concurrency: z.number().int().min(1).default(4),
-  /** Calls that may wait beyond those. */
+  /** Maximum number of calls that wait in addition. */
   maximumWaiting: z.number().int().min(0).default(64),
   /** Mean time of a call, milliseconds. */
   serviceMilliseconds: z.number().min(0).default(20),
-  /** Times lie this share around the mean, 0 to 1. */
+  /** Maximum relative deviation from the mean time, 0 to 1. */
   spread: z.number().min(0).max(1).default(0.2),
-  /** Words added to each answer, so that it grows as a retrieval's does. */
+  /** Words appended to each answer, to simulate a long retrieval result. */
   paddingWords: z.number().int().min(0).default(0),
 });
 
-/** Settings of the process that stands in for one endpoint. */
+/** Schema of the settings of an endpoint stand-in process. */
 export const endpointSettingsSchema = z.strictObject({
   kind: z.enum(["engine", "plain"]),
   /** The id of the service in the configuration. */
   service: z.string(),
   address: z.string().default("127.0.0.1"),
   port: z.number().int().min(0).max(65_535).default(0),
-  /** Default: by chance, so that it changes with each start. */
+  /** Default: random, so that it changes with each start. */
   incarnation: z.string().optional(),
-  /** Seeds all other chance of this endpoint. */
+  /** Seed of all other random choices of this endpoint. */
   seed: z.number().int().default(1),
-  /** Prints a line for each execution, which outlives the process. */
+  /** Prints a line per execution, so that a record survives the process. */
   printExecutions: z.boolean().default(false),
   faults: endpointFaultsSchema.prefault({}),
   engine: engineSettingsSchema.prefault({}),
   plain: plainSettingsSchema.prefault({}),
 });
 
-/** Settings as written, defaults left out. */
+/** Settings as input, with defaults omitted. */
 export type EndpointSettings = z.input<typeof endpointSettingsSchema>;
 
-/** Settings with every default filled in. */
-export type WholeEndpointSettings = z.infer<typeof endpointSettingsSchema>;
+/** Settings with all defaults applied. */
+export type ResolvedEndpointSettings = z.infer<typeof endpointSettingsSchema>;
 
-/** Settings of an engine, with every default filled in. */
+/** Settings of an engine, with all defaults applied. */
 export type EngineSettings = z.infer<typeof engineSettingsSchema>;
 
-/** Settings of a plain service, with every default filled in. */
+/** Settings of a plain service, with all defaults applied. */
 export type PlainSettings = z.infer<typeof plainSettingsSchema>;
--- a/packages/kelpspar-standins/src/endpoint/engine/attempt.ts
+++ b/packages/kelpspar-standins/src/endpoint/engine/attempt.ts
@@ -1,35 +1,35 @@
 import type { StageCall, StageFailureReason } from "kelpspar-shared";
-import type { CallFate } from "../call_faults.ts";
+import type { CallFaults } from "../call_faults.ts";
 import type { RecordWriter } from "../record_writer.ts";
 import { writeFailure } from "../write_failure.ts";
 import { countTokens } from "./count_tokens.ts";
 
-/** The call whose records an attempt writes now, and where to. */
+/** The connection of an attempt: the call that opened it and its writer. */
 interface Connection {
   readonly call: StageCall;
   readonly writer: RecordWriter;
 }
 
-/** Why an attempt makes no further tokens. */
+/** Why an attempt generates no further tokens. */
 export type AttemptEnd = "complete" | "failed" | "cancelled";
 
 /**
- * One generation. It lives apart from the connection that carries it, so that
- * another connection can take it up at an offset.
+ * One generation. It is independent of its connection, so that another
+ * connection can resume it at an offset.
  */
 export class Attempt {
-  /** The call that began it. */
+  /** The call that started the attempt. */
   readonly call: StageCall;
   readonly tokensIn: number;
   prefillMilliseconds = 0;
   runnerMilliseconds = 0;
   started = false;
   stopGrace: () => void = () => {};
-  /** Where each token ends, in UTF-16 units. */
-  readonly #ends: readonly number[];
+  /** End offset of each token, in UTF-16 units. */
+  readonly #tokenEnds: readonly number[];
   readonly #text: string;
-  readonly #fate: CallFate;
-  readonly #stopsAtToken: number;
+  readonly #faults: CallFaults;
+  readonly #faultToken: number;
   #connection: Connection | undefined;
   #nextToken = 0;
   #offset: number;
@@ -40,25 +40,25 @@
     call: StageCall,
     options: {
       readonly tokens: readonly string[];
-      readonly fate: CallFate;
+      readonly faults: CallFaults;
       readonly writer: RecordWriter;
     },
   ) {
     this.call = call;
     this.tokensIn = countTokens(call.input) +
       countTokens(call.partialText ?? "");
-    this.#ends = toEnds(options.tokens);
+    this.#tokenEnds = toTokenEnds(options.tokens);
     this.#text = options.tokens.join("");
-    this.#fate = options.fate;
-    this.#stopsAtToken = Math.floor(
-      options.fate.progress * this.#ends.length,
+    this.#faults = options.faults;
+    this.#faultToken = Math.floor(
+      options.faults.progress * this.#tokenEnds.length,
     );
     this.#connection = { call, writer: options.writer };
     this.#offset = call.resumeOffset ?? 0;
     this.#skipTokens();
   }
 
-  /** Undefined while it still makes tokens. */
+  /** Undefined while the attempt generates tokens. */
   get end(): AttemptEnd | undefined {
     return this.#end;
   }
@@ -67,41 +67,41 @@
     return this.#connection !== undefined;
   }
 
-  /** False when the partial text is not the beginning of this answer. */
-  get fitsPartialText(): boolean {
+  /** Whether the partial text, if any, is a prefix of this answer. */
+  get matchesPartialText(): boolean {
     const { partialText } = this.call;
     return partialText === undefined ||
       this.#text.slice(0, this.#offset) === partialText;
   }
 
   get queuedTokens(): number {
-    return this.tokensIn + this.#ends.length - this.#nextToken;
+    return this.tokensIn + this.#tokenEnds.length - this.#nextToken;
   }
 
-  /** Makes the next token and sends it. */
+  /** Generates and sends the next token. */
   step(): void {
-    if (this.#isStopped()) return;
-    const end = this.#ends[this.#nextToken];
+    if (this.#isStoppedByFault()) return;
+    const end = this.#tokenEnds[this.#nextToken];
     if (end === undefined) return this.finish("complete");
     const from = this.#offset;
     this.#nextToken += 1;
     this.#tokensOut += 1;
     this.#offset = end;
     this.#send(from);
-    if (this.#nextToken === this.#ends.length) this.finish("complete");
+    if (this.#nextToken === this.#tokenEnds.length) this.finish("complete");
   }
 
-  /** Ends it and tells the connection, if there is one. */
+  /** Ends the attempt and writes the final record, if it is connected. */
   finish(end: AttemptEnd): void {
     if (this.#end !== undefined) return;
     this.#end = end;
-    if (end === "complete" && this.#fate.losesAnswer) this.drop();
+    if (end === "complete" && this.#faults.losesAnswer) this.drop();
     else this.#writeEnd();
   }
 
   /**
-   * Goes on over another connection, from `call.resumeOffset`. The one before
-   * is dropped: it may have gone silent without anyone noticing.
+   * Continues over another connection from `call.resumeOffset`. Drops the
+   * previous connection, which may have gone silent without being detected.
    */
   resume(call: StageCall, writer: RecordWriter): void {
     this.drop();
@@ -111,7 +111,7 @@
     if (this.#end !== undefined) this.#writeEnd();
   }
 
-  /** Forgets a connection that broke, unless it has another one now. */
+  /** Clears a broken connection, unless it was already replaced. */
   disconnect(writer: RecordWriter): void {
     if (this.#connection?.writer === writer) this.#connection = undefined;
   }
@@ -122,17 +122,17 @@
     this.#connection = undefined;
   }
 
-  #isStopped(): boolean {
-    if (this.#nextToken < this.#stopsAtToken) return false;
-    if (this.#fate.fails === "running") {
+  #isStoppedByFault(): boolean {
+    if (this.#nextToken < this.#faultToken) return false;
+    if (this.#faults.fails === "running") {
       this.finish("failed");
       return true;
     }
-    if (this.#fate.cuts && this.#nextToken === this.#stopsAtToken) this.drop();
+    if (this.#faults.cuts && this.#nextToken === this.#faultToken) this.drop();
     return false;
   }
 
-  /** Sends what was made from `from` on and the caller does not have. */
+  /** Sends generated text after `from` that the caller doesn't have yet. */
   #send(from: number): void {
     if (this.#connection === undefined) return;
     const { call, writer } = this.#connection;
@@ -169,14 +169,14 @@
     writeFailure(writer, { call, started: this.started, reason });
   }
 
-  /** Skips the tokens that lie before the offset it begins at. */
+  /** Skips the tokens before the start offset. */
   #skipTokens(): void {
-    const next = this.#ends.findIndex((end) => end > this.#offset);
-    this.#nextToken = next < 0 ? this.#ends.length : next;
+    const next = this.#tokenEnds.findIndex((end) => end > this.#offset);
+    this.#nextToken = next < 0 ? this.#tokenEnds.length : next;
   }
 }
 
-function toEnds(tokens: readonly string[]): number[] {
+function toTokenEnds(tokens: readonly string[]): number[] {
   let end = 0;
   return tokens.map((token) => end += token.length);
 }
--- a/packages/kelpspar-standins/src/endpoint/engine/attempt_registry.ts
+++ b/packages/kelpspar-standins/src/endpoint/engine/attempt_registry.ts
@@ -1,21 +1,21 @@
 import type { StageCall, TimerService } from "kelpspar-shared";
 import type { Attempt } from "./attempt.ts";
 
-/** How attempts are kept. */
+/** Retention of attempts. */
 export interface AttemptRegistryOptions {
   readonly timer: TimerService;
-  /** How long an attempt lives without a connection, milliseconds. */
+  /** Time that an attempt is kept without a connection, milliseconds. */
   readonly graceMilliseconds: number;
-  /** Called when an attempt's grace time is over, before it is forgotten. */
+  /** Called when an attempt's grace period ends, before its removal. */
   readonly onExpired: (attempt: Attempt) => void;
-  /** Called after an attempt was forgotten. */
-  readonly onForgotten: () => void;
+  /** Called after an attempt was removed. */
+  readonly onRemoved: () => void;
 }
 
-/** The attempts that can be cancelled or taken up again. */
+/** The attempts that can be cancelled or resumed. */
 export class AttemptRegistry {
   readonly #options: AttemptRegistryOptions;
-  /** By the id of the call that last carried each. */
+  /** By the attempt id of the latest call. */
   readonly #attempts = new Map<string, Attempt>();
 
   constructor(options: AttemptRegistryOptions) {
@@ -38,26 +38,26 @@
     return this.#attempts.get(attemptId);
   }
 
-  /** The attempt that `call` resumes, from now on under the call's id. */
-  rename(call: StageCall): Attempt | undefined {
-    const earlier = call.resumeAttemptId ?? "";
-    const attempt = this.#attempts.get(earlier);
+  /** Finds the attempt that `call` resumes and moves it to the call's id. */
+  transferTo(call: StageCall): Attempt | undefined {
+    const previousId = call.resumeAttemptId ?? "";
+    const attempt = this.#attempts.get(previousId);
     if (attempt?.call.requestId !== call.requestId) return undefined;
-    this.#attempts.delete(earlier);
+    this.#attempts.delete(previousId);
     this.#attempts.set(call.attemptId, attempt);
     return attempt;
   }
 
   /**
-   * Keeps an attempt that lost its connection, or that ended, for a while:
-   * the end may have been sent into a connection that had gone silent.
+   * Keeps a disconnected or ended attempt for the grace period: its final
+   * record may have been sent over a connection that had gone silent.
    */
-  startGrace(attempt: Attempt): void {
+  startGracePeriod(attempt: Attempt): void {
     attempt.stopGrace();
     attempt.stopGrace = this.#options.timer.registerTimeout(() => {
       this.#options.onExpired(attempt);
       attempt.stopGrace();
-      this.#forget(attempt);
+      this.#remove(attempt);
     }, this.#options.graceMilliseconds);
   }
 
@@ -66,10 +66,10 @@
     this.#attempts.clear();
   }
 
-  #forget(attempt: Attempt): void {
+  #remove(attempt: Attempt): void {
     for (const [attemptId, other] of this.#attempts) {
       if (other === attempt) this.#attempts.delete(attemptId);
     }
-    this.#options.onForgotten();
+    this.#options.onRemoved();
   }
 }
--- a/packages/kelpspar-standins/src/endpoint/engine/batch.ts
+++ b/packages/kelpspar-standins/src/endpoint/engine/batch.ts
@@ -2,22 +2,22 @@
 import type { EngineSettings } from "../endpoint_settings.ts";
 import type { Attempt } from "./attempt.ts";
 
-/** What a batch is made of. */
+/** Dependencies and callbacks of a batch. */
 export interface BatchOptions {
   readonly timer: TimerService;
   readonly settings: EngineSettings;
-  /** Multiplies the time of each step as things stand. */
+  /** Returns the current factor on the time of each step. */
   readonly slowFactor: () => number;
-  /** Called as an attempt begins to run. */
+  /** Called when an attempt starts to run. */
   readonly onStarted: (attempt: Attempt) => void;
-  /** Called when an attempt has ended and left the batch. */
+  /** Called when an attempt has ended and was removed from the batch. */
   readonly onEnded: (attempt: Attempt) => void;
 }
 
 /**
- * Continuous batching: all running attempts advance by one token in a step,
- * and a step takes longer the more there are. Those that wait are let in
- * between steps, the most urgent first.
+ * Continuous batching: each step advances all running attempts by one token
+ * and takes longer with more attempts. Waiting attempts are admitted between
+ * steps, in the order of their priority.
  */
 export class Batch {
   readonly #options: BatchOptions;
@@ -37,18 +37,18 @@
     return this.#waiting;
   }
 
-  /** True when it takes no further attempt. */
+  /** Whether the batch accepts no further attempt. */
   get isFull(): boolean {
     const { maximumBatch, maximumWaiting } = this.#options.settings;
-    const held = this.#running.length + this.#waiting.length;
-    return held >= maximumBatch + maximumWaiting;
+    const count = this.#running.length + this.#waiting.length;
+    return count >= maximumBatch + maximumWaiting;
   }
 
   get isEmpty(): boolean {
     return this.#running.length + this.#waiting.length === 0;
   }
 
-  /** Tokens still to read or to make. */
+  /** Number of tokens left to read and to generate. */
   get queuedTokens(): number {
     return [...this.#running, ...this.#waiting].reduce(
       (sum, attempt) => sum + attempt.queuedTokens,
@@ -65,7 +65,7 @@
     if (this.#stopTimer === undefined) this.#beginStep();
   }
 
-  /** Takes out an attempt that was ended from outside. */
+  /** Removes an attempt that was ended from outside. */
   remove(attempt: Attempt): void {
     const index = this.#waiting.indexOf(attempt);
     if (index >= 0) this.#waiting.splice(index, 1);
@@ -103,7 +103,7 @@
     }
   }
 
-  /** A call is charged its part of the step, so that costs add up to time. */
+  /** Charges each call its share of the step, so that costs sum up to time. */
   #finishStep(milliseconds: number): void {
     const batch = this.#running;
     for (const attempt of batch) {
--- a/packages/kelpspar-standins/src/endpoint/engine/cache_event_log.ts
+++ b/packages/kelpspar-standins/src/endpoint/engine/cache_event_log.ts
@@ -4,22 +4,22 @@
   RandomSource,
   TimerService,
 } from "kelpspar-shared";
-import { happens } from "../../faults/delay.ts";
+import { drawBoolean } from "../../faults/delay.ts";
 
-const MOST_EVENTS = 10_000;
+const MAXIMUM_EVENTS = 10_000;
 
-/** How an engine's cache events come. */
+/** Delay and loss of an engine's cache events. */
 export interface CacheEventLogOptions {
   readonly incarnation: string;
   readonly timer: TimerService;
   readonly random: RandomSource;
-  /** How late events come, milliseconds. */
+  /** Delay of each event, milliseconds. */
   readonly delayMilliseconds: number;
-  /** Share of the events that never come. */
+  /** Share of events that are lost. */
   readonly gapShare: number;
 }
 
-/** Publishes cache events late and with gaps. */
+/** Publishes cache events with a delay and gaps. */
 export class CacheEventLog {
   readonly #options: CacheEventLogOptions;
   #sequence = 0;
@@ -30,7 +30,7 @@
     this.#options = options;
   }
 
-  /** The newest sequence, published or not. */
+  /** The latest sequence number, published or not. */
   get sequence(): number {
     return this.#sequence;
   }
@@ -39,7 +39,7 @@
     const { timer, random, delayMilliseconds, gapShare } = this.#options;
     this.#sequence += 1;
     const event = { sequence: this.#sequence, type, prefixHash };
-    const isLost = happens(random, gapShare);
+    const isLost = drawBoolean(random, gapShare);
     timer.registerTimeout(
       () => this.#publish(event, isLost),
       delayMilliseconds,
@@ -58,6 +58,6 @@
     this.#published = event.sequence;
     if (isLost) return;
     this.#events.push(event);
-    if (this.#events.length > MOST_EVENTS) this.#events.shift();
+    if (this.#events.length > MAXIMUM_EVENTS) this.#events.shift();
   }
 }
--- a/packages/kelpspar-standins/src/endpoint/engine/count_tokens.ts
+++ b/packages/kelpspar-standins/src/endpoint/engine/count_tokens.ts
@@ -1,6 +1,6 @@
-const CHARACTERS_A_TOKEN = 4;
+const CHARACTERS_PER_TOKEN = 4;
 
-/** About how many tokens a text is. */
+/** Estimates the number of tokens of a text. */
 export function countTokens(text: string): number {
-  return Math.ceil(text.length / CHARACTERS_A_TOKEN);
+  return Math.ceil(text.length / CHARACTERS_PER_TOKEN);
 }
--- a/packages/kelpspar-standins/src/endpoint/engine/engine.ts
+++ b/packages/kelpspar-standins/src/endpoint/engine/engine.ts
@@ -7,13 +7,13 @@
   TimerService,
 } from "kelpspar-shared";
 import type { JsonRoute } from "../../http/json_route.ts";
-import type { CallFate } from "../call_faults.ts";
+import type { CallFaults } from "../call_faults.ts";
 import type { EndpointCore } from "../endpoint_core.ts";
 import type { EngineSettings } from "../endpoint_settings.ts";
 import type { ExecutionLog } from "../execution_log.ts";
-import type { FaultScript } from "../fault_injector.ts";
+import type { FaultInjector } from "../fault_injector.ts";
 import type { RecordWriter } from "../record_writer.ts";
-import { readTokensWanted } from "../input_tags.ts";
+import { readRequestedTokens } from "../input_tags.ts";
 import { writeFailure } from "../write_failure.ts";
 import { Attempt } from "./attempt.ts";
 import { AttemptRegistry } from "./attempt_registry.ts";
@@ -25,16 +25,16 @@
 import { LoadedModels } from "./loaded_models.ts";
 import { OrderLog } from "./order_log.ts";
 
-/** What an engine is made of. */
+/** Settings and dependencies of an engine. */
 export interface EngineOptions {
   readonly settings: EngineSettings;
   readonly incarnation: string;
   readonly timer: TimerService;
-  readonly script: FaultScript;
+  readonly injector: FaultInjector;
   readonly log: ExecutionLog;
 }
 
-/** A model engine: batching, prefix cache, streams that can be resumed. */
+/** A model engine with batching, a prefix cache and resumable streams. */
 export class Engine implements EndpointCore {
   readonly routes: readonly JsonRoute[];
   readonly cache: EngineCache;
@@ -42,7 +42,7 @@
   readonly #options: EngineOptions;
   readonly #batch: Batch;
   readonly #models: LoadedModels;
-  readonly #publisher: LoadPublisher;
+  readonly #loadPublisher: LoadPublisher;
   readonly #attempts: AttemptRegistry;
   #adapters: readonly string[];
   #role: EndpointRole;
@@ -51,34 +51,34 @@
   #onLeft: (() => void)[] = [];
 
   constructor(options: EngineOptions) {
-    const { settings, timer, script } = options;
+    const { settings, timer, injector } = options;
     this.#options = options;
     this.#adapters = settings.adapters;
     this.#role = settings.role;
     this.orders = new OrderLog(settings.checksFencing);
-    this.cache = new EngineCache({ ...options, random: script.random });
+    this.cache = new EngineCache({ ...options, random: injector.random });
     this.#models = new LoadedModels({
       timer,
       models: settings.models,
       loadMilliseconds: () =>
-        settings.loadModelMilliseconds * script.faults.slowFactor,
+        settings.loadModelMilliseconds * injector.faults.slowFactor,
     });
     this.#attempts = new AttemptRegistry({
       timer,
       graceMilliseconds: settings.graceMilliseconds,
       onExpired: (attempt) => this.#stop(attempt, "cancelled"),
-      onForgotten: () => this.#finishLeaving(),
+      onRemoved: () => this.#finishLeaving(),
     });
     this.#batch = new Batch({
       timer,
       settings,
-      slowFactor: () => script.faults.slowFactor,
+      slowFactor: () => injector.faults.slowFactor,
       onStarted: (attempt) => this.#start(attempt),
       onEnded: (attempt) => this.#end(attempt),
     });
-    this.#publisher = new LoadPublisher({
+    this.#loadPublisher = new LoadPublisher({
       timer,
-      everyMilliseconds: settings.reportEveryMilliseconds,
+      intervalMilliseconds: settings.reportEveryMilliseconds,
       lagMilliseconds: settings.reportLagMilliseconds,
       measure: () => this.#measure(),
     });
@@ -87,11 +87,11 @@
 
   call(call: StageCall, writer: RecordWriter): () => void {
     if (call.resumeAttemptId !== undefined) return this.#resume(call, writer);
-    const fate = this.#options.script.drawFate();
-    const reason = this.#whyNot(call, fate);
+    const faults = this.#options.injector.drawCallFaults();
+    const reason = this.#findRefusalReason(call, faults);
     if (reason !== undefined) return this.#refuse(call, { writer, reason });
     this.#accepted += 1;
-    const attempt = this.#createAttempt(call, { writer, fate });
+    const attempt = this.#createAttempt(call, { writer, faults });
     this.#attempts.add(call.attemptId, attempt);
     this.#batch.add(attempt);
     return () => this.#disconnect(attempt, writer);
@@ -103,18 +103,18 @@
   }
 
   load(): LoadReport {
-    return this.#publisher.shown;
+    return this.#loadPublisher.published;
   }
 
-  /** False when the order carries an old fencing number and that matters. */
+  /** Applies an order; false when its stale fencing number is refused. */
   order(order: EngineOrder): boolean {
     const { timer, settings } = this.#options;
     if (!this.orders.admit(order, timer.now())) return false;
     const { models, adapters, role } = order.desired;
-    this.#models.want(models);
+    this.#models.setDesired(models);
     this.#adapters = adapters;
     this.#role = role;
-    if (settings.unloadCutsRunning) this.#cutUnloaded();
+    if (settings.unloadCutsRunning) this.#failUnloaded();
     return true;
   }
 
@@ -129,17 +129,17 @@
   close(): void {
     this.#batch.close();
     this.#models.close();
-    this.#publisher.close();
+    this.#loadPublisher.close();
     this.#attempts.close();
   }
 
   #resume(call: StageCall, writer: RecordWriter): () => void {
-    const attempt = this.#attempts.rename(call);
+    const attempt = this.#attempts.transferTo(call);
     if (attempt === undefined) {
       return this.#refuse(call, { writer, reason: "unknown_attempt" });
     }
     attempt.resume(call, writer);
-    if (attempt.end !== undefined) this.#attempts.startGrace(attempt);
+    if (attempt.end !== undefined) this.#attempts.startGracePeriod(attempt);
     return () => this.#disconnect(attempt, writer);
   }
 
@@ -150,17 +150,20 @@
       readonly reason: StageFailureReason;
     },
   ): () => void {
-    this.#options.log.refuse();
+    this.#options.log.recordRefusal();
     const { writer, reason } = refusal;
     writeFailure(writer, { call, started: false, reason });
     return () => {};
   }
 
-  #whyNot(call: StageCall, fate: CallFate): StageFailureReason | undefined {
+  #findRefusalReason(
+    call: StageCall,
+    faults: CallFaults,
+  ): StageFailureReason | undefined {
     if (this.#isLeaving) return "leaving";
     if (!this.#models.has(call.model ?? "")) return "wrong_model";
     if (!this.#hasAdapter(call.adapter)) return "wrong_model";
-    if (fate.fails === "before") return "failed";
+    if (faults.fails === "before") return "failed";
     return this.#batch.isFull ? "overloaded" : undefined;
   }
 
@@ -170,32 +173,32 @@
 
   #createAttempt(
     call: StageCall,
-    options: { readonly writer: RecordWriter; readonly fate: CallFate },
+    options: { readonly writer: RecordWriter; readonly faults: CallFaults },
   ): Attempt {
     const { settings } = this.#options;
-    const count = readTokensWanted(call.input) ?? settings.defaultTokens;
+    const count = readRequestedTokens(call.input) ?? settings.defaultTokens;
     const tokens = engineTokens(call.model ?? "", call.input, count);
     return new Attempt(call, { tokens, ...options });
   }
 
-  /** Runs as an attempt enters the batch: looks its prefix up. */
+  /** Called when the batch admits an attempt: looks up its prefix. */
   #start(attempt: Attempt): void {
     const { settings, log } = this.#options;
     log.start(attempt.call);
-    if (!attempt.fitsPartialText) log.countWrongPartialText();
-    const cached = this.cache.useFor(attempt.call);
+    if (!attempt.matchesPartialText) log.recordWrongPartialText();
+    const cached = this.cache.reusePrefix(attempt.call);
     attempt.prefillMilliseconds = settings.prefillPerTokenMilliseconds *
       (attempt.tokensIn - cached);
   }
 
   #end(attempt: Attempt): void {
     const { log } = this.#options;
-    log.spend(attempt.runnerMilliseconds);
+    log.recordRunnerTime(attempt.runnerMilliseconds);
     if (attempt.end === "complete") log.complete();
-    this.#attempts.startGrace(attempt);
+    this.#attempts.startGracePeriod(attempt);
   }
 
-  /** Ends an attempt from outside, unless it has ended. */
+  /** Ends an attempt that has not ended yet. */
   #stop(attempt: Attempt, end: "failed" | "cancelled"): void {
     if (attempt.end !== undefined) return;
     this.#batch.remove(attempt);
@@ -205,10 +208,10 @@
 
   #disconnect(attempt: Attempt, writer: RecordWriter): void {
     attempt.disconnect(writer);
-    if (!attempt.isConnected) this.#attempts.startGrace(attempt);
+    if (!attempt.isConnected) this.#attempts.startGracePeriod(attempt);
   }
 
-  #cutUnloaded(): void {
+  #failUnloaded(): void {
     for (const attempt of this.#attempts.attempts) {
       if (this.#models.has(attempt.call.model ?? "")) continue;
       this.#stop(attempt, "failed");
--- a/packages/kelpspar-standins/src/endpoint/engine/engine_answer.ts
+++ b/packages/kelpspar-standins/src/endpoint/engine/engine_answer.ts
@@ -3,7 +3,7 @@
 
 const HASH_DIGITS = 8;
 
-/** Some lie outside ASCII, one takes two UTF-16 units. */
+/** Some words are not ASCII, and one character takes two UTF-16 units. */
 const WORDS: readonly string[] = [
   "lime",
   "spread",
@@ -24,9 +24,9 @@
 ];
 
 /**
- * The tokens of an engine's answer. They follow from the model, the input and
- * their number alone, so that two engines continue the same text. The first
- * one carries a hash of model and input, and the input's tags.
+ * The tokens of an engine's answer. They depend only on the model, the input
+ * and the token count, so that any engine can continue the text of another.
+ * The first token contains a hash of model and input, and the input's tags.
  */
 export function engineTokens(
   model: string,
@@ -44,7 +44,7 @@
   return words;
 }
 
-/** The whole text of an engine's answer. */
+/** The complete text of an engine's answer. */
 export function engineAnswer(
   model: string,
   input: string,
--- a/packages/kelpspar-standins/src/endpoint/engine/engine_cache.ts
+++ b/packages/kelpspar-standins/src/endpoint/engine/engine_cache.ts
@@ -11,7 +11,7 @@
 import { countTokens } from "./count_tokens.ts";
 import { PrefixCache } from "./prefix_cache.ts";
 
-/** What an engine's cache is made of. */
+/** Settings and dependencies of an engine's cache. */
 export interface EngineCacheOptions {
   readonly settings: EngineSettings;
   readonly incarnation: string;
@@ -19,7 +19,7 @@
   readonly random: RandomSource;
 }
 
-/** An engine's prefix cache and what it tells of it. */
+/** An engine's prefix cache and its event log. */
 export class EngineCache {
   readonly #incarnation: string;
   readonly #prefixShare: number;
@@ -43,11 +43,11 @@
     });
   }
 
-  /** Tokens of a call that need no prefill; its prefix is cached from now. */
-  useFor({ prefixHash, input }: StageCall): number {
+  /** Caches a call's prefix; returns the tokens that need no prefill. */
+  reusePrefix({ prefixHash, input }: StageCall): number {
     if (prefixHash === undefined) return 0;
     const tokens = Math.floor(countTokens(input) * this.#prefixShare);
-    const cached = Math.min(this.#prefixes.use(prefixHash), tokens);
+    const cached = Math.min(this.#prefixes.touch(prefixHash), tokens);
     this.#prefixes.store({ prefixHash, tokens });
     return cached;
   }
--- a/packages/kelpspar-standins/src/endpoint/engine/engine_routes.ts
+++ b/packages/kelpspar-standins/src/endpoint/engine/engine_routes.ts
@@ -8,15 +8,15 @@
 const STATUS_NOT_FOUND = 404;
 const STATUS_CONFLICT = 409;
 
-/** What the routes need of an engine. */
+/** The part of an engine that its routes use. */
 export interface RoutedEngine {
   readonly cache: EngineCache;
   readonly orders: OrderLog;
-  /** False when the order was refused. */
+  /** Applies an order; false when it was refused. */
   order(order: EngineOrder): boolean;
 }
 
-/** The part of the endpoint protocol that only engines have. */
+/** Routes of the endpoint protocol that only engines have. */
 export function createEngineRoutes(
   engine: RoutedEngine,
 ): readonly JsonRoute[] {
--- a/packages/kelpspar-standins/src/endpoint/engine/load_publisher.ts
+++ b/packages/kelpspar-standins/src/endpoint/engine/load_publisher.ts
@@ -1,44 +1,44 @@
 import type { LoadReport, TimerService } from "kelpspar-shared";
 
-/** How an engine's load reports are taken and shown. */
+/** Interval and delay of an engine's load reports. */
 export interface LoadPublisherOptions {
   readonly timer: TimerService;
-  readonly everyMilliseconds: number;
+  readonly intervalMilliseconds: number;
   readonly lagMilliseconds: number;
-  /** The load as it stands; the publisher numbers it. */
+  /** Measures the current load; the publisher adds the sequence number. */
   readonly measure: () => Omit<LoadReport, "sequence">;
 }
 
-/** Shows load reports that were taken a while ago. */
+/** Publishes load reports with a delay. */
 export class LoadPublisher {
   readonly #options: LoadPublisherOptions;
   readonly #stopTimer: () => void;
-  #shown: LoadReport;
+  #published: LoadReport;
   #sequence = 1;
 
   constructor(options: LoadPublisherOptions) {
     this.#options = options;
-    this.#shown = { ...options.measure(), sequence: this.#sequence };
+    this.#published = { ...options.measure(), sequence: this.#sequence };
     this.#stopTimer = options.timer.registerInterval(
-      () => this.#take(),
-      options.everyMilliseconds,
+      () => this.#sample(),
+      options.intervalMilliseconds,
     );
   }
 
-  get shown(): LoadReport {
-    return this.#shown;
+  get published(): LoadReport {
+    return this.#published;
   }
 
   close(): void {
     this.#stopTimer();
   }
 
-  #take(): void {
+  #sample(): void {
     const { timer, lagMilliseconds, measure } = this.#options;
     this.#sequence += 1;
     const report = { ...measure(), sequence: this.#sequence };
     timer.registerTimeout(() => {
-      this.#shown = report;
+      this.#published = report;
     }, lagMilliseconds);
   }
 }
--- a/packages/kelpspar-standins/src/endpoint/engine/loaded_models.ts
+++ b/packages/kelpspar-standins/src/endpoint/engine/loaded_models.ts
@@ -1,30 +1,30 @@
 import type { DesiredEngineState, TimerService } from "kelpspar-shared";
 
 /**
- * The models an engine has. Loading goes one model at a time and takes time; a
- * model shows only when it is whole.
+ * The models of an engine. They are loaded one at a time; a model is listed only
+ * after its load has completed.
  */
 export class LoadedModels {
   readonly #timer: TimerService;
   readonly #loadMilliseconds: () => number;
   #ready: Map<string, string>;
-  #wanted: ReadonlyMap<string, string>;
+  #desired: ReadonlyMap<string, string>;
   #loading: string | undefined;
   #stopTimer: () => void = () => {};
 
   constructor(options: {
     readonly timer: TimerService;
-    /** Time of one load as things stand, milliseconds. */
+    /** Returns the current time of one load, milliseconds. */
     readonly loadMilliseconds: () => number;
     readonly models: Readonly<Record<string, string>>;
   }) {
     this.#timer = options.timer;
     this.#loadMilliseconds = options.loadMilliseconds;
     this.#ready = new Map(Object.entries(options.models));
-    this.#wanted = this.#ready;
+    this.#desired = this.#ready;
   }
 
-  /** Models that are ready, with their version. */
+  /** Versions of loaded models, by model. */
   get ready(): Readonly<Record<string, string>> {
     return Object.fromEntries(this.#ready);
   }
@@ -37,14 +37,14 @@
     return this.#ready.has(model);
   }
 
-  /** Unloads at once what is not wanted, then loads what is missing. */
-  want(models: DesiredEngineState["models"]): void {
-    this.#wanted = new Map(Object.entries(models));
+  /** Unloads undesired models at once, then loads missing ones. */
+  setDesired(models: DesiredEngineState["models"]): void {
+    this.#desired = new Map(Object.entries(models));
     const kept = [...this.#ready].filter(([model, version]) =>
-      this.#wanted.get(model) === version
+      this.#desired.get(model) === version
     );
     this.#ready = new Map(kept);
-    if (this.#loading !== undefined && !this.#isWanted(this.#loading)) {
+    if (this.#loading !== undefined && !this.#isDesired(this.#loading)) {
       this.#stopTimer();
       this.#loading = undefined;
     }
@@ -57,7 +57,7 @@
 
   #loadNext(): void {
     if (this.#loading !== undefined) return;
-    for (const [model, version] of this.#wanted) {
+    for (const [model, version] of this.#desired) {
       if (this.#ready.has(model)) continue;
       this.#loading = toKey(model, version);
       this.#stopTimer = this.#timer.registerTimeout(() => {
@@ -69,8 +69,8 @@
     }
   }
 
-  #isWanted(loading: string): boolean {
-    return [...this.#wanted].some((entry) => toKey(...entry) === loading);
+  #isDesired(loading: string): boolean {
+    return [...this.#desired].some((entry) => toKey(...entry) === loading);
   }
 }
 
--- a/packages/kelpspar-standins/src/endpoint/engine/order_log.ts
+++ b/packages/kelpspar-standins/src/endpoint/engine/order_log.ts
@@ -1,13 +1,13 @@
 import type { EngineOrder } from "kelpspar-shared";
 
-/** An order as it came, for checkers: `GET /control/orders`. */
+/** A received order, listed to checkers by `GET /control/orders`. */
 export interface LoggedOrder extends EngineOrder {
   readonly accepted: boolean;
-  /** When it came, on the engine's monotonic clock, milliseconds. */
+  /** Time of arrival on the engine's monotonic clock, milliseconds. */
   readonly at: number;
 }
 
-/** Checks fencing numbers, or lets every order pass. */
+/** Records orders and, if configured, checks their fencing numbers. */
 export class OrderLog {
   readonly #checksFencing: boolean;
   readonly #highest = new Map<string, number>();
@@ -21,7 +21,7 @@
     return this.#orders;
   }
 
-  /** False for an order with an old fencing number at a checking engine. */
+  /** False when fencing is checked and the fencing number is stale. */
   admit(order: EngineOrder, at: number): boolean {
     const highest = this.#highest.get(order.group) ?? 0;
     const accepted = !this.#checksFencing || order.fencingNumber >= highest;
--- a/packages/kelpspar-standins/src/endpoint/engine/prefix_cache.ts
+++ b/packages/kelpspar-standins/src/endpoint/engine/prefix_cache.ts
@@ -6,7 +6,7 @@
   readonly tokens: number;
 }
 
-/** Prefixes by last use, in limited memory. */
+/** An LRU cache of prefixes with a limited number of tokens. */
 export class PrefixCache {
   readonly #limitTokens: number;
   readonly #onChange: (
@@ -25,8 +25,8 @@
     this.#onChange = options.onChange;
   }
 
-  /** Tokens cached for a prefix, which counts as a use of it. */
-  use(prefixHash: string): number {
+  /** Returns the tokens cached for a prefix and marks it as recently used. */
+  touch(prefixHash: string): number {
     const tokens = this.#prefixes.get(prefixHash);
     if (tokens === undefined) return 0;
     this.#prefixes.delete(prefixHash);
@@ -34,9 +34,9 @@
     return tokens;
   }
 
-  /** Stores a prefix and evicts others to make room. */
+  /** Stores a prefix and evicts others if necessary. */
   store({ prefixHash, tokens }: CachedPrefix): void {
-    if (tokens > this.#limitTokens || this.use(prefixHash) >= tokens) return;
+    if (tokens > this.#limitTokens || this.touch(prefixHash) >= tokens) return;
     this.#tokens += tokens - (this.#prefixes.get(prefixHash) ?? 0);
     this.#prefixes.set(prefixHash, tokens);
     this.#onChange("stored", prefixHash);
--- a/packages/kelpspar-standins/src/endpoint/execution_log.ts
+++ b/packages/kelpspar-standins/src/endpoint/execution_log.ts
@@ -1,32 +1,32 @@
 import type { StageCall } from "kelpspar-shared";
 import { readToken } from "./input_tags.ts";
 
-/** One run of a call. */
+/** One execution of a call. */
 export interface Execution {
   readonly requestId: string;
   readonly stageId: string;
   readonly attemptId: string;
-  /** The input's `token=…`, if it has one. */
+  /** Value of the input's `token=…` tag, if any. */
   readonly token?: string;
 }
 
-/** The answer of `GET /control/executions`. */
+/** Response body of `GET /control/executions`. */
 export interface ExecutionReport {
-  /** How often each `token=…` ran. */
+  /** Number of executions by the value of the `token=…` tag. */
   readonly byToken: Readonly<Record<string, number>>;
   readonly byRequest: Readonly<Record<string, number>>;
   readonly executions: number;
   readonly completed: number;
-  /** Runs that went on from another endpoint's partial text. */
+  /** Executions that continued another endpoint's partial text. */
   readonly continued: number;
-  /** Calls refused before they ran. */
+  /** Calls refused before execution. */
   readonly refused: number;
-  /** Partial texts that were not the beginning of the answer. */
+  /** Partial texts that were not a prefix of the answer. */
   readonly wrongPartialTexts: number;
   readonly runnerMilliseconds: number;
 }
 
-/** Counts what an endpoint ran, so that a checker finds doubled work. */
+/** Counts executions, so that checkers can find duplicate ones. */
 export class ExecutionLog {
   readonly #byToken = new Map<string, number>();
   readonly #byRequest = new Map<string, number>();
@@ -47,8 +47,8 @@
     const token = readToken(call.input);
     this.#executions += 1;
     if (call.partialText !== undefined) this.#continued += 1;
-    increase(this.#byRequest, requestId);
-    if (token !== undefined) increase(this.#byToken, token);
+    incrementCount(this.#byRequest, requestId);
+    if (token !== undefined) incrementCount(this.#byToken, token);
     const ids = { requestId, stageId, attemptId };
     this.#onExecution(token === undefined ? ids : { ...ids, token });
   }
@@ -57,15 +57,15 @@
     this.#completed += 1;
   }
 
-  refuse(): void {
+  recordRefusal(): void {
     this.#refused += 1;
   }
 
-  countWrongPartialText(): void {
+  recordWrongPartialText(): void {
     this.#wrongPartialTexts += 1;
   }
 
-  spend(milliseconds: number): void {
+  recordRunnerTime(milliseconds: number): void {
     this.#runnerMilliseconds += milliseconds;
   }
 
@@ -83,6 +83,6 @@
   }
 }
 
-function increase(counts: Map<string, number>, key: string): void {
+function incrementCount(counts: Map<string, number>, key: string): void {
   counts.set(key, (counts.get(key) ?? 0) + 1);
 }
--- a/packages/kelpspar-standins/src/endpoint/fault_injector.ts
+++ b/packages/kelpspar-standins/src/endpoint/fault_injector.ts
@@ -1,11 +1,11 @@
 import type { RandomSource } from "kelpspar-shared";
-import type { CallFate } from "./call_faults.ts";
+import type { CallFaults } from "./call_faults.ts";
 import type { EndpointFaults } from "./endpoint_faults.ts";
-import { happens } from "../faults/delay.ts";
+import { drawBoolean } from "../faults/delay.ts";
 import { endpointFaultsSchema } from "./endpoint_faults.ts";
 
-/** The faults of an endpoint as they stand, and the chance behind them. */
-export class FaultScript {
+/** The current faults of an endpoint and their random source. */
+export class FaultInjector {
   readonly random: RandomSource;
   #faults: EndpointFaults;
 
@@ -18,20 +18,20 @@
     return this.#faults;
   }
 
-  /** Changes some faults; throws a ZodError when they are not valid. */
+  /** Changes some faults. Throws a ZodError for invalid faults. */
   setFaults(changes: Partial<EndpointFaults>): void {
     this.#faults = endpointFaultsSchema.parse({ ...this.#faults, ...changes });
   }
 
-  /** Draws what happens to the next call. */
-  drawFate(): CallFate {
+  /** Draws the faults of the next call. */
+  drawCallFaults(): CallFaults {
     const faults = this.#faults;
-    const fails = happens(this.random, faults.failShare);
-    const whenItFails = faults.failStarted ? "running" : "before";
+    const fails = drawBoolean(this.random, faults.failShare);
+    const failurePoint = faults.failStarted ? "running" : "before";
     return {
-      fails: fails ? whenItFails : "never",
-      losesAnswer: happens(this.random, faults.loseAnswerShare),
-      cuts: happens(this.random, faults.cutShare),
+      fails: fails ? failurePoint : "never",
+      losesAnswer: drawBoolean(this.random, faults.loseAnswerShare),
+      cuts: drawBoolean(this.random, faults.cutShare),
       progress: this.random.next(),
     };
   }
--- a/packages/kelpspar-standins/src/endpoint/faulty_writer.ts
+++ b/packages/kelpspar-standins/src/endpoint/faulty_writer.ts
@@ -1,26 +1,26 @@
 import type { StageChunkRecord, StageRecord } from "kelpspar-shared";
-import type { FaultScript } from "./fault_injector.ts";
+import type { FaultInjector } from "./fault_injector.ts";
 import type { RecordWriter } from "./record_writer.ts";
-import { happens } from "../faults/delay.ts";
+import { drawBoolean } from "../faults/delay.ts";
 
 const FOREIGN_ID_BYTES = 8;
-const SHARE_OF_OTHER_REQUESTS = 0.5;
+const OTHER_REQUEST_SHARE = 0.5;
 
 /**
- * Repeats chunk records, swaps them with the record after them, holds them
- * back and mixes in records of other attempts. The last record stays last.
+ * Duplicates, swaps and delays chunk records, and inserts records of other
+ * attempts. The final record stays last.
  */
 export class FaultyWriter implements RecordWriter {
   readonly #writer: RecordWriter;
-  readonly #script: FaultScript;
-  /** Comes after the next chunk. */
+  readonly #injector: FaultInjector;
+  /** Held until the next chunk was written. */
   #swapped: StageChunkRecord | undefined;
-  /** Come just before the last record. */
+  /** Held until just before the final record. */
   #late: StageChunkRecord[] = [];
 
-  constructor(writer: RecordWriter, script: FaultScript) {
+  constructor(writer: RecordWriter, injector: FaultInjector) {
     this.#writer = writer;
-    this.#script = script;
+    this.#injector = injector;
   }
 
   write(record: StageRecord): void {
@@ -40,21 +40,21 @@
   }
 
   #writeChunk(record: StageChunkRecord): void {
-    const { faults, random } = this.#script;
-    if (happens(random, faults.lateShare)) {
+    const { faults, random } = this.#injector;
+    if (drawBoolean(random, faults.lateShare)) {
       this.#late.push(record);
       return;
     }
     if (
-      this.#swapped === undefined && happens(random, faults.reorderShare)
+      this.#swapped === undefined && drawBoolean(random, faults.reorderShare)
     ) {
       this.#swapped = record;
       return;
     }
     this.#writer.write(record);
-    if (happens(random, faults.duplicateShare)) this.#writer.write(record);
-    if (happens(random, faults.foreignShare)) {
-      this.#writer.write(this.#toForeign(record));
+    if (drawBoolean(random, faults.duplicateShare)) this.#writer.write(record);
+    if (drawBoolean(random, faults.foreignShare)) {
+      this.#writer.write(this.#createForeignRecord(record));
     }
     this.#releaseSwapped();
   }
@@ -66,13 +66,13 @@
   }
 
   /**
-   * A record as like the true one as can be, but for the text and the ids:
-   * of another request, or of another attempt of the same one.
+   * Copies a record with another text and the ids of another request, or of
+   * another attempt of the same request.
    */
-  #toForeign(record: StageChunkRecord): StageChunkRecord {
-    const { random } = this.#script;
+  #createForeignRecord(record: StageChunkRecord): StageChunkRecord {
+    const { random } = this.#injector;
     const otherId = random.nextHexadecimal(FOREIGN_ID_BYTES);
-    const isOtherRequest = happens(random, SHARE_OF_OTHER_REQUESTS);
+    const isOtherRequest = drawBoolean(random, OTHER_REQUEST_SHARE);
     return {
       ...record,
       requestId: isOtherRequest ? otherId : record.requestId,
--- a/packages/kelpspar-standins/src/endpoint/plain/plain_answer.ts
+++ b/packages/kelpspar-standins/src/endpoint/plain/plain_answer.ts
@@ -4,8 +4,8 @@
 const HASH_DIGITS = 8;
 
 /**
- * The answer of a plain service: its marker around a hash of the input, then
- * the input's tags, then padding.
+ * The answer of a plain service: its marker with a hash of the input, the
+ * input's tags and padding.
  */
 export function plainAnswer(
   marker: string,
--- a/packages/kelpspar-standins/src/endpoint/plain/plain_service.ts
+++ b/packages/kelpspar-standins/src/endpoint/plain/plain_service.ts
@@ -1,35 +1,35 @@
 import type { LoadReport, StageCall, TimerService } from "kelpspar-shared";
 import type { JsonRoute } from "../../http/json_route.ts";
-import type { CallFate } from "../call_faults.ts";
+import type { CallFaults } from "../call_faults.ts";
 import type { EndpointCore } from "../endpoint_core.ts";
 import type { PlainSettings } from "../endpoint_settings.ts";
 import type { ExecutionLog } from "../execution_log.ts";
-import type { FaultScript } from "../fault_injector.ts";
+import type { FaultInjector } from "../fault_injector.ts";
 import type { RecordWriter } from "../record_writer.ts";
 import { writeFailure } from "../write_failure.ts";
 import { plainAnswer } from "./plain_answer.ts";
 
-/** What a plain service is made of. */
+/** Settings and dependencies of a plain service. */
 export interface PlainServiceOptions {
   readonly settings: PlainSettings;
   readonly service: string;
   readonly incarnation: string;
   readonly timer: TimerService;
-  readonly script: FaultScript;
+  readonly injector: FaultInjector;
   readonly log: ExecutionLog;
 }
 
 interface PlainCall {
   readonly call: StageCall;
   readonly writer: RecordWriter;
-  readonly fate: CallFate;
+  readonly faults: CallFaults;
   startedAt: number | undefined;
   stopTimer: () => void;
 }
 
 /**
- * A service that runs so many calls at a time, first come, first served. It
- * runs what it was sent, whether or not the connection lives.
+ * A service that runs a limited number of calls at a time, in FIFO order. It
+ * runs accepted calls even if their connection breaks.
  */
 export class PlainService implements EndpointCore {
   readonly routes: readonly JsonRoute[] = [];
@@ -46,29 +46,35 @@
   }
 
   call(call: StageCall, writer: RecordWriter): () => void {
-    const fate = this.#options.script.drawFate();
-    const reason = this.#whyNot(call, fate);
+    const faults = this.#options.injector.drawCallFaults();
+    const reason = this.#findRefusalReason(call, faults);
     if (reason !== undefined) {
-      this.#options.log.refuse();
+      this.#options.log.recordRefusal();
       writeFailure(writer, { call, started: false, reason });
       return () => {};
     }
     this.#accepted += 1;
     const stopTimer = (): void => {};
-    this.#waiting.push({ call, writer, fate, startedAt: undefined, stopTimer });
+    this.#waiting.push({
+      call,
+      writer,
+      faults,
+      startedAt: undefined,
+      stopTimer,
+    });
     this.#startNext();
     return () => {};
   }
 
   cancel(attemptId: string): void {
-    const isWanted = ({ call }: PlainCall): boolean =>
+    const isCancelled = ({ call }: PlainCall): boolean =>
       call.attemptId === attemptId;
-    const waiting = this.#waiting.filter(isWanted);
-    this.#waiting = this.#waiting.filter((entry) => !isWanted(entry));
+    const waiting = this.#waiting.filter(isCancelled);
+    this.#waiting = this.#waiting.filter((entry) => !isCancelled(entry));
     for (const { call, writer } of waiting) {
       writeFailure(writer, { call, started: false, reason: "cancelled" });
     }
-    for (const entry of [...this.#running].filter(isWanted)) {
+    for (const entry of [...this.#running].filter(isCancelled)) {
       this.#stop(entry, "cancelled");
     }
   }
@@ -104,17 +110,17 @@
     this.#waiting = [];
   }
 
-  #whyNot(
+  #findRefusalReason(
     call: StageCall,
-    fate: CallFate,
+    faults: CallFaults,
   ): "leaving" | "failed" | "overloaded" | "unknown_attempt" | undefined {
     const { settings } = this.#options;
     if (this.#isLeaving) return "leaving";
     if (call.resumeAttemptId !== undefined) return "unknown_attempt";
-    if (fate.fails === "before") return "failed";
-    const held = this.#running.size + this.#waiting.length;
-    const most = settings.concurrency + settings.maximumWaiting;
-    return held >= most ? "overloaded" : undefined;
+    if (faults.fails === "before") return "failed";
+    const count = this.#running.size + this.#waiting.length;
+    const maximum = settings.concurrency + settings.maximumWaiting;
+    return count >= maximum ? "overloaded" : undefined;
   }
 
   #startNext(): void {
@@ -132,10 +138,10 @@
     log.start(entry.call);
     entry.startedAt = timer.now();
     const milliseconds = this.#drawServiceTime();
-    if (entry.fate.fails === "running") {
+    if (entry.faults.fails === "running") {
       entry.stopTimer = timer.registerTimeout(
         () => this.#stop(entry, "failed"),
-        milliseconds * entry.fate.progress,
+        milliseconds * entry.faults.progress,
       );
       return;
     }
@@ -146,15 +152,15 @@
   }
 
   #drawServiceTime(): number {
-    const { settings, script } = this.#options;
-    const around = 1 + settings.spread * (2 * script.random.next() - 1);
-    return settings.serviceMilliseconds * around * script.faults.slowFactor;
+    const { settings, injector } = this.#options;
+    const factor = 1 + settings.spread * (2 * injector.random.next() - 1);
+    return settings.serviceMilliseconds * factor * injector.faults.slowFactor;
   }
 
   #complete(entry: PlainCall): void {
     const runnerMilliseconds = this.#release(entry);
     this.#options.log.complete();
-    if (entry.fate.losesAnswer) entry.writer.drop();
+    if (entry.faults.losesAnswer) entry.writer.drop();
     else this.#answer(entry, runnerMilliseconds);
     this.#startNext();
   }
@@ -188,7 +194,7 @@
     this.#running.delete(entry);
     const { timer, log } = this.#options;
     const spent = timer.now() - (entry.startedAt ?? timer.now());
-    log.spend(spent);
+    log.recordRunnerTime(spent);
     return spent;
   }
 
--- a/packages/kelpspar-standins/src/endpoint/record_writer.ts
+++ b/packages/kelpspar-standins/src/endpoint/record_writer.ts
@@ -1,10 +1,10 @@
 import type { StageRecord } from "kelpspar-shared";
 
-/** Where the records of one call go. */
+/** Writes the records of one call. */
 export interface RecordWriter {
-  /** Sends a record; nothing happens on a broken connection. */
+  /** Sends a record; does nothing on a broken connection. */
   write(record: StageRecord): void;
-  /** Ends the answer after its last record. */
+  /** Ends the response after the last record. */
   end(): void;
   /** Drops the connection. */
   drop(): void;
--- a/packages/kelpspar-standins/src/endpoint/response_writer.ts
+++ b/packages/kelpspar-standins/src/endpoint/response_writer.ts
@@ -6,7 +6,7 @@
 
 const STATUS_OK = 200;
 
-/** Streams records as newline-delimited JSON over one response. */
+/** Streams records as newline-delimited JSON over an HTTP response. */
 export class ResponseWriter implements RecordWriter {
   readonly #response: ServerResponse;
   readonly #socket: Socket | null;
@@ -18,8 +18,8 @@
     this.#server = server;
   }
 
-  /** Sends the head of the answer, so that the caller sees it was taken. */
-  begin(): void {
+  /** Sends the headers, so that the caller knows that the call arrived. */
+  sendHeaders(): void {
     if (!this.#isOpen()) return;
     const headers = { "content-type": "application/x-ndjson" };
     this.#response.writeHead(STATUS_OK, headers);
@@ -40,10 +40,10 @@
   }
 
   /**
-   * Calls `listener` when the connection breaks before the answer ended. A
-   * silent connection never tells.
+   * Calls `listener` when the connection breaks before the response ended,
+   * except for a silent connection.
    */
-  registerBreak(listener: () => void): void {
+  registerDisconnect(listener: () => void): void {
     this.#response.once("close", () => {
       if (this.#response.writableFinished || this.#isSilent()) return;
       listener();
--- a/packages/kelpspar-standins/src/endpoint/running_endpoint.ts
+++ b/packages/kelpspar-standins/src/endpoint/running_endpoint.ts
@@ -2,7 +2,7 @@
 import type { EndpointFaults } from "./endpoint_faults.ts";
 import type { ExecutionReport } from "./execution_log.ts";
 
-/** One endpoint's stand-in, listening. */
+/** A running endpoint stand-in. */
 export interface RunningEndpoint {
   readonly address: string;
   readonly port: number;
@@ -10,10 +10,10 @@
   setFaults(changes: Partial<EndpointFaults>): void;
   executions(): ExecutionReport;
   load(): LoadReport;
-  /** Makes its open connections go silent for good. */
+  /** Silences all open connections permanently. */
   silence(): void;
-  /** Refuses new calls; resolves when those it has are done. */
+  /** Refuses new calls; resolves when all accepted calls are done. */
   leave(): Promise<void>;
-  /** Drops every connection and stops, as a process that dies. */
+  /** Drops all connections and stops, as a crashed process does. */
   close(): Promise<void>;
 }
--- a/packages/kelpspar-standins/src/endpoint/start_endpoint.ts
+++ b/packages/kelpspar-standins/src/endpoint/start_endpoint.ts
@@ -2,7 +2,7 @@
 import type { EndpointCore } from "./endpoint_core.ts";
 import type {
   EndpointSettings,
-  WholeEndpointSettings,
+  ResolvedEndpointSettings,
 } from "./endpoint_settings.ts";
 import type { Execution } from "./execution_log.ts";
 import type { RunningEndpoint } from "./running_endpoint.ts";
@@ -12,32 +12,32 @@
 import { endpointSettingsSchema } from "./endpoint_settings.ts";
 import { Engine } from "./engine/engine.ts";
 import { ExecutionLog } from "./execution_log.ts";
-import { FaultScript } from "./fault_injector.ts";
+import { FaultInjector } from "./fault_injector.ts";
 import { PlainService } from "./plain/plain_service.ts";
 
 const INCARNATION_BYTES = 6;
 
-/** How an endpoint is started. */
+/** Dependencies and callbacks of an endpoint. */
 export interface StartEndpointOptions {
   readonly timer: TimerService;
-  /** Called as each execution begins. */
+  /** Called when an execution starts. */
   readonly onExecution?: (execution: Execution) => void;
-  /** What dying means; default: drops all connections and stops. */
+  /** Simulates a crash; default: drops all connections and stops. */
   readonly onDie?: () => void;
-  /** Called when it left on request and has finished its calls. */
+  /** Called when the endpoint has finished its calls after `leave`. */
   readonly onLeft?: () => void;
 }
 
 interface CoreParts {
-  readonly settings: WholeEndpointSettings;
+  readonly settings: ResolvedEndpointSettings;
   readonly incarnation: string;
   readonly timer: TimerService;
-  readonly script: FaultScript;
+  readonly injector: FaultInjector;
   readonly log: ExecutionLog;
 }
 
 const CORES: Readonly<
-  Record<WholeEndpointSettings["kind"], (parts: CoreParts) => EndpointCore>
+  Record<ResolvedEndpointSettings["kind"], (parts: CoreParts) => EndpointCore>
 > = {
   engine: (parts) => new Engine({ ...parts, settings: parts.settings.engine }),
   plain: (parts) =>
@@ -49,8 +49,8 @@
 };
 
 /**
- * Starts one endpoint. Throws a ZodError for settings that are not valid, and
- * what `listen` emits.
+ * Starts an endpoint. Throws a ZodError for invalid settings, and the error of
+ * `listen`.
  */
 export async function startEndpoint(
   input: EndpointSettings,
@@ -60,14 +60,14 @@
   const incarnation = settings.incarnation ??
     new SystemRandom().nextHexadecimal(INCARNATION_BYTES);
   const random = new SeededRandom(settings.seed);
-  const script = new FaultScript(settings.faults, random);
+  const injector = new FaultInjector(settings.faults, random);
   const log = new ExecutionLog(options.onExecution);
   const { timer } = options;
   const core = CORES[settings.kind]({
     settings,
     incarnation,
     timer,
-    script,
+    injector,
     log,
   });
   const close = async (): Promise<void> => {
@@ -82,7 +82,7 @@
   };
   const server: JsonServer = new JsonServer(createEndpointRoutes({
     core,
-    script,
+    injector,
     log,
     server: () => server,
     die: options.onDie ?? (() => void close()),
@@ -93,7 +93,7 @@
     address: settings.address,
     port,
     incarnation,
-    setFaults: (changes) => script.setFaults(changes),
+    setFaults: (changes) => injector.setFaults(changes),
     executions: () => log.report(),
     load: () => core.load(),
     silence: () => server.silence(),
--- a/packages/kelpspar-standins/src/endpoint/write_failure.ts
+++ b/packages/kelpspar-standins/src/endpoint/write_failure.ts
@@ -9,7 +9,7 @@
   overloaded: 50,
 };
 
-/** Answers a call by one failure record. */
+/** Writes one failure record and ends the response. */
 export function writeFailure(
   writer: RecordWriter,
   failure: {
--- a/packages/kelpspar-standins/src/faults/delay.ts
+++ b/packages/kelpspar-standins/src/faults/delay.ts
@@ -1,6 +1,6 @@
 import type { RandomSource, TimerService } from "kelpspar-shared";
 
-/** Resolves after `milliseconds` of the timer service. */
+/** Resolves after `milliseconds` on the timer service. */
 export function delay(
   timer: TimerService,
   milliseconds: number,
@@ -10,12 +10,12 @@
   });
 }
 
-/** True by chance, in `share` of the draws; draws nothing for 0. */
-export function happens(random: RandomSource, share: number): boolean {
+/** Returns true with probability `share`; draws nothing for 0. */
+export function drawBoolean(random: RandomSource, share: number): boolean {
   return share > 0 && random.next() < share;
 }
 
-/** A call's latency under faults, milliseconds. */
+/** Draws a call's latency under faults, milliseconds. */
 export function drawLatency(
   random: RandomSource,
   faults: {
--- a/packages/kelpspar-standins/src/faults/rate_limit.ts
+++ b/packages/kelpspar-standins/src/faults/rate_limit.ts
@@ -1,50 +1,53 @@
 import type { TimerService } from "kelpspar-shared";
 
-const MILLISECONDS_A_SECOND = 1_000;
+const MILLISECONDS_PER_SECOND = 1_000;
 
-/** A token bucket that holds one second's worth. Rate 0 means no limit. */
+/** A token bucket with a burst of one second. Rate 0 means no limit. */
 export class RateLimit {
   readonly #timer: TimerService;
   #ratePerSecond: number;
   #tokens: number;
-  #filledAt: number;
+  #refilledAt: number;
 
   constructor(timer: TimerService, ratePerSecond: number) {
     this.#timer = timer;
     this.#ratePerSecond = ratePerSecond;
     this.#tokens = Math.max(1, ratePerSecond);
-    this.#filledAt = timer.now();
+    this.#refilledAt = timer.now();
   }
 
   setRate(ratePerSecond: number): void {
     if (ratePerSecond === this.#ratePerSecond) return;
     this.#ratePerSecond = ratePerSecond;
     this.#tokens = Math.max(1, ratePerSecond);
-    this.#filledAt = this.#timer.now();
+    this.#refilledAt = this.#timer.now();
   }
 
-  /** Takes one token; false when there is none. */
-  take(): boolean {
+  /** Consumes a token; false when there is none. */
+  tryConsume(): boolean {
     if (this.#ratePerSecond === 0) return true;
-    this.#fill();
+    this.#refill();
     if (this.#tokens < 1) return false;
     this.#tokens -= 1;
     return true;
   }
 
-  /** How long until a token is there, milliseconds. */
+  /** Time until a token is available, milliseconds. */
   get waitMilliseconds(): number {
     if (this.#ratePerSecond === 0) return 0;
-    this.#fill();
+    this.#refill();
     const missing = Math.max(0, 1 - this.#tokens);
-    return missing * MILLISECONDS_A_SECOND / this.#ratePerSecond;
+    return missing * MILLISECONDS_PER_SECOND / this.#ratePerSecond;
   }
 
-  #fill(): void {
+  #refill(): void {
     const now = this.#timer.now();
-    const seconds = (now - this.#filledAt) / MILLISECONDS_A_SECOND;
-    const most = Math.max(1, this.#ratePerSecond);
-    this.#tokens = Math.min(most, this.#tokens + seconds * this.#ratePerSecond);
-    this.#filledAt = now;
+    const seconds = (now - this.#refilledAt) / MILLISECONDS_PER_SECOND;
+    const capacity = Math.max(1, this.#ratePerSecond);
+    this.#tokens = Math.min(
+      capacity,
+      this.#tokens + seconds * this.#ratePerSecond,
+    );
+    this.#refilledAt = now;
   }
 }
--- a/packages/kelpspar-standins/src/faults/service_fault_control.ts
+++ b/packages/kelpspar-standins/src/faults/service_fault_control.ts
@@ -17,7 +17,7 @@
   hang: NO_REPLY,
 };
 
-/** Lays outages and latency over the routes of a service. */
+/** Applies outages and latency to the routes of a service. */
 export class ServiceFaultControl {
   readonly #timer: TimerService;
   readonly #random: RandomSource;
@@ -33,16 +33,16 @@
     this.#faults = options.faults;
   }
 
-  /** Changes some faults; throws a ZodError when they are not valid. */
+  /** Changes some faults. Throws a ZodError for invalid faults. */
   setFaults(changes: Partial<ServiceFaults>): void {
     this.#faults = serviceFaultsSchema.parse({ ...this.#faults, ...changes });
   }
 
-  /** The protocol's routes under faults, and the one that sets the faults. */
+  /** Wraps the protocol's routes with faults and adds the control route. */
   wrap(routes: readonly JsonRoute[]): readonly JsonRoute[] {
     const wrapped = routes.map((route) =>
       route.path.startsWith(PROTOCOL_PREFIX)
-        ? { ...route, handler: this.#underFaults(route.handler) }
+        ? { ...route, handler: this.#withFaults(route.handler) }
         : route
     );
     return [...wrapped, {
@@ -55,7 +55,7 @@
     }];
   }
 
-  #underFaults(handler: JsonHandler): JsonHandler {
+  #withFaults(handler: JsonHandler): JsonHandler {
     return async (request) => {
       const { outage } = this.#faults;
       if (outage !== "none") return OUTAGE_REPLIES[outage];
--- a/packages/kelpspar-standins/src/faults/service_faults.ts
+++ b/packages/kelpspar-standins/src/faults/service_faults.ts
@@ -1,17 +1,17 @@
 import { z } from "zod";
 
-/** Faults that every stand-in of the platform has. */
+/** Schema of the faults common to all platform stand-ins. */
 export const serviceFaultsSchema = z.strictObject({
   /**
-   * `unavailable` answers 503, `reset` drops the connection, `hang` never
-   * answers; under all three nothing is written.
+   * `unavailable` responds with 503, `reset` drops the connection, `hang` never
+   * responds. Nothing is written under any of them.
    */
   outage: z.enum(["none", "unavailable", "reset", "hang"]).default("none"),
-  /** How long each call takes to arrive, milliseconds. */
+  /** Delay before each call is handled, milliseconds. */
   latencyMilliseconds: z.number().min(0).default(0),
-  /** Up to this much is added to the latency by chance, milliseconds. */
+  /** Maximum random addition to the latency, milliseconds. */
   jitterMilliseconds: z.number().min(0).default(0),
 });
 
-/** Faults of a service, with every default filled in. */
+/** Faults of a service, with all defaults applied. */
 export type ServiceFaults = z.infer<typeof serviceFaultsSchema>;
--- a/packages/kelpspar-standins/src/http/json_reply.ts
+++ b/packages/kelpspar-standins/src/http/json_reply.ts
@@ -1,17 +1,17 @@
-/** What a handler makes of a request. */
+/** The reply of a handler to a request. */
 export type JsonReply =
   | { readonly kind: "answer"; readonly status: number; readonly body: unknown }
-  /** No answer for now, or ever: the handler streams, or the stand-in hangs. */
+  /** The server sends nothing: the handler streams, or the stand-in hangs. */
   | { readonly kind: "none" }
-  /** The connection is dropped without an answer. */
+  /** The connection is dropped without a response. */
   | { readonly kind: "reset" };
 
-/** An answer with `body` as JSON. */
+/** Creates a response with `body` as JSON. */
 export function answer(body: unknown, status = 200): JsonReply {
   return { kind: "answer", status, body };
 }
 
-/** No answer from here on. */
+/** Leaves the response to the handler, or sends none. */
 export const NO_REPLY: JsonReply = { kind: "none" };
 
 /** Drops the connection. */
--- a/packages/kelpspar-standins/src/http/json_route.ts
+++ b/packages/kelpspar-standins/src/http/json_route.ts
@@ -1,14 +1,14 @@
 import type { JsonReply } from "./json_reply.ts";
 import type { ServerResponse } from "node:http";
 
-/** A request whose body was read whole. */
+/** A request whose body was read completely. */
 export interface JsonRequest {
-  /** The decoded path parts that stood for `*`. */
+  /** The decoded path segments matched by `*`. */
   readonly parameters: readonly string[];
   readonly query: URLSearchParams;
   /** Undefined when the request had no body. */
   readonly body: unknown;
-  /** For handlers that stream their answer. */
+  /** For handlers that stream their response. */
   readonly response: ServerResponse;
 }
 
@@ -20,18 +20,18 @@
 /** One entry of a server's routing table. */
 export interface JsonRoute {
   readonly method: "GET" | "POST" | "PUT" | "DELETE";
-  /** A path in which `*` stands for any one part. */
+  /** A path in which `*` matches any single part. */
   readonly path: string;
   readonly handler: JsonHandler;
 }
 
-/** A route that fits a request. */
+/** A route that matches a request. */
 export interface RouteMatch {
   readonly route: JsonRoute;
   readonly parameters: readonly string[];
 }
 
-/** The first route that fits; undefined when there is none. */
+/** Finds the first matching route, if any. */
 export function matchRoute(
   routes: readonly JsonRoute[],
   request: { readonly method: string; readonly path: string },
@@ -45,12 +45,12 @@
 }
 
 function matchPath(pattern: string, path: string): string[] | undefined {
-  const wanted = pattern.split("/");
-  const given = path.split("/");
-  if (wanted.length !== given.length) return undefined;
+  const patternParts = pattern.split("/");
+  const pathParts = path.split("/");
+  if (patternParts.length !== pathParts.length) return undefined;
   const parameters: string[] = [];
-  for (const [index, part] of wanted.entries()) {
-    const text = given[index] ?? "";
+  for (const [index, part] of patternParts.entries()) {
+    const text = pathParts[index] ?? "";
     if (part === "*") parameters.push(decodeURIComponent(text));
     else if (part !== text) return undefined;
   }
--- a/packages/kelpspar-standins/src/http/json_server.ts
+++ b/packages/kelpspar-standins/src/http/json_server.ts
@@ -12,9 +12,9 @@
 const STATUS_INTERNAL_ERROR = 500;
 
 /**
- * A small HTTP server that answers JSON by a table of routes. It can make its
- * open connections go silent for good while new ones work, as a middlebox
- * does that has lost track of them.
+ * A small HTTP server that responds with JSON according to a routing table. It
+ * can silence its open connections permanently while new ones work, as a
+ * middlebox does that has lost their state.
  */
 export class JsonServer {
   readonly #routes: readonly JsonRoute[];
@@ -32,7 +32,7 @@
     this.#server.on("connection", (socket) => this.#track(socket));
   }
 
-  /** Listens on `address`; answers the port. Throws what `listen` emits. */
+  /** Listens on `address`; resolves to the port. Throws listen errors. */
   listen(address: string, port: number): Promise<number> {
     return new Promise((resolve, reject) => {
       this.#server.once("error", reject);
@@ -43,19 +43,19 @@
     });
   }
 
-  /** Silences the connections that are open now, but for `except`. */
+  /** Silences all connections that are open now, except `except`. */
   silence(except?: Socket | null): void {
     for (const socket of this.#sockets) {
       if (socket !== except) this.#silent.add(socket);
     }
   }
 
-  /** True when nothing may be sent or seen on this connection any more. */
+  /** Whether the connection was silenced: nothing is sent or received on it. */
   isSilent(socket: Socket): boolean {
     return this.#silent.has(socket);
   }
 
-  /** Resolves when no answer is under way, but for silent connections. */
+  /** Resolves when all pending responses on working connections ended. */
   async finishResponses(): Promise<void> {
     const open = [...this.#responses].filter(({ socket }) =>
       socket !== null && !this.#silent.has(socket)
@@ -67,7 +67,7 @@
     );
   }
 
-  /** Stops listening and drops every connection. */
+  /** Stops listening and drops all connections. */
   close(): Promise<void> {
     const closed = new Promise<void>((resolve) => {
       this.#server.close(() => resolve());
--- a/packages/kelpspar-standins/src/http/read_json_body.ts
+++ b/packages/kelpspar-standins/src/http/read_json_body.ts
@@ -1,18 +1,18 @@
 import type { IncomingMessage } from "node:http";
 
-const LONGEST_BODY_BYTES = 32 * 1024 * 1024;
+const MAXIMUM_BODY_BYTES = 32 * 1024 * 1024;
 
-/** A body that is too long, cut off or not JSON. */
+/** Thrown for a body that is too long, truncated or not JSON. */
 export class BodyError extends Error {}
 
-/** Reads a request's body whole as text. Throws BodyError. */
+/** Reads the complete body of a request as text. Throws BodyError. */
 export async function readTextBody(request: IncomingMessage): Promise<string> {
   const pieces: Buffer[] = [];
   let bytes = 0;
   try {
     for await (const piece of request) {
       bytes += (piece as Buffer).length;
-      if (bytes > LONGEST_BODY_BYTES) throw new Error("it is too long");
+      if (bytes > MAXIMUM_BODY_BYTES) throw new Error("it is too long");
       pieces.push(piece as Buffer);
     }
     return Buffer.concat(pieces).toString("utf8");
@@ -22,7 +22,8 @@
 }
 
 /**
- * Reads a request's body whole; undefined when it is empty. Throws BodyError.
+ * Reads the complete body of a request as JSON; undefined when it is empty.
+ * Throws BodyError.
  */
 export async function readJsonBody(request: IncomingMessage): Promise<unknown> {
   const text = await readTextBody(request);
--- a/packages/kelpspar-standins/src/http/silence_route.ts
+++ b/packages/kelpspar-standins/src/http/silence_route.ts
@@ -3,8 +3,8 @@
 import { answer } from "./json_reply.ts";
 
 /**
- * The route that silences every open connection but the one that carries it.
- * `server` is asked for late, since the routes exist before it does.
+ * Creates the route that silences all open connections except its own. `server`
+ * is a function because the routes are created before the server.
  */
 export function createSilenceRoute(server: () => JsonServer): JsonRoute {
   return {
--- a/packages/kelpspar-standins/src/mod.ts
+++ b/packages/kelpspar-standins/src/mod.ts
@@ -19,9 +19,9 @@
 export { endpointSettingsSchema } from "./endpoint/endpoint_settings.ts";
 export { engineAnswer } from "./endpoint/engine/engine_answer.ts";
 export {
+  readRequestedTokens,
   readTags,
   readToken,
-  readTokensWanted,
 } from "./endpoint/input_tags.ts";
 export { plainAnswer } from "./endpoint/plain/plain_answer.ts";
 export { startEndpoint } from "./endpoint/start_endpoint.ts";
--- a/packages/kelpspar-standins/src/object/object_routes.ts
+++ b/packages/kelpspar-standins/src/object/object_routes.ts
@@ -3,7 +3,7 @@
 
 const STATUS_NOT_FOUND = 404;
 
-/** The object store's HTTP protocol over a map (docs/PLATFORM.md). */
+/** The object store's HTTP protocol, backed by a map (docs/PLATFORM.md). */
 export function createObjectRoutes(
   objects: Map<string, string>,
 ): readonly JsonRoute[] {
--- a/packages/kelpspar-standins/src/platform/platform_settings.ts
+++ b/packages/kelpspar-standins/src/platform/platform_settings.ts
@@ -16,10 +16,10 @@
   checksFencing: z.boolean(),
 });
 
-/** Settings of the process that stands in for the platform. */
+/** Schema of the settings of the platform stand-in process. */
 export const platformSettingsSchema = z.strictObject({
   address: z.string().default("127.0.0.1"),
-  /** Seeds all chance of this process. */
+  /** Seed of all random choices of this process. */
   seed: z.number().int().default(1),
   table: z.strictObject({
     port: portSchema,
@@ -32,21 +32,21 @@
   weights: z.strictObject({
     port: portSchema,
     faults: serviceFaultsSchema.prefault({}),
-    /** Loads granted a second; 0 for no limit. */
+    /** Loads granted per second; 0 for no limit. */
     loadsPerSecond: z.number().min(0).default(0),
   }).prefault({}),
   vms: z.strictObject({
     port: portSchema,
     faults: serviceFaultsSchema.prefault({}),
-    /** How long a change of the list stays hidden, milliseconds. */
+    /** Delay until a change of the list is visible, milliseconds. */
     lagMilliseconds: z.number().min(0).default(500),
-    /** Visible from the beginning. */
+    /** VMs that are visible from the start. */
     vms: z.array(listedVmSchema).default([]),
   }).prefault({}),
 });
 
-/** Settings as written, defaults left out. */
+/** Settings as input, with defaults omitted. */
 export type PlatformSettings = z.input<typeof platformSettingsSchema>;
 
-/** Settings with every default filled in. */
-export type WholePlatformSettings = z.infer<typeof platformSettingsSchema>;
+/** Settings with all defaults applied. */
+export type ResolvedPlatformSettings = z.infer<typeof platformSettingsSchema>;
--- a/packages/kelpspar-standins/src/platform/running_platform.ts
+++ b/packages/kelpspar-standins/src/platform/running_platform.ts
@@ -4,7 +4,7 @@
 /** The four services of the platform. */
 export type PlatformService = "table" | "objects" | "weights" | "vms";
 
-/** The platform's stand-ins, listening. */
+/** The running stand-ins of the platform's services. */
 export interface RunningPlatform {
   readonly ports: Readonly<Record<PlatformService, number>>;
   /** `http://address:port` of each service. */
@@ -12,8 +12,8 @@
   readonly table: InMemoryTable;
   readonly objects: Map<string, string>;
   readonly vms: LaggingVmList;
-  /** Makes the open connections of a service go silent for good. */
+  /** Silences all open connections of a service permanently. */
   silence(service: PlatformService): void;
-  /** Stops listening and drops every connection. */
+  /** Stops listening and drops all connections. */
   close(): Promise<void>;
 }
--- a/packages/kelpspar-standins/src/platform/start_platform.ts
+++ b/packages/kelpspar-standins/src/platform/start_platform.ts
@@ -3,7 +3,7 @@
 import type { JsonRoute } from "../http/json_route.ts";
 import type {
   PlatformSettings,
-  WholePlatformSettings,
+  ResolvedPlatformSettings,
 } from "./platform_settings.ts";
 import type { PlatformService, RunningPlatform } from "./running_platform.ts";
 import { SeededRandom } from "kelpspar-shared";
@@ -28,8 +28,8 @@
 
 /**
  * Starts the table service, the object store, the weight store and the VM
- * list, each on its own port. Throws a ZodError for settings that are not
- * valid, and what `listen` emits.
+ * list, each on its own port. Throws a ZodError for invalid settings, and the
+ * error of `listen`.
  */
 export async function startPlatform(
   input: PlatformSettings,
@@ -59,9 +59,9 @@
   };
 }
 
-/** Each service draws from a seed of its own, so that none moves another. */
+/** Creates services with independent seeds, so that none affects another. */
 function createParts(
-  settings: WholePlatformSettings,
+  settings: ResolvedPlatformSettings,
   timer: TimerService,
 ): PlatformParts {
   const { seed } = settings;
@@ -91,7 +91,7 @@
 }
 
 async function listen(
-  settings: WholePlatformSettings,
+  settings: ResolvedPlatformSettings,
   servers: PlatformParts["servers"],
 ): Promise<RunningPlatform["ports"]> {
   const start = (service: PlatformService): Promise<number> =>
--- a/packages/kelpspar-standins/src/table/in_memory_table.ts
+++ b/packages/kelpspar-standins/src/table/in_memory_table.ts
@@ -16,24 +16,24 @@
 
 const DEFAULT_TIMEOUT_MILLISECONDS = 1_000;
 
-/** How an in-memory table behaves. */
+/** Dependencies, faults and timeout of an in-memory table. */
 export interface InMemoryTableOptions {
   readonly timer: TimerService;
-  /** Chance for the seeded faults; default a generator with seed 1. */
+  /** Random source of the faults; default: a generator with seed 1. */
   readonly random?: RandomSource;
   readonly faults?: Partial<TableFaults>;
-  /** How long its users wait for an answer, milliseconds; default 1,000. */
+  /** Timeout of each call, milliseconds; default 1,000. */
   readonly timeoutMilliseconds?: number;
 }
 
 /**
- * The table service in memory, for tests that need no HTTP. Its faults show as
- * they do through `HttpTableService`: `table_unavailable` when nothing was
- * written, `write_unknown` when a write's answer never came. A transaction
- * that is not valid throws `platform_refused`.
+ * The table service in memory, for tests without HTTP. It throws the same errors
+ * as `HttpTableService`: `table_unavailable` when nothing was written,
+ * `write_unknown` when the response to a write was lostResult, and `platform_refused`
+ * for an invalid transaction.
  */
 export class InMemoryTable implements TableService {
-  /** The table behind the port; the HTTP front uses it too. */
+  /** The underlying table, also used by the HTTP routes. */
   readonly scripted: ScriptedTable;
   readonly #timer: TimerService;
   readonly #timeoutMilliseconds: number;
@@ -59,22 +59,22 @@
 
   async commit(transaction: TableTransaction): Promise<TransactionResult> {
     const pending = this.scripted.commit(transaction);
-    return unwrap(await this.#within(pending), "write_unknown");
+    return unwrap(await this.#withTimeout(pending), "write_unknown");
   }
 
   async read(
     keys: readonly TableKey[],
   ): Promise<readonly (TableRow | null)[]> {
     const pending = this.scripted.read(keys);
-    return unwrap(await this.#within(pending), "table_unavailable");
+    return unwrap(await this.#withTimeout(pending), "table_unavailable");
   }
 
   async scan(scan: TableScan): Promise<readonly TableRow[]> {
     const pending = this.scripted.scan(scan);
-    return unwrap(await this.#within(pending), "table_unavailable");
+    return unwrap(await this.#withTimeout(pending), "table_unavailable");
   }
 
-  #within<Value>(
+  #withTimeout<Value>(
     pending: Promise<TableAnswer<Value>>,
   ): Promise<TableAnswer<Value>> {
     return new Promise((resolve, reject) => {
@@ -91,11 +91,14 @@
   }
 }
 
-function unwrap<Value>(answer: TableAnswer<Value>, lost: ResultName): Value {
+function unwrap<Value>(
+  answer: TableAnswer<Value>,
+  lostResult: ResultName,
+): Value {
   if (answer.kind === "answered") return answer.value;
   if (answer.kind !== "refused") {
     throw new KelpsparError(
-      lost,
+      lostResult,
       `The table's answer was lost: ${answer.kind}`,
     );
   }
--- a/packages/kelpspar-standins/src/table/scripted_table.ts
+++ b/packages/kelpspar-standins/src/table/scripted_table.ts
@@ -9,17 +9,17 @@
 import type { TableAnswer, TableRefusal } from "./table_answer.ts";
 import type { TableCounters } from "./table_counters.ts";
 import type { TableFaults } from "./table_faults.ts";
-import { delay, drawLatency, happens } from "../faults/delay.ts";
+import { delay, drawBoolean, drawLatency } from "../faults/delay.ts";
 import { RateLimit } from "../faults/rate_limit.ts";
 import { createTableCounters } from "./table_counters.ts";
 import { tableFaultsSchema } from "./table_faults.ts";
 import { TableRows } from "./table_rows.ts";
 
-const MOST_WRITES = 100;
+const MAXIMUM_WRITES = 100;
 
-type WriteFate = "answer" | "lose_answer" | "delay_write";
+type WriteOutcome = "answer" | "lose_answer" | "delay_write";
 
-/** Rows behind scripted, seeded faults. */
+/** A table with scripted and seeded random faults. */
 export class ScriptedTable {
   readonly counters: TableCounters = createTableCounters();
   readonly #timer: TimerService;
@@ -28,7 +28,7 @@
   readonly #writeLimit: RateLimit;
   readonly #readLimit: RateLimit;
   #faults: TableFaults;
-  #drawn = 0;
+  #drawnWrites = 0;
 
   constructor(options: {
     readonly timer: TimerService;
@@ -52,47 +52,47 @@
     return this.#faults;
   }
 
-  /** Changes some faults; throws a ZodError when they are not valid. */
+  /** Changes some faults. Throws a ZodError for invalid faults. */
   setFaults(changes: Partial<TableFaults>): void {
     this.#faults = tableFaultsSchema.parse({ ...this.#faults, ...changes });
     this.#writeLimit.setRate(this.#faults.transactionsPerSecond);
     this.#readLimit.setRate(this.#faults.readsPerSecond);
   }
 
-  /** With no latency, a transaction takes effect before this returns. */
+  /** Commits a transaction; without latency, before this returns. */
   async commit(
     transaction: TableTransaction,
   ): Promise<TableAnswer<TransactionResult>> {
     if (!isValid(transaction)) return this.#refuse("invalid");
-    const stopped = this.#stop(this.#writeLimit);
-    if (stopped !== undefined) return stopped;
+    const refusal = this.#checkAvailability(this.#writeLimit);
+    if (refusal !== undefined) return refusal;
     const latency = drawLatency(this.#random, this.#faults);
     if (latency > 0) await delay(this.#timer, latency);
-    return this.#FATES[this.#drawFate()](transaction);
+    return this.#writeHandlers[this.#drawWriteOutcome()](transaction);
   }
 
   async read(
     keys: readonly TableKey[],
   ): Promise<TableAnswer<readonly (TableRow | null)[]>> {
-    const stopped = await this.#arrive();
-    if (stopped !== undefined) return stopped;
+    const refusal = await this.#admitRead();
+    if (refusal !== undefined) return refusal;
     this.counters.reads += 1;
     this.counters.rowsRead += keys.length;
     return { kind: "answered", value: keys.map((key) => this.#rows.get(key)) };
   }
 
   async scan(scan: TableScan): Promise<TableAnswer<readonly TableRow[]>> {
-    const stopped = await this.#arrive();
-    if (stopped !== undefined) return stopped;
+    const refusal = await this.#admitRead();
+    if (refusal !== undefined) return refusal;
     const value = this.#rows.scan(scan);
     this.counters.scans += 1;
     this.counters.rowsRead += value.length;
     return { kind: "answered", value };
   }
 
-  readonly #FATES: Readonly<
+  readonly #writeHandlers: Readonly<
     Record<
-      WriteFate,
+      WriteOutcome,
       (transaction: TableTransaction) => TableAnswer<TransactionResult>
     >
   > = {
@@ -107,25 +107,28 @@
     },
     delay_write: (transaction) => {
       const later = this.#faults.delayWriteMilliseconds;
-      this.#timer.registerTimeout(() => this.#apply(transaction), later);
+      this.#timer.registerTimeout(
+        () => this.#apply(transaction),
+        later,
+      );
       this.counters.writesDelayed += 1;
       return { kind: this.#faults.lostAnswer };
     },
   };
 
-  async #arrive(): Promise<TableAnswer<never> | undefined> {
-    const stopped = this.#stop(this.#readLimit);
-    if (stopped !== undefined) return stopped;
+  async #admitRead(): Promise<TableAnswer<never> | undefined> {
+    const refusal = this.#checkAvailability(this.#readLimit);
+    if (refusal !== undefined) return refusal;
     const latency = drawLatency(this.#random, this.#faults);
     if (latency > 0) await delay(this.#timer, latency);
     return undefined;
   }
 
-  #stop(limit: RateLimit): TableAnswer<never> | undefined {
+  #checkAvailability(limit: RateLimit): TableAnswer<never> | undefined {
     const { outage } = this.#faults;
     if (outage === "unavailable") return this.#refuse("outage");
     if (outage !== "none") return { kind: outage };
-    return limit.take() ? undefined : this.#refuse("rate");
+    return limit.tryConsume() ? undefined : this.#refuse("rate");
   }
 
   #refuse(reason: TableRefusal): TableAnswer<never> {
@@ -133,13 +136,13 @@
     return { kind: "refused", reason };
   }
 
-  #drawFate(): WriteFate {
-    this.#drawn += 1;
+  #drawWriteOutcome(): WriteOutcome {
+    this.#drawnWrites += 1;
     const faults = this.#faults;
-    if (isNth(this.#drawn, faults.delayWriteEvery)) return "delay_write";
-    if (isNth(this.#drawn, faults.loseAnswerEvery)) return "lose_answer";
-    if (happens(this.#random, faults.delayWriteShare)) return "delay_write";
-    if (happens(this.#random, faults.loseAnswerShare)) return "lose_answer";
+    if (isNth(this.#drawnWrites, faults.delayWriteEvery)) return "delay_write";
+    if (isNth(this.#drawnWrites, faults.loseAnswerEvery)) return "lose_answer";
+    if (drawBoolean(this.#random, faults.delayWriteShare)) return "delay_write";
+    if (drawBoolean(this.#random, faults.loseAnswerShare)) return "lose_answer";
     return "answer";
   }
 
@@ -156,10 +159,10 @@
   return every > 0 && count % every === 0;
 }
 
-/** At most 100 rows, each written once, each value JSON. */
+/** Checks for at most 100 writes, distinct rows and defined values. */
 function isValid(transaction: TableTransaction): boolean {
   const { writes } = transaction;
-  if (!Array.isArray(writes) || writes.length > MOST_WRITES) return false;
+  if (!Array.isArray(writes) || writes.length > MAXIMUM_WRITES) return false;
   const rows = new Set(writes.map(({ table, key }) => `${table}\n${key}`));
   return rows.size === writes.length &&
     writes.every(({ value }) => value !== undefined);
--- a/packages/kelpspar-standins/src/table/sorted_keys.ts
+++ b/packages/kelpspar-standins/src/table/sorted_keys.ts
@@ -1,25 +1,25 @@
-/** Keys in the order of their UTF-16 units, for scans. */
+/** Keys sorted by UTF-16 units, for scans. */
 export class SortedKeys {
   readonly #keys: string[] = [];
 
   add(key: string): void {
-    const index = this.#firstAtLeast(key);
+    const index = this.#lowerBound(key);
     if (this.#keys[index] !== key) this.#keys.splice(index, 0, key);
   }
 
   delete(key: string): void {
-    const index = this.#firstAtLeast(key);
+    const index = this.#lowerBound(key);
     if (this.#keys[index] === key) this.#keys.splice(index, 1);
   }
 
-  /** At most `limit` keys that begin with `prefix` and come after `after`. */
+  /** Lists at most `limit` keys with `prefix` that sort after `after`. */
   list(
     prefix: string,
     options: { readonly after?: string | undefined; readonly limit: number },
   ): string[] {
     const { after, limit } = options;
     const listed: string[] = [];
-    let index = this.#firstAtLeast(
+    let index = this.#lowerBound(
       after !== undefined && after > prefix ? after : prefix,
     );
     if (this.#keys[index] === after) index += 1;
@@ -32,7 +32,7 @@
     return listed;
   }
 
-  #firstAtLeast(key: string): number {
+  #lowerBound(key: string): number {
     let low = 0;
     let high = this.#keys.length;
     while (low < high) {
--- a/packages/kelpspar-standins/src/table/table_counters.ts
+++ b/packages/kelpspar-standins/src/table/table_counters.ts
@@ -1,19 +1,19 @@
-/** What a table was asked since it began. */
+/** Counters of a table since its start. */
 export interface TableCounters {
-  /** Transactions that took effect or met a conflict. */
+  /** Transactions that were committed or failed by a conflict. */
   transactions: number;
   conflicts: number;
   rowsWritten: number;
   reads: number;
   scans: number;
   rowsRead: number;
-  /** Calls refused for an outage, the rate or as not valid. */
+  /** Calls refused because of an outage, the rate limit or invalid input. */
   refused: number;
   answersLost: number;
   writesDelayed: number;
 }
 
-/** Counters at zero. */
+/** Creates counters at zero. */
 export function createTableCounters(): TableCounters {
   return {
     transactions: 0,
--- a/packages/kelpspar-standins/src/table/table_rows.ts
+++ b/packages/kelpspar-standins/src/table/table_rows.ts
@@ -9,7 +9,7 @@
 import { SortedKeys } from "./sorted_keys.ts";
 
 interface StoredRow {
-  /** The value as JSON text, so that no reader can change what is kept. */
+  /** The value as JSON text, so that readers can't modify it. */
   readonly text: string;
   readonly version: number;
 }
@@ -20,23 +20,23 @@
 }
 
 /**
- * The rows themselves, without faults: every operation takes effect at once.
- * A row that is deleted and written again starts at version 1 again.
+ * The rows of all tables, without faults: every operation takes effect at once.
+ * A row that is deleted and written again restarts at version 1.
  */
 export class TableRows {
   readonly #tables = new Map<string, StoredTable>();
 
-  /** Writes all rows or none. */
+  /** Writes all rows, or none if there is a conflict. */
   commit(transaction: TableTransaction): TransactionResult {
     const conflicts = transaction.writes
-      .filter((write) => !this.#holds(write))
+      .filter((write) => !this.#matchesExpectedVersion(write))
       .map(({ table, key }) => ({ table, key, row: this.get({ table, key }) }));
     if (conflicts.length > 0) return { committed: false, conflicts };
     const versions = transaction.writes.map((write) => this.#write(write));
     return { committed: true, versions };
   }
 
-  /** Null when the row is absent. */
+  /** Returns a row, or null when it is absent. */
   get({ table, key }: TableKey): TableRow | null {
     const stored = this.#tables.get(table)?.rows.get(key);
     if (stored === undefined) return null;
@@ -52,7 +52,7 @@
     return keys.flatMap((key) => this.get({ table: scan.table, key }) ?? []);
   }
 
-  #holds(write: TableWrite): boolean {
+  #matchesExpectedVersion(write: TableWrite): boolean {
     if (write.expectedVersion === undefined) return true;
     return this.#version(write) === write.expectedVersion;
   }
@@ -62,7 +62,7 @@
   }
 
   #write(write: TableWrite): number {
-    const { rows, keys } = this.#table(write.table);
+    const { rows, keys } = this.#getOrCreateTable(write.table);
     if (write.value === null) {
       rows.delete(write.key);
       keys.delete(write.key);
@@ -74,9 +74,9 @@
     return version;
   }
 
-  #table(name: string): StoredTable {
-    const known = this.#tables.get(name);
-    if (known !== undefined) return known;
+  #getOrCreateTable(name: string): StoredTable {
+    const existing = this.#tables.get(name);
+    if (existing !== undefined) return existing;
     const table = { rows: new Map(), keys: new SortedKeys() };
     this.#tables.set(name, table);
     return table;
--- a/packages/kelpspar-standins/src/vm/lagging_vm_list.ts
+++ b/packages/kelpspar-standins/src/vm/lagging_vm_list.ts
@@ -1,16 +1,16 @@
 import type { ListedVm, VmList, VmListAnswer } from "kelpspar-backends";
 import type { TimerService } from "kelpspar-shared";
 
-/** How far a VM list lags and what it begins with. */
+/** Lag and initial content of a VM list. */
 export interface LaggingVmListOptions {
   readonly timer: TimerService;
-  /** How long a change stays hidden, milliseconds. */
+  /** Delay until a change is visible, milliseconds. */
   readonly lagMilliseconds: number;
-  /** Visible from the beginning. */
+  /** VMs that are visible from the start. */
   readonly vms?: readonly ListedVm[];
 }
 
-/** A VM list whose changes show only after a lag. */
+/** A VM list whose changes become visible after a lag. */
 export class LaggingVmList implements VmList {
   readonly #timer: TimerService;
   #lagMilliseconds: number;
@@ -23,12 +23,12 @@
     this.#visible = { sequence: this.#sequence, vms: options.vms ?? [] };
   }
 
-  /** Changes the lag of later changes, milliseconds. */
+  /** Sets the lag of later changes, milliseconds. */
   setLag(lagMilliseconds: number): void {
     this.#lagMilliseconds = lagMilliseconds;
   }
 
-  /** Replaces the whole list; it shows after the lag. */
+  /** Replaces the list; the new one becomes visible after the lag. */
   replace(vms: readonly ListedVm[]): void {
     this.#sequence += 1;
     const answer = { sequence: this.#sequence, vms: [...vms] };
@@ -39,7 +39,7 @@
     );
   }
 
-  /** What callers see now. */
+  /** The list that callers see now. */
   get visible(): VmListAnswer {
     return this.#visible;
   }
@@ -48,7 +48,7 @@
     return this.#visible;
   }
 
-  /** A list never goes back, also when the lag was made shorter meanwhile. */
+  /** Ignores an older list, which can be late if the lag was shortened. */
   #show(answer: VmListAnswer): void {
     if (answer.sequence > this.#visible.sequence) this.#visible = answer;
   }
--- a/packages/kelpspar-standins/src/vm/vm_routes.ts
+++ b/packages/kelpspar-standins/src/vm/vm_routes.ts
@@ -14,7 +14,7 @@
   ];
 }
 
-/** What only tests and experiments do: sets the list and its lag. */
+/** Control routes for tests and experiments: set the list and its lag. */
 export function createVmControlRoutes(
   list: LaggingVmList,
 ): readonly JsonRoute[] {
--- a/packages/kelpspar-standins/src/weight/weight_routes.ts
+++ b/packages/kelpspar-standins/src/weight/weight_routes.ts
@@ -3,7 +3,7 @@
 import type { JsonRoute } from "../http/json_route.ts";
 import { answer } from "../http/json_reply.ts";
 
-/** What the weight store was asked since it began. */
+/** Counters of the weight store since its start. */
 export interface WeightCounters {
   granted: number;
   refused: number;
@@ -27,7 +27,7 @@
 }
 
 function requestLoad(limit: RateLimit, counters: WeightCounters): WeightGrant {
-  if (limit.take()) {
+  if (limit.tryConsume()) {
     counters.granted += 1;
     return { granted: true, retryAfterMilliseconds: 0 };
   }
