--- a/packages/kelpspar-scenarios/src/ablation/mechanisms.ts
+++ b/packages/kelpspar-scenarios/src/ablation/mechanisms.ts
@@ -7,8 +7,8 @@
   {
     name: "placement-by-coordinator",
     file: `${GATEWAY}/requests/choose_request_endpoint.ts`,
-    code: "return placedEndpoint(run, tried) ?? chooseEndpoint({",
-    without: "return chooseEndpoint({",
+    code: "return placedEndpoint(run, tried) ?? chooseLocally(run, tried);",
+    without: "return chooseLocally(run, tried);",
   },
   {
     name: "prompt-fetch",
