--- a/packages/kelpspar-scenarios/src/__tests__/unit/scenario_language_test.ts
+++ b/packages/kelpspar-scenarios/src/__tests__/unit/scenario_language_test.ts
@@ -4,7 +4,7 @@
 import { FAILURES, UNTOUCHED } from "../../language/failures.ts";
 import { loadScenarios } from "../../language/load_scenarios.ts";
 import { parseScenarios } from "../../language/parse_scenarios.ts";
-import { FURTHER_PROMISES, PROMISES } from "../../language/promises.ts";
+import { FURTHER_PROMISES, PROMISES } from "../../language/invariants.ts";
 import { countOf, renderCoverage } from "../../language/render_coverage.ts";
 import { renderMutants } from "../../language/render_mutants.ts";
 import { renderSteps } from "../../language/render_steps.ts";
--- a/packages/kelpspar-scenarios/src/language/render_coverage.ts
+++ b/packages/kelpspar-scenarios/src/language/render_coverage.ts
@@ -1,6 +1,6 @@
 import type { Scenario } from "./scenario.ts";
 import { FAILURES, UNTOUCHED } from "./failures.ts";
-import { PROMISES } from "./promises.ts";
+import { PROMISES } from "./invariants.ts";
 
 /** The table of promises and failures for docs/SCENARIOS.md, in Markdown. */
 export function renderCoverage(scenarios: readonly Scenario[]): string {
--- a/packages/kelpspar-scenarios/src/language/render_steps.ts
+++ b/packages/kelpspar-scenarios/src/language/render_steps.ts
@@ -1,5 +1,5 @@
 import type { StepTable } from "./step_definition.ts";
-import { PLANNED_SUFFIX } from "./planned_steps.ts";
+import { PLANNED_SUFFIX } from "./delayed_steps.ts";
 
 /** The lists of steps for docs/SCENARIOS.md, in Markdown. */
 export function renderSteps(
--- a/packages/kelpspar-scenarios/src/runner/scenario_pool.ts
+++ b/packages/kelpspar-scenarios/src/runner/scenario_pool.ts
@@ -1,6 +1,6 @@
 import type { ChildProcess } from "node:child_process";
-import type { ScenarioAnswer } from "./scenario_answer.ts";
-import type { ScenarioOrder } from "./scenario_order.ts";
+import type { ScenarioAnswer } from "./scenario_result.ts";
+import type { ScenarioOrder } from "./scenario_job.ts";
 import { fork } from "node:child_process";
 import { fileURLToPath } from "node:url";
 
--- a/packages/kelpspar-scenarios/src/runner/worker_main.ts
+++ b/packages/kelpspar-scenarios/src/runner/worker_main.ts
@@ -1,5 +1,5 @@
-import type { ScenarioAnswer } from "./scenario_answer.ts";
-import type { ScenarioOrder } from "./scenario_order.ts";
+import type { ScenarioAnswer } from "./scenario_result.ts";
+import type { ScenarioOrder } from "./scenario_job.ts";
 import { loadScenarios } from "../language/load_scenarios.ts";
 import { runScenario } from "../language/run_scenario.ts";
 import { MUTANTS } from "../mutants/mutants.ts";
--- a/packages/kelpspar-scenarios/src/steps/assertion_steps.ts
+++ b/packages/kelpspar-scenarios/src/steps/assertion_steps.ts
@@ -6,7 +6,7 @@
 import { findLateRefusals } from "../checks/find_late_refusals.ts";
 import { findOverdueCalls } from "../checks/find_overdue_calls.ts";
 import { findRepeatedRuns } from "../checks/find_repeated_runs.ts";
-import { findTakenRequests } from "../checks/find_taken_requests.ts";
+import { findTakenRequests } from "../checks/find_accepted_requests.ts";
 import { findWrongAnswers } from "../checks/find_wrong_answers.ts";
 import { findWrongEndings } from "../checks/find_wrong_endings.ts";
 import { findErrors } from "../checks/find_errors.ts";
--- a/packages/kelpspar-scenarios/src/steps/daemon_fault_steps.ts
+++ b/packages/kelpspar-scenarios/src/steps/daemon_fault_steps.ts
@@ -3,7 +3,7 @@
 import type { WorldDaemon } from "../world/daemon/world_daemon.ts";
 import type { NetworkLink } from "../world/network/network_link.ts";
 import type { World } from "../world/world.ts";
-import { plannedSteps } from "../language/planned_steps.ts";
+import { plannedSteps } from "../language/delayed_steps.ts";
 
 /** Steps by which daemons and their connections fail. */
 export const DAEMON_FAULT_STEPS: StepTable = plannedSteps({
--- a/packages/kelpspar-scenarios/src/steps/endpoint_fault_steps.ts
+++ b/packages/kelpspar-scenarios/src/steps/endpoint_fault_steps.ts
@@ -3,7 +3,7 @@
 import type { EndpointFaults } from "../world/endpoint/endpoint_faults.ts";
 import type { WorldEndpoint } from "../world/endpoint/world_endpoint.ts";
 import type { World } from "../world/world.ts";
-import { plannedSteps } from "../language/planned_steps.ts";
+import { plannedSteps } from "../language/delayed_steps.ts";
 import { NO_ENDPOINT_FAULTS } from "../world/endpoint/endpoint_faults.ts";
 
 const EVERY = "every ";
--- a/packages/kelpspar-scenarios/src/steps/leaving_steps.ts
+++ b/packages/kelpspar-scenarios/src/steps/leaving_steps.ts
@@ -1,5 +1,5 @@
 import type { StepTable } from "../language/step_definition.ts";
-import { plannedSteps } from "../language/planned_steps.ts";
+import { plannedSteps } from "../language/delayed_steps.ts";
 
 /** Steps by which endpoints leave, each known from one source alone. */
 export const LEAVING_STEPS: StepTable = plannedSteps({
--- a/packages/kelpspar-scenarios/src/steps/load_steps.ts
+++ b/packages/kelpspar-scenarios/src/steps/load_steps.ts
@@ -2,7 +2,7 @@
 import type { StepTable } from "../language/step_definition.ts";
 import type { RetryPlan } from "../world/callers/retry_plan.ts";
 import type { World } from "../world/world.ts";
-import { PLANNED_SUFFIX } from "../language/planned_steps.ts";
+import { PLANNED_SUFFIX } from "../language/delayed_steps.ts";
 import { LOAD_KINDS } from "../world/callers/load_kind.ts";
 import { NO_RETRIES, PATIENT_RETRIES } from "../world/callers/retry_plan.ts";
 
--- a/packages/kelpspar-scenarios/src/steps/operator_steps.ts
+++ b/packages/kelpspar-scenarios/src/steps/operator_steps.ts
@@ -1,7 +1,7 @@
 import type { Configuration } from "kelpspar-configuration";
 import type { StepTable } from "../language/step_definition.ts";
 import type { World } from "../world/world.ts";
-import { plannedSteps } from "../language/planned_steps.ts";
+import { plannedSteps } from "../language/delayed_steps.ts";
 
 /** Steps that operators take. */
 export const OPERATOR_STEPS: StepTable = plannedSteps({
--- a/packages/kelpspar-scenarios/src/steps/platform_fault_steps.ts
+++ b/packages/kelpspar-scenarios/src/steps/platform_fault_steps.ts
@@ -1,7 +1,7 @@
 import type { TableFaults } from "kelpspar-standins";
 import type { StepTable } from "../language/step_definition.ts";
 import type { World } from "../world/world.ts";
-import { plannedSteps } from "../language/planned_steps.ts";
+import { plannedSteps } from "../language/delayed_steps.ts";
 
 /** Steps by which the platform's services fail. */
 export const PLATFORM_FAULT_STEPS: StepTable = plannedSteps({
--- a/packages/kelpspar-scenarios/src/world/callers/callers.ts
+++ b/packages/kelpspar-scenarios/src/world/callers/callers.ts
@@ -11,11 +11,11 @@
   toFailureRecord,
   toKelpsparError,
 } from "kelpspar-shared";
-import { askDaemon } from "./ask_daemon.ts";
+import { askDaemon } from "./send_to_daemon.ts";
 import { CallerDirectory } from "./caller_directory.ts";
 import { createKey } from "./create_key.ts";
 import { followAnswer } from "./follow_answer.ts";
-import { mayHaveBeenTaken } from "./may_have_been_taken.ts";
+import { mayHaveBeenTaken } from "./may_have_been_accepted.ts";
 import { toEndRecord } from "./to_end_record.ts";
 
 const ZONES: readonly string[] = ["zone-a", "zone-b", "zone-c"];
--- a/packages/kelpspar-scenarios/src/world/callers/to_end_record.ts
+++ b/packages/kelpspar-scenarios/src/world/callers/to_end_record.ts
@@ -1,5 +1,5 @@
 import type { EndRecord } from "kelpspar-shared";
-import type { KeptAnswer } from "./ask_daemon.ts";
+import type { KeptAnswer } from "./send_to_daemon.ts";
 
 /** The record that ends a kept answer. */
 export function toEndRecord(answer: KeptAnswer): EndRecord {
--- a/packages/kelpspar-scenarios/src/world/daemon/world_daemon.ts
+++ b/packages/kelpspar-scenarios/src/world/daemon/world_daemon.ts
@@ -7,7 +7,7 @@
 } from "kelpspar-daemon";
 import type { ManualTimer, RandomSource } from "kelpspar-shared";
 import type { WorldMutation } from "../world_mutation.ts";
-import type { RevisionInForce } from "./revision_in_force.ts";
+import type { RevisionInForce } from "./active_revision.ts";
 import {
   createCore,
   createPeerHandlers,
--- a/packages/kelpspar-scenarios/src/world/endpoint/world_endpoint.ts
+++ b/packages/kelpspar-scenarios/src/world/endpoint/world_endpoint.ts
@@ -11,7 +11,7 @@
 import { readToken } from "kelpspar-standins";
 import { answerCall } from "./answer_call.ts";
 import { NO_ENDPOINT_FAULTS } from "./endpoint_faults.ts";
-import { fateOfCall } from "./fate_of_call.ts";
+import { fateOfCall } from "./choose_call_outcome.ts";
 import { EndpointRun } from "./endpoint_run.ts";
 import { RecordWriter } from "./record_writer.ts";
 
--- a/packages/kelpspar-scenarios/src/world/world.ts
+++ b/packages/kelpspar-scenarios/src/world/world.ts
@@ -5,7 +5,7 @@
 import type { WorldMutation } from "./world_mutation.ts";
 import { InMemoryTable } from "kelpspar-standins";
 import { SeededRandom } from "kelpspar-shared";
-import { Agenda } from "./agenda.ts";
+import { Agenda } from "./action_queue.ts";
 import { createLoadDefaults } from "./callers/load_defaults.ts";
 import { Callers } from "./callers/callers.ts";
 import { WorldDaemon } from "./daemon/world_daemon.ts";
