--- a/packages/kelpspar-scenarios/src/__tests__/unit/scenario_language_test.ts
+++ b/packages/kelpspar-scenarios/src/__tests__/unit/scenario_language_test.ts
@@ -1,11 +1,14 @@
 import { expect } from "earl";
 import { readFileSync } from "node:fs";
 import { test } from "node:test";
-import { FAILURES, UNTOUCHED } from "../../language/failures.ts";
+import { FAILURES, INAPPLICABLE_PAIRS } from "../../language/failures.ts";
 import { loadScenarios } from "../../language/load_scenarios.ts";
 import { parseScenarios } from "../../language/parse_scenarios.ts";
-import { FURTHER_PROMISES, PROMISES } from "../../language/invariants.ts";
-import { countOf, renderCoverage } from "../../language/render_coverage.ts";
+import { FURTHER_INVARIANTS, INVARIANTS } from "../../language/invariants.ts";
+import {
+  countScenarios,
+  renderCoverage,
+} from "../../language/render_coverage.ts";
 import { renderMutants } from "../../language/render_mutants.ts";
 import { renderSteps } from "../../language/render_steps.ts";
 import { scenarioTitle } from "../../language/scenario_title.ts";
@@ -21,23 +24,24 @@
 }
 
 test("every promise has a scenario for each failure that can touch it, and for two at once", () => {
-  const missing = Object.keys(PROMISES).flatMap((promise) => [
+  const missing = Object.keys(INVARIANTS).flatMap((invariant) => [
     ...Object.keys(FAILURES).filter((failure) =>
-      failure !== "network-cut" && !(`${promise} ${failure}` in UNTOUCHED) &&
-      countOf(SCENARIOS, { promise, failure }) === 0
-    ).map((failure) => `${promise} ${failure}`),
+      failure !== "network-cut" &&
+      !(`${invariant} ${failure}` in INAPPLICABLE_PAIRS) &&
+      countScenarios(SCENARIOS, { invariant, failure }) === 0
+    ).map((failure) => `${invariant} ${failure}`),
     ...SCENARIOS.some((scenario) =>
-        scenario.promise === promise && scenario.failures.length > 1
+        scenario.invariant === invariant && scenario.failures.length > 1
       )
       ? []
-      : [`${promise} two at once`],
+      : [`${invariant} two at once`],
   ]);
   expect(missing).toEqual([]);
 });
 
 test("every scenario stands under a known promise, with known tags and a title of its own", () => {
-  const unknown = SCENARIOS.flatMap(({ promise, failures }) => [
-    ...promise in { ...PROMISES, ...FURTHER_PROMISES } ? [] : [promise],
+  const unknown = SCENARIOS.flatMap(({ invariant, failures }) => [
+    ...invariant in { ...INVARIANTS, ...FURTHER_INVARIANTS } ? [] : [invariant],
     ...failures.filter((failure) => !(failure in FAILURES)),
   ]);
   expect(unknown).toEqual([]);
@@ -82,7 +86,7 @@
       | verb |
       | runs |
       | ends |`;
-  const source = { promise: "own_results", file: "f.feature" };
+  const source = { invariant: "own_results", file: "f.feature" };
   const found = parseScenarios(text, source);
   expect(found.map(({ name }) => name)).toEqual(["it runs", "it ends"]);
   expect(found.map(({ seed }) => seed)).toEqual([7, 7]);
--- a/packages/kelpspar-scenarios/src/__tests__/unit/world_test.ts
+++ b/packages/kelpspar-scenarios/src/__tests__/unit/world_test.ts
@@ -11,7 +11,7 @@
   const kind = LOAD_KINDS["booking confirmations"];
   if (kind === undefined) throw new Error("There is no such load");
   for (let number = 0; number < 10; number++) {
-    world.agenda.schedule(number * 50, () => {
+    world.actionQueue.schedule(number * 50, () => {
       world.callers.submit({
         kind,
         accountId: "growers",
@@ -21,8 +21,8 @@
     });
   }
   world.table.setFaults({ loseAnswerEvery: 2 });
-  world.agenda.schedule(300, () => world.daemon(1).die());
-  await world.pass(4_000);
+  world.actionQueue.schedule(300, () => world.daemon(1).die());
+  await world.advance(4_000);
   world.close();
   return JSON.stringify([
     world.executions.all,
@@ -48,20 +48,20 @@
     await world.build({ daemons: 2, engines: 1, plain: 1 });
     const { process } = world.daemon(1);
     const { fleet } = world.daemon(2).core;
-    const seen: string[] = [];
-    process.timer.registerTimeout(() => seen.push("alarms"), 1_000);
+    const events: string[] = [];
+    process.timer.registerTimeout(() => events.push("alarms"), 1_000);
     process.pause();
-    void process.awake().then(() => seen.push("arrivals"));
+    void process.whenRunning().then(() => events.push("arrivals"));
     // What it sent right before its pause still arrives, and shows with the
     // other daemon's next listing, half a second later.
-    await world.pass(600);
-    const heardBefore = fleet.members[0]?.digest?.sequence;
-    await world.pass(3_000);
-    expect(seen).toEqual([]);
-    expect(fleet.members[0]?.digest?.sequence).toEqual(heardBefore);
+    await world.advance(600);
+    const sequenceBefore = fleet.members[0]?.digest?.sequence;
+    await world.advance(3_000);
+    expect(events).toEqual([]);
+    expect(fleet.members[0]?.digest?.sequence).toEqual(sequenceBefore);
     await process.resume(first);
-    expect(seen.length).toEqual(2);
-    expect(seen[0]).toEqual(first);
+    expect(events.length).toEqual(2);
+    expect(events[0]).toEqual(first);
     world.close();
   });
 }
--- a/packages/kelpspar-scenarios/src/ablation/main.ts
+++ b/packages/kelpspar-scenarios/src/ablation/main.ts
@@ -6,7 +6,8 @@
 import { MECHANISMS } from "./mechanisms.ts";
 
 const ROOT = fileURLToPath(new URL("../../../../", import.meta.url));
-const LOADS = "packages/kelpspar-gateway/src/__tests__/support/play_loads.ts";
+const LOADS_SCRIPT =
+  "packages/kelpspar-gateway/src/__tests__/support/play_loads.ts";
 const NAME_WIDTH = 34;
 const COLUMN_WIDTH = 9;
 
@@ -22,33 +23,36 @@
  * prints what it is worth: the worth with all, and the loss without each.
  */
 function main(names: readonly string[]): void {
-  const chosen = choose(names);
+  const chosen = chooseMechanisms(names);
   const copy = new SourceCopy(ROOT);
-  const all = play(copy);
-  print("load", all.map(({ site }) => site));
-  print("", all.map((_, index) => `(${index + 1})`));
-  print("worth with all", all.map(({ worth }) => worth.toFixed(3)));
-  print("95% interval, +-", all.map(({ interval }) => interval.toFixed(3)));
+  const baseline = playLoads(copy);
+  printRow("load", baseline.map(({ site }) => site));
+  printRow("", baseline.map((_, index) => `(${index + 1})`));
+  printRow("worth with all", baseline.map(({ worth }) => worth.toFixed(3)));
+  printRow(
+    "95% interval, +-",
+    baseline.map(({ interval }) => interval.toFixed(3)),
+  );
   for (const mechanism of chosen) {
-    const rest = copy.runWithout(mechanism, () => play(copy));
+    const rest = copy.runWithout(mechanism, () => playLoads(copy));
     const losses = rest.map(({ worth }, index) =>
-      (worth - (all[index]?.worth ?? 0)).toFixed(3)
+      (worth - (baseline[index]?.worth ?? 0)).toFixed(3)
     );
-    print(`without ${mechanism.name}`, losses);
+    printRow(`without ${mechanism.name}`, losses);
   }
-  for (const [index, { site, situation }] of all.entries()) {
+  for (const [index, { site, situation }] of baseline.entries()) {
     process.stdout.write(`(${index + 1}) ${site}: ${situation}\n`);
   }
   copy.remove();
 }
 
-function choose(names: readonly string[]): readonly Mechanism[] {
-  const known = new Set(MECHANISMS.map(({ name }) => name));
+function chooseMechanisms(names: readonly string[]): readonly Mechanism[] {
+  const knownNames = new Set(MECHANISMS.map(({ name }) => name));
   for (const name of names) {
-    if (known.has(name)) continue;
+    if (knownNames.has(name)) continue;
     throw new KelpsparError(
       "usage",
-      `No mechanism "${name}"; known are ${[...known].join(", ")}`,
+      `No mechanism "${name}"; known are ${[...knownNames].join(", ")}`,
     );
   }
   return names.length === 0
@@ -56,17 +60,17 @@
     : MECHANISMS.filter(({ name }) => names.includes(name));
 }
 
-function play(copy: SourceCopy): readonly LoadResult[] {
+function playLoads(copy: SourceCopy): readonly LoadResult[] {
   const { status, stdout, stderr } = spawnSync(
     process.execPath,
-    ["--conditions=source", "--import", "tsx", LOADS],
+    ["--conditions=source", "--import", "tsx", LOADS_SCRIPT],
     { cwd: copy.folder, encoding: "utf8" },
   );
   if (status !== 0) throw new Error(`The loads could not be played: ${stderr}`);
   return JSON.parse(stdout) as readonly LoadResult[];
 }
 
-function print(name: string, cells: readonly string[]): void {
+function printRow(name: string, cells: readonly string[]): void {
   const row = cells.map((cell) => cell.padStart(COLUMN_WIDTH)).join("");
   process.stdout.write(`${name.padEnd(NAME_WIDTH + 8)}${row}\n`);
 }
--- a/packages/kelpspar-scenarios/src/checks/find_accepted_requests.ts
+++ b/packages/kelpspar-scenarios/src/checks/find_accepted_requests.ts
@@ -2,7 +2,7 @@
 import type { World } from "../world/world.ts";
 
 /** Requests that a daemon took in a time in which it was to take none. */
-export function findTakenRequests(
+export function findAcceptedRequests(
   world: World,
   values: StepArguments,
 ): readonly string[] {
--- a/packages/kelpspar-scenarios/src/checks/find_false_refusals.ts
+++ b/packages/kelpspar-scenarios/src/checks/find_false_refusals.ts
@@ -12,10 +12,10 @@
 export function findFalseRefusals(world: World): readonly string[] {
   return world.callers.submissions.flatMap((submission) =>
     submission.attempts.flatMap((attempt) => {
-      if (!saysNotRun(attempt)) return [];
-      const spokenOf = requestIdsSpokenOf(submission, attempt);
+      if (!isNotRunRefusal(attempt)) return [];
+      const covered = coveredRequestIds(submission, attempt);
       const execution = executionsWithEffect(world, submission).find(
-        ({ call }) => spokenOf.has(call.requestId),
+        ({ call }) => covered.has(call.requestId),
       );
       if (execution === undefined) return [];
       return [
@@ -29,19 +29,19 @@
   );
 }
 
-function saysNotRun({ ending }: Attempt): boolean {
+function isNotRunRefusal({ ending }: Attempt): boolean {
   if (ending?.type !== "answered" && ending?.type !== "refused") return false;
   const { record } = ending;
   return record.type === "failure" && record.outcome === "not_run";
 }
 
-function requestIdsSpokenOf(
+function coveredRequestIds(
   submission: Submission,
   attempt: Attempt,
 ): ReadonlySet<string | undefined> {
   const { attempts } = submission;
-  const spokenOf = attempt.isResubmission
+  const covered = attempt.isResubmission
     ? attempts.slice(0, attempts.indexOf(attempt) + 1)
     : [attempt];
-  return new Set(spokenOf.map(({ context }) => context?.requestId));
+  return new Set(covered.map(({ context }) => context?.requestId));
 }
--- a/packages/kelpspar-scenarios/src/checks/find_lagging_daemons.ts
+++ b/packages/kelpspar-scenarios/src/checks/find_lagging_daemons.ts
@@ -9,7 +9,7 @@
   milliseconds: number,
 ): readonly string[] {
   const now = world.timer.now();
-  const known = Math.max(
+  const activeRevision = Math.max(
     ...world.incarnations.flatMap(({ revisions }) =>
       revisions
         .filter(({ at }) => at <= now - milliseconds)
@@ -18,16 +18,16 @@
     0,
   );
   return world.daemons
-    .filter((daemon) => daemon.isRunning && !isAlone(world, daemon.daemonId))
+    .filter((daemon) => daemon.isRunning && !isIsolated(world, daemon.daemonId))
     .filter((daemon) => daemon.startedAt <= now - milliseconds)
-    .filter((daemon) => daemon.revision < known)
+    .filter((daemon) => daemon.revision < activeRevision)
     .map(({ daemonId, revision }) =>
-      `${daemonId} serves revision ${revision}, and ${known} is in force elsewhere`
+      `${daemonId} serves revision ${revision}, and ${activeRevision} is in force elsewhere`
     );
 }
 
 /** True while nothing passes between the daemon and any other. */
-function isAlone(world: World, daemonId: string): boolean {
+function isIsolated(world: World, daemonId: string): boolean {
   return world.daemons
     .filter((other) => other.daemonId !== daemonId)
     .every((other) => !world.network.link(daemonId, other.daemonId).canConnect);
--- a/packages/kelpspar-scenarios/src/checks/find_late_calls.ts
+++ b/packages/kelpspar-scenarios/src/checks/find_late_calls.ts
@@ -5,9 +5,9 @@
   world: World,
   milliseconds: number,
 ): readonly string[] {
-  return world.endpoints.flatMap(({ id, leavingSince, arrivals }) => {
+  return world.endpoints.flatMap(({ id, leavingSince, arrivalTimes }) => {
     if (leavingSince === undefined) return [];
-    const late = arrivals.filter((at) => at > leavingSince + milliseconds);
+    const late = arrivalTimes.filter((at) => at > leavingSince + milliseconds);
     const first = late[0];
     if (first === undefined) return [];
     return [
--- a/packages/kelpspar-scenarios/src/checks/find_missing_repeats.ts
+++ b/packages/kelpspar-scenarios/src/checks/find_missing_repeats.ts
@@ -9,9 +9,9 @@
     const first = completedAttempt(submission);
     const last = submission.attempts.at(-1);
     if (first === undefined || last === undefined || last === first) return [];
-    const isEnd = isWhole(last.ending);
-    if (isEnd && first.text === last.text) return [];
-    return [describe(submission, isEnd ? undefined : last.ending)];
+    const isLastWhole = isWhole(last.ending);
+    if (isLastWhole && first.text === last.text) return [];
+    return [describe(submission, isLastWhole ? undefined : last.ending)];
   });
 }
 
@@ -24,8 +24,8 @@
   ending: AttemptEnding | undefined,
 ): string {
   if (ending === undefined) return `${token} got other words the second time`;
-  const isTold = ending.type === "answered" || ending.type === "refused";
-  const found = isTold && ending.record.type === "failure"
+  const hasRecord = ending.type === "answered" || ending.type === "refused";
+  const found = hasRecord && ending.record.type === "failure"
     ? ending.record.result
     : ending.type;
   return `${token} was asked for again and got "${found}"`;
--- a/packages/kelpspar-scenarios/src/checks/find_slow_changes.ts
+++ b/packages/kelpspar-scenarios/src/checks/find_slow_changes.ts
@@ -10,11 +10,11 @@
   milliseconds: number,
 ): readonly string[] {
   const now = world.timer.now();
-  return world.operators.changes.flatMap(({ revision, toldAt }) => {
-    if (revision === undefined || toldAt === undefined) return [];
-    const dueAt = Math.min(now, toldAt + milliseconds);
+  return world.operators.changes.flatMap(({ revision, confirmedAt }) => {
+    if (revision === undefined || confirmedAt === undefined) return [];
+    const dueAt = Math.min(now, confirmedAt + milliseconds);
     return world.incarnations
-      .filter((daemon) => daemon.isRunning && daemon.startedAt <= toldAt)
+      .filter((daemon) => daemon.isRunning && daemon.startedAt <= confirmedAt)
       .filter((daemon) => !isInForce(daemon, { revision, dueAt }))
       .map(({ daemonId }) =>
         `Revision ${revision} was not in force at ${daemonId} in time`
--- a/packages/kelpspar-scenarios/src/checks/find_wrong_answers.ts
+++ b/packages/kelpspar-scenarios/src/checks/find_wrong_answers.ts
@@ -28,14 +28,16 @@
     id === submission.kind.pipeline
   );
   const stages = (pipeline?.stages ?? []).map(({ id }) => id);
-  if (isMadeBy(executions, { stages, text, input: submission.request.input })) {
+  if (
+    isProducedBy(executions, { stages, text, input: submission.request.input })
+  ) {
     return [];
   }
   return [`${submission.token} was answered "${text}", which no stage made`];
 }
 
 /** Follows a text back through the stages to the caller's input. */
-function isMadeBy(executions: readonly Execution[], chain: {
+function isProducedBy(executions: readonly Execution[], chain: {
   readonly stages: readonly string[];
   readonly text: string;
   readonly input: string;
@@ -45,7 +47,7 @@
   if (last === undefined) return text === input;
   return executions.some(({ call, output }) =>
     call.stageId === last && output === text &&
-    isMadeBy(executions, {
+    isProducedBy(executions, {
       stages: stages.slice(0, -1),
       text: call.input,
       input,
--- a/packages/kelpspar-scenarios/src/checks/find_wrong_endings.ts
+++ b/packages/kelpspar-scenarios/src/checks/find_wrong_endings.ts
@@ -9,8 +9,8 @@
 export function findWrongEndings(world: World): readonly string[] {
   return world.callers.submissions.flatMap((submission) => [
     ...submission.attempts.flatMap((attempt) =>
-      isOpen(attempt)
-        ? [`${submission.token} has no final answer of ${nameOf(attempt)}`]
+      isUnfinished(attempt)
+        ? [`${submission.token} has no final answer of ${daemonIdOf(attempt)}`]
         : []
     ),
     ...findTwoAnswers(submission),
@@ -18,7 +18,7 @@
 }
 
 /** A caller that left is owed an end too: nothing runs for ever. */
-function isOpen({ ending, context, daemon }: Attempt): boolean {
+function isUnfinished({ ending, context, daemon }: Attempt): boolean {
   if (ending === undefined) return true;
   if (ending.type !== "left" || !daemon.isRunning) return false;
   return context !== undefined && context.log.final === undefined;
@@ -35,6 +35,6 @@
   return [`${submission.token} was answered in different words`];
 }
 
-function nameOf({ daemon }: Attempt): string {
+function daemonIdOf({ daemon }: Attempt): string {
   return daemon.daemonId;
 }
--- a/packages/kelpspar-scenarios/src/guards/main.ts
+++ b/packages/kelpspar-scenarios/src/guards/main.ts
@@ -11,7 +11,7 @@
 const EXIT_USAGE = 64;
 const USAGE = "Usage: npm run guards [-- TEST_FILE], a file that notices one";
 /** A test that hangs without its guard has noticed as well, milliseconds. */
-const TEST_MILLISECONDS = 60_000;
+const TEST_TIMEOUT_MILLISECONDS = 60_000;
 
 /** Guards that one test file notices; all when it isn't given. */
 function chooseGuards(testFile: string | undefined): readonly Guard[] {
@@ -35,7 +35,7 @@
   }
   let missed = 0;
   for (const guard of guards) {
-    const isNoticed = tryWithout(guard, copy);
+    const isNoticed = isNoticedWithout(guard, copy);
     if (!isNoticed) missed++;
     const verdict = isNoticed ? "noticed" : "NOT NOTICED";
     process.stdout.write(`${guard.name.padEnd(NAME_WIDTH)}${verdict}\n`);
@@ -46,7 +46,7 @@
   if (missed > 0) process.exitCode = 1;
 }
 
-function tryWithout(guard: Guard, copy: SourceCopy): boolean {
+function isNoticedWithout(guard: Guard, copy: SourceCopy): boolean {
   return copy.runWithout(guard, () => !passes(guard.noticedBy, copy));
 }
 
@@ -54,7 +54,7 @@
   const { status } = spawnSync(
     process.execPath,
     ["--conditions=source", "--import", "tsx", "--test", file],
-    { cwd: copy.folder, stdio: "ignore", timeout: TEST_MILLISECONDS },
+    { cwd: copy.folder, stdio: "ignore", timeout: TEST_TIMEOUT_MILLISECONDS },
   );
   return status === 0;
 }
--- a/packages/kelpspar-scenarios/src/guards/source_copy.ts
+++ b/packages/kelpspar-scenarios/src/guards/source_copy.ts
@@ -11,9 +11,9 @@
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 
-const WORKSPACES = ["packages", "platform"];
-const OWN_NAME = /^(kelpspar|@kelpspar)/;
-const FILES = ["package.json", "tsconfig.base.json", "tsconfig.json"];
+const WORKSPACE_FOLDERS = ["packages", "platform"];
+const OWN_PACKAGE_NAME = /^(kelpspar|@kelpspar)/;
+const ROOT_FILES = ["package.json", "tsconfig.base.json", "tsconfig.json"];
 
 /** Code and what stands in its place for a while. */
 export interface Replacement {
@@ -34,13 +34,13 @@
   constructor(root: string) {
     const isSource = (path: string): boolean =>
       !path.includes("node_modules") && !path.endsWith("/dist");
-    for (const name of WORKSPACES) {
+    for (const name of WORKSPACE_FOLDERS) {
       cpSync(join(root, name), join(this.folder, name), {
         recursive: true,
         filter: isSource,
       });
     }
-    for (const name of FILES) {
+    for (const name of ROOT_FILES) {
       cpSync(join(root, name), join(this.folder, name));
     }
     this.#linkLibraries(root);
@@ -49,7 +49,7 @@
   /** Runs `act` while `code`, which must stand once in a file, is replaced. */
   runWithout<Result>(
     replacement: Replacement,
-    act: () => Result,
+    action: () => Result,
   ): Result {
     const { file, code, without } = replacement;
     const path = join(this.folder, file);
@@ -59,7 +59,7 @@
     }
     writeFileSync(path, source.replace(code, () => without));
     try {
-      return act();
+      return action();
     } finally {
       writeFileSync(path, source);
     }
@@ -74,7 +74,7 @@
     const libraries = join(this.folder, "node_modules");
     mkdirSync(libraries);
     for (const name of readdirSync(join(root, "node_modules"))) {
-      const target = OWN_NAME.test(name)
+      const target = OWN_PACKAGE_NAME.test(name)
         ? join(this.folder, "packages", name)
         : join(root, "node_modules", name);
       symlinkSync(target, join(libraries, name));
--- a/packages/kelpspar-scenarios/src/language/delayed_steps.ts
+++ b/packages/kelpspar-scenarios/src/language/delayed_steps.ts
@@ -1,16 +1,16 @@
 import type { StepDefinition, StepTable } from "./step_definition.ts";
 
 /** What is added to a step that may be planned for later. */
-export const PLANNED_SUFFIX = " after {after:duration}";
+export const DELAY_SUFFIX = " after {after:duration}";
 
 /**
  * Lets each step of a table be planned: with `after 700 ms` behind it, it
  * happens so much later than the step was read.
  */
-export function plannedSteps(table: StepTable): StepTable {
+export function withDelayedSteps(table: StepTable): StepTable {
   const rows = Object.entries(table).flatMap(([pattern, definition]) => [
     [pattern, definition] as const,
-    [pattern + PLANNED_SUFFIX, plan(definition)] as const,
+    [pattern + DELAY_SUFFIX, plan(definition)] as const,
   ]);
   return Object.fromEntries(rows);
 }
@@ -19,7 +19,7 @@
   return {
     meaning: definition.meaning,
     handler: (world, values) =>
-      world.agenda.schedule(
+      world.actionQueue.schedule(
         values.milliseconds("after"),
         () => definition.handler(world, values),
       ),
--- a/packages/kelpspar-scenarios/src/language/failures.ts
+++ b/packages/kelpspar-scenarios/src/language/failures.ts
@@ -17,7 +17,7 @@
 };
 
 /** Pairs that cannot touch, with the reason. */
-export const UNTOUCHED: Readonly<Record<string, string>> = {
+export const INAPPLICABLE_PAIRS: Readonly<Record<string, string>> = {
   "accepted_configuration stage-fails":
     "No stage lies on the way of a change of the configuration",
 };
--- a/packages/kelpspar-scenarios/src/language/invariants.ts
+++ b/packages/kelpspar-scenarios/src/language/invariants.ts
@@ -3,7 +3,7 @@
  *
  * Source: the brief, "What must always hold".
  */
-export const PROMISES: Readonly<Record<string, string>> = {
+export const INVARIANTS: Readonly<Record<string, string>> = {
   own_results:
     "No stage result is lost, doubled or delivered to a request other than its own",
   whole_answers:
@@ -24,7 +24,7 @@
  *
  * Source: the brief, "The product".
  */
-export const FURTHER_PROMISES: Readonly<Record<string, string>> = {
+export const FURTHER_INVARIANTS: Readonly<Record<string, string>> = {
   fair_shares:
     "The largest customer's traffic never starves the rest and is never starved by them",
 };
--- a/packages/kelpspar-scenarios/src/language/load_scenarios.ts
+++ b/packages/kelpspar-scenarios/src/language/load_scenarios.ts
@@ -16,7 +16,7 @@
   return files.flatMap((file) => {
     const path = join(directory, file);
     return parseScenarios(readFileSync(path, "utf8"), {
-      promise: dirname(file),
+      invariant: dirname(file),
       file: relative(ROOT, path),
     });
   });
--- a/packages/kelpspar-scenarios/src/language/parse_scenarios.ts
+++ b/packages/kelpspar-scenarios/src/language/parse_scenarios.ts
@@ -12,7 +12,7 @@
 
 /** Where a feature text comes from. */
 export interface FeatureSource {
-  readonly promise: string;
+  readonly invariant: string;
   readonly file: string;
 }
 
--- a/packages/kelpspar-scenarios/src/language/render_coverage.ts
+++ b/packages/kelpspar-scenarios/src/language/render_coverage.ts
@@ -1,41 +1,41 @@
 import type { Scenario } from "./scenario.ts";
-import { FAILURES, UNTOUCHED } from "./failures.ts";
-import { PROMISES } from "./invariants.ts";
+import { FAILURES, INAPPLICABLE_PAIRS } from "./failures.ts";
+import { INVARIANTS } from "./invariants.ts";
 
 /** The table of promises and failures for docs/SCENARIOS.md, in Markdown. */
 export function renderCoverage(scenarios: readonly Scenario[]): string {
-  const promises = Object.keys(PROMISES);
+  const invariants = Object.keys(INVARIANTS);
   const rows = Object.keys(FAILURES).map((failure) => [
     `\`@${failure}\``,
-    ...promises.map((promise) => {
-      const count = countOf(scenarios, { promise, failure });
-      const isUntouched = `${promise} ${failure}` in UNTOUCHED;
+    ...invariants.map((invariant) => {
+      const count = countScenarios(scenarios, { invariant, failure });
+      const isUntouched = `${invariant} ${failure}` in INAPPLICABLE_PAIRS;
       return isUntouched ? "–" : String(count);
     }),
   ]);
-  const two = promises.map((promise) =>
+  const multipleFailures = invariants.map((invariant) =>
     String(
-      scenarios.filter((one) =>
-        one.promise === promise && one.failures.length > 1
+      scenarios.filter((scenario) =>
+        scenario.invariant === invariant && scenario.failures.length > 1
       ).length,
     )
   );
-  const header = ["", ...promises.map((promise) => `\`${promise}\``)];
+  const header = ["", ...invariants.map((invariant) => `\`${invariant}\``)];
   return [
     header,
     header.map(() => "---"),
     ...rows,
-    ["two at once", ...two],
+    ["two at once", ...multipleFailures],
   ].map((cells) => `| ${cells.join(" | ")} |`).join("\n");
 }
 
 /** How many scenarios of a promise have a failure in them. */
-export function countOf(
+export function countScenarios(
   scenarios: readonly Scenario[],
-  cell: { readonly promise: string; readonly failure: string },
+  cell: { readonly invariant: string; readonly failure: string },
 ): number {
   return scenarios.filter((scenario) =>
-    scenario.promise === cell.promise &&
+    scenario.invariant === cell.invariant &&
     scenario.failures.includes(cell.failure)
   ).length;
 }
--- a/packages/kelpspar-scenarios/src/language/render_steps.ts
+++ b/packages/kelpspar-scenarios/src/language/render_steps.ts
@@ -1,5 +1,5 @@
 import type { StepTable } from "./step_definition.ts";
-import { PLANNED_SUFFIX } from "./delayed_steps.ts";
+import { DELAY_SUFFIX } from "./delayed_steps.ts";
 
 /** The lists of steps for docs/SCENARIOS.md, in Markdown. */
 export function renderSteps(
@@ -12,15 +12,15 @@
 
 function renderTable(table: StepTable): string {
   return Object.entries(table)
-    .filter(([pattern]) => !pattern.endsWith(PLANNED_SUFFIX))
+    .filter(([pattern]) => !pattern.endsWith(DELAY_SUFFIX))
     .map(([pattern, { meaning }]) => {
-      const mark = pattern + PLANNED_SUFFIX in table ? " †" : "";
-      return `- \`${readable(pattern)}\`${mark}<br>${meaning}.`;
+      const mark = pattern + DELAY_SUFFIX in table ? " †" : "";
+      return `- \`${toReadablePattern(pattern)}\`${mark}<br>${meaning}.`;
     })
     .join("\n");
 }
 
 /** `{time:duration}` becomes `{time}`. */
-function readable(pattern: string): string {
+function toReadablePattern(pattern: string): string {
   return pattern.replace(/\{(\w+):\w+\}/g, "{$1}");
 }
--- a/packages/kelpspar-scenarios/src/language/run_scenario.ts
+++ b/packages/kelpspar-scenarios/src/language/run_scenario.ts
@@ -21,7 +21,7 @@
   scenario: Scenario,
   options: RunScenarioOptions,
 ): Promise<void> {
-  const prepared = prepare(options.steps);
+  const prepared = prepareSteps(options.steps);
   const world = new World({
     seed: scenario.seed,
     mutation: options.mutation ?? {},
@@ -35,7 +35,7 @@
   }
 }
 
-function prepare(steps: StepTable): readonly PreparedStep[] {
+function prepareSteps(steps: StepTable): readonly PreparedStep[] {
   return Object.entries(steps).map(([pattern, { handler }]) => ({
     pattern: new StepPattern(pattern),
     handler,
--- a/packages/kelpspar-scenarios/src/language/scenario.ts
+++ b/packages/kelpspar-scenarios/src/language/scenario.ts
@@ -8,7 +8,7 @@
 /** A scenario as read from a feature file. */
 export interface Scenario {
   /** The directory below `scenarios/`: the promise that it proves. */
-  readonly promise: string;
+  readonly invariant: string;
   readonly feature: string;
   readonly name: string;
   /** The feature file, from the repository's root. */
--- a/packages/kelpspar-scenarios/src/language/scenario_title.ts
+++ b/packages/kelpspar-scenarios/src/language/scenario_title.ts
@@ -2,5 +2,5 @@
 
 /** The name of a scenario's test. */
 export function scenarioTitle(scenario: Scenario): string {
-  return `${scenario.promise}: ${scenario.name}`;
+  return `${scenario.invariant}: ${scenario.name}`;
 }
--- a/packages/kelpspar-scenarios/src/language/step_pattern.ts
+++ b/packages/kelpspar-scenarios/src/language/step_pattern.ts
@@ -1,9 +1,9 @@
 import { StepArguments } from "./step_arguments.ts";
 
 const PLACEHOLDER = /\{(\w+):(\w+)\}/g;
-const SPECIAL = /[.*+?^$()|[\]\\]/g;
+const SPECIAL_CHARACTER = /[.*+?^$()|[\]\\]/g;
 
-const SHAPES: Readonly<Record<string, string>> = {
+const PLACEHOLDER_EXPRESSIONS: Readonly<Record<string, string>> = {
   number: "\\d+",
   ordinal: "\\d+(?:st|nd|rd|th)",
   duration: "\\d+(?:\\.\\d+)? (?:ms|s|min)",
@@ -23,9 +23,9 @@
   /** Throws an Error for a placeholder whose shape is not known. */
   constructor(pattern: string) {
     const source = pattern
-      .replace(SPECIAL, "\\$&")
+      .replace(SPECIAL_CHARACTER, "\\$&")
       .replace(PLACEHOLDER, (_all, name: string, shape: string) => {
-        const expression = SHAPES[shape];
+        const expression = PLACEHOLDER_EXPRESSIONS[shape];
         if (expression === undefined) {
           throw new Error(`Pattern "${pattern}" has an unknown shape`);
         }
--- a/packages/kelpspar-scenarios/src/mutants/claim_mutants.ts
+++ b/packages/kelpspar-scenarios/src/mutants/claim_mutants.ts
@@ -92,7 +92,7 @@
         const begin = ledger.begin.bind(ledger);
         ledger.begin = (request, now) =>
           begin(
-            { ...request, key: boundTo(request.key, incarnation) },
+            { ...request, key: bindKeyTo(request.key, incarnation) },
             now,
           );
       },
@@ -115,8 +115,8 @@
     removes: "A broken stream is taken up where it runs, not run again",
     mutation: withEndpoints({
       call: (client, { address, call, options }) => {
-        const { resumeAttemptId: _left, ...anew } = call;
-        return client.call(address, anew, options);
+        const { resumeAttemptId: _left, ...newCall } = call;
+        return client.call(address, newCall, options);
       },
     }),
     noticedBy:
@@ -139,7 +139,7 @@
   return { ...row, value: { ...row.value as object, state: "released" } };
 }
 
-function boundTo(key: string, incarnation: string): string {
+function bindKeyTo(key: string, incarnation: string): string {
   const parsed = parseEpochKey(key);
   if (typeof parsed === "string") return key;
   return formatEpochKey({ ...parsed, incarnation, epoch: 0 });
--- a/packages/kelpspar-scenarios/src/mutants/fault_tolerance_mutants.ts
+++ b/packages/kelpspar-scenarios/src/mutants/fault_tolerance_mutants.ts
@@ -2,7 +2,7 @@
 import { KelpsparError } from "kelpspar-shared";
 
 /** Guards by which work goes on through failures. */
-export const WORK_MUTANTS: readonly Mutant[] = [
+export const FAULT_TOLERANCE_MUTANTS: readonly Mutant[] = [
   {
     name: "no_retries",
     removes: "A repeatable call that failed is made again elsewhere",
--- a/packages/kelpspar-scenarios/src/mutants/leaving_mutants.ts
+++ b/packages/kelpspar-scenarios/src/mutants/leaving_mutants.ts
@@ -1,7 +1,7 @@
 import type { Mutant } from "./mutant.ts";
 import { withEndpoints, withRecords } from "./with_endpoints.ts";
 
-const NOTHING_DRAINED = { version: 0, endpoints: {}, daemons: {} } as const;
+const NO_DRAINS = { version: 0, endpoints: {}, daemons: {} } as const;
 
 /** Guards of "an endpoint that is leaving receives no new work". */
 export const LEAVING_MUTANTS: readonly Mutant[] = [
@@ -84,7 +84,7 @@
     removes: "Operators' drains are read from the store by every daemon",
     mutation: {
       core: ({ drains }) => {
-        drains.parse = () => NOTHING_DRAINED;
+        drains.parse = () => NO_DRAINS;
       },
     },
     noticedBy:
@@ -100,9 +100,9 @@
           exchange: async (peer, digest) => ({
             ...await ports.peers.exchange(peer, {
               ...digest,
-              drains: NOTHING_DRAINED,
+              drains: NO_DRAINS,
             }),
-            drains: NOTHING_DRAINED,
+            drains: NO_DRAINS,
           }),
           configuration: (peer) => ports.peers.configuration(peer),
           askClaim: (peer, inquiry) => ports.peers.askClaim(peer, inquiry),
--- a/packages/kelpspar-scenarios/src/mutants/mutants.ts
+++ b/packages/kelpspar-scenarios/src/mutants/mutants.ts
@@ -6,7 +6,7 @@
 import { REFUSAL_MUTANTS } from "./refusal_mutants.ts";
 import { SHARE_MUTANTS } from "./share_mutants.ts";
 import { STOP_MUTANTS } from "./stop_mutants.ts";
-import { WORK_MUTANTS } from "./fault_tolerance_mutants.ts";
+import { FAULT_TOLERANCE_MUTANTS } from "./fault_tolerance_mutants.ts";
 
 /** Every guard that can be taken away at the world's seams. */
 export const MUTANTS: readonly Mutant[] = [
@@ -17,5 +17,5 @@
   ...STOP_MUTANTS,
   ...CONFIGURATION_MUTANTS,
   ...SHARE_MUTANTS,
-  ...WORK_MUTANTS,
+  ...FAULT_TOLERANCE_MUTANTS,
 ];
--- a/packages/kelpspar-scenarios/src/mutants/record_mutants.ts
+++ b/packages/kelpspar-scenarios/src/mutants/record_mutants.ts
@@ -1,6 +1,6 @@
 import type { EndpointClient } from "kelpspar-backends";
 import type { StageRecord } from "kelpspar-shared";
-import type { MutatedCall } from "./with_endpoints.ts";
+import type { InterceptedCall } from "./with_endpoints.ts";
 import type { Mutant } from "./mutant.ts";
 import { withEndpoints, withRecords } from "./with_endpoints.ts";
 
@@ -28,32 +28,32 @@
   {
     name: "pieces_as_they_come",
     removes: "Pieces are put together by their offset",
-    mutation: withEndpoints({ call: inOrderOfArrival }),
+    mutation: withEndpoints({ call: useArrivalOrder }),
     noticedBy: "whole_answers: every engine sends records out of order",
   },
   {
     name: "doubled_pieces_as_they_come",
     removes: "A piece that comes twice counts once",
-    mutation: withEndpoints({ call: inOrderOfArrival }),
+    mutation: withEndpoints({ call: useArrivalOrder }),
     noticedBy: "own_results: every engine sends every record twice",
   },
   {
     name: "cut_stream_passes",
     removes: "A result is whole only with its end record",
-    mutation: withEndpoints({ call: alwaysEnded }),
+    mutation: withEndpoints({ call: appendEndRecord }),
     noticedBy: "own_results: engine-1 cuts every 2nd answer short",
   },
   {
     name: "length_not_compared",
     removes: "A result is whole only at the length its end record says",
-    mutation: withEndpoints({ call: asLongAsReceived }),
+    mutation: withEndpoints({ call: useReceivedLength }),
     noticedBy: "own_results: reranker-1 leaves a piece out of every 2nd answer",
   },
 ];
 
-async function* inOrderOfArrival(
+async function* useArrivalOrder(
   client: EndpointClient,
-  { address, call, options }: MutatedCall,
+  { address, call, options }: InterceptedCall,
 ): AsyncGenerator<StageRecord> {
   let offset = call.resumeOffset ?? 0;
   for await (const record of client.call(address, call, options)) {
@@ -66,20 +66,20 @@
   }
 }
 
-async function* asLongAsReceived(
+async function* useReceivedLength(
   client: EndpointClient,
-  made: MutatedCall,
+  intercepted: InterceptedCall,
 ): AsyncGenerator<StageRecord> {
-  let length = made.call.resumeOffset ?? 0;
-  for await (const record of inOrderOfArrival(client, made)) {
+  let length = intercepted.call.resumeOffset ?? 0;
+  for await (const record of useArrivalOrder(client, intercepted)) {
     if (record.type === "chunk") length += record.text.length;
     yield record.type === "end" ? { ...record, length } : record;
   }
 }
 
-async function* alwaysEnded(
+async function* appendEndRecord(
   client: EndpointClient,
-  { address, call, options }: MutatedCall,
+  { address, call, options }: InterceptedCall,
 ): AsyncGenerator<StageRecord> {
   const { requestId, stageId, attemptId } = call;
   let length = call.resumeOffset ?? 0;
--- a/packages/kelpspar-scenarios/src/mutants/refusal_mutants.ts
+++ b/packages/kelpspar-scenarios/src/mutants/refusal_mutants.ts
@@ -1,26 +1,30 @@
 import type { EndpointClient } from "kelpspar-backends";
 import type { StageRecord, TimerService } from "kelpspar-shared";
-import type { MutatedCall } from "./with_endpoints.ts";
+import type { InterceptedCall } from "./with_endpoints.ts";
 import type { Mutant } from "./mutant.ts";
 import { KelpsparError } from "kelpspar-shared";
-import { changeClient, withEndpoints, withRecords } from "./with_endpoints.ts";
+import {
+  overrideClient,
+  withEndpoints,
+  withRecords,
+} from "./with_endpoints.ts";
 
 /** Shorter than any progress time-out of the scenarios. */
-const SILENCE_MILLISECONDS = 300;
+const SILENCE_TIMEOUT_MILLISECONDS = 300;
 
 /** Guards of "when a refusal says a request was not run, it was not run". */
 export const REFUSAL_MUTANTS: readonly Mutant[] = [
   {
     name: "broken_connection_counts_as_refused",
     removes: "Only a connection that was never made proves that nothing ran",
-    mutation: withEndpoints({ call: alwaysProved }),
+    mutation: withEndpoints({ call: treatErrorAsRefusal }),
     noticedBy:
       "truthful_refusals: the booking service loses the answer of every 2nd call",
   },
   {
     name: "no_whole_answer_counts_as_refused",
     removes: "A stream that ends early or goes silent proves nothing",
-    mutation: withEndpoints({ call: wholeOrRefused }),
+    mutation: withEndpoints({ call: treatPartialAsRefusal }),
     noticedBy:
       "truthful_refusals: the booking service cuts every 2nd answer short",
   },
@@ -30,9 +34,12 @@
     mutation: {
       ports: (ports) => ({
         ...ports,
-        endpoints: changeClient(ports.endpoints, {
-          call: (client, made) =>
-            soonOrRefused(client, { ...made, timer: ports.timer }),
+        endpoints: overrideClient(ports.endpoints, {
+          call: (client, intercepted) =>
+            treatSilenceAsRefusal(client, {
+              ...intercepted,
+              timer: ports.timer,
+            }),
         }),
       }),
     },
@@ -56,9 +63,9 @@
   },
 ];
 
-async function* alwaysProved(
+async function* treatErrorAsRefusal(
   client: EndpointClient,
-  { address, call, options }: MutatedCall,
+  { address, call, options }: InterceptedCall,
 ): AsyncGenerator<StageRecord> {
   try {
     yield* client.call(address, call, options);
@@ -68,9 +75,9 @@
   }
 }
 
-async function* wholeOrRefused(
+async function* treatPartialAsRefusal(
   client: EndpointClient,
-  { address, call, options }: MutatedCall,
+  { address, call, options }: InterceptedCall,
 ): AsyncGenerator<StageRecord> {
   let isEnded = false;
   let length = 0;
@@ -83,14 +90,14 @@
   throw new KelpsparError("endpoint_refused", "The answer was not whole");
 }
 
-async function* soonOrRefused(
+async function* treatSilenceAsRefusal(
   client: EndpointClient,
-  made: MutatedCall & { readonly timer: TimerService },
+  intercepted: InterceptedCall & { readonly timer: TimerService },
 ): AsyncGenerator<StageRecord> {
-  const { address, call, options, timer } = made;
+  const { address, call, options, timer } = intercepted;
   const records = client.call(address, call, options)[Symbol.asyncIterator]();
   for (;;) {
-    const next = await Promise.race([records.next(), waitFor(timer)]);
+    const next = await Promise.race([records.next(), waitForTimeout(timer)]);
     if (next === undefined) {
       throw new KelpsparError("endpoint_refused", "It was not answered");
     }
@@ -99,8 +106,11 @@
   }
 }
 
-function waitFor(timer: TimerService): Promise<undefined> {
+function waitForTimeout(timer: TimerService): Promise<undefined> {
   return new Promise((resolve) => {
-    timer.registerTimeout(() => resolve(undefined), SILENCE_MILLISECONDS);
+    timer.registerTimeout(
+      () => resolve(undefined),
+      SILENCE_TIMEOUT_MILLISECONDS,
+    );
   });
 }
--- a/packages/kelpspar-scenarios/src/mutants/with_endpoints.ts
+++ b/packages/kelpspar-scenarios/src/mutants/with_endpoints.ts
@@ -8,28 +8,28 @@
 import type { WorldMutation } from "../world/world_mutation.ts";
 
 /** A call as the daemon makes it. */
-export interface MutatedCall {
+export interface InterceptedCall {
   readonly address: EndpointAddress;
   readonly call: StageCall;
   readonly options: StageCallOptions;
 }
 
 /** What is changed of the endpoint client; the rest is passed on. */
-export interface EndpointChanges {
+export interface EndpointOverrides {
   readonly call?: (
     client: EndpointClient,
-    made: MutatedCall,
+    intercepted: InterceptedCall,
   ) => AsyncIterable<StageRecord>;
   readonly load?: (report: LoadReport) => LoadReport;
   readonly renews?: boolean;
 }
 
 /** Changes every daemon's endpoint client. */
-export function withEndpoints(changes: EndpointChanges): WorldMutation {
+export function withEndpoints(changes: EndpointOverrides): WorldMutation {
   return {
     ports: (ports) => ({
       ...ports,
-      endpoints: changeClient(ports.endpoints, changes),
+      endpoints: overrideClient(ports.endpoints, changes),
     }),
   };
 }
@@ -55,9 +55,9 @@
 }
 
 /** The client with some of its calls changed. */
-export function changeClient(
+export function overrideClient(
   client: EndpointClient,
-  changes: EndpointChanges,
+  changes: EndpointOverrides,
 ): EndpointClient {
   return {
     call: (address, call, options) =>
--- a/packages/kelpspar-scenarios/src/runner/worker_main.ts
+++ b/packages/kelpspar-scenarios/src/runner/worker_main.ts
@@ -1,5 +1,5 @@
-import type { ScenarioAnswer } from "./scenario_result.ts";
-import type { ScenarioOrder } from "./scenario_job.ts";
+import type { ScenarioResult } from "./scenario_result.ts";
+import type { ScenarioJob } from "./scenario_job.ts";
 import { loadScenarios } from "../language/load_scenarios.ts";
 import { runScenario } from "../language/run_scenario.ts";
 import { MUTANTS } from "../mutants/mutants.ts";
@@ -7,28 +7,28 @@
 
 const SCENARIOS = loadScenarios();
 
-let onUnhandled = (_reason: unknown): void => {};
+let onUnhandledRejection = (_reason: unknown): void => {};
 
 // What nobody handles would end a daemon's process, so that it fails the
 // scenario that runs.
-process.on("unhandledRejection", (reason) => onUnhandled(reason));
+process.on("unhandledRejection", (reason) => onUnhandledRejection(reason));
 
-process.on("message", (order: ScenarioOrder) => {
-  const crashed = new Promise<ScenarioAnswer>((resolve) => {
-    onUnhandled = (reason) =>
+process.on("message", (order: ScenarioJob) => {
+  const crashed = new Promise<ScenarioResult>((resolve) => {
+    onUnhandledRejection = (reason) =>
       resolve({
-        failure: `A daemon would have crashed: ${reasonOf(reason)}`,
+        failure: `A daemon would have crashed: ${messageOf(reason)}`,
         isLast: true,
       });
   });
-  void Promise.race([answer(order), crashed]).then((found) =>
-    process.send?.(found, () => {
-      if (found.isLast === true) process.exit(1);
+  void Promise.race([runJob(order), crashed]).then((result) =>
+    process.send?.(result, () => {
+      if (result.isLast === true) process.exit(1);
     })
   );
 });
 
-async function answer(order: ScenarioOrder): Promise<ScenarioAnswer> {
+async function runJob(order: ScenarioJob): Promise<ScenarioResult> {
   const scenario = SCENARIOS[order.index];
   if (scenario === undefined) return { failure: "There is no such scenario" };
   const mutant = MUTANTS.find(({ name }) => name === order.mutant);
@@ -39,10 +39,10 @@
     });
     return {};
   } catch (thrown) {
-    return { failure: reasonOf(thrown) };
+    return { failure: messageOf(thrown) };
   }
 }
 
-function reasonOf(thrown: unknown): string {
+function messageOf(thrown: unknown): string {
   return thrown instanceof Error ? thrown.message : String(thrown);
 }
--- a/packages/kelpspar-scenarios/src/steps/assertion_steps.ts
+++ b/packages/kelpspar-scenarios/src/steps/assertion_steps.ts
@@ -6,7 +6,7 @@
 import { findLateRefusals } from "../checks/find_late_refusals.ts";
 import { findOverdueCalls } from "../checks/find_overdue_calls.ts";
 import { findRepeatedRuns } from "../checks/find_repeated_runs.ts";
-import { findTakenRequests } from "../checks/find_accepted_requests.ts";
+import { findAcceptedRequests } from "../checks/find_accepted_requests.ts";
 import { findWrongAnswers } from "../checks/find_wrong_answers.ts";
 import { findWrongEndings } from "../checks/find_wrong_endings.ts";
 import { findErrors } from "../checks/find_errors.ts";
@@ -47,16 +47,16 @@
   "{endpoint:name} received calls in the last {time:duration}": {
     meaning: "A new incarnation is used again",
     handler: (world, values) => {
-      const { arrivals } = world.endpoint(values.text("endpoint"));
+      const { arrivalTimes } = world.endpoint(values.text("endpoint"));
       const from = world.timer.now() - values.milliseconds("time");
-      if (arrivals.some((at) => at >= from)) return;
+      if (arrivalTimes.some((at) => at >= from)) return;
       throw new Error("It received none");
     },
   },
   "daemon {daemon:number} took no request from {from:duration} to {to:duration}":
     {
       meaning: "Counted from the site's first load",
-      handler: (world, values) => none(findTakenRequests(world, values)),
+      handler: (world, values) => none(findAcceptedRequests(world, values)),
     },
   "the planned stops cut off nothing": holds(
     "Each ended, and after every request that its daemon had taken",
--- a/packages/kelpspar-scenarios/src/steps/configuration_assertions.ts
+++ b/packages/kelpspar-scenarios/src/steps/configuration_assertions.ts
@@ -55,12 +55,12 @@
   "{count:number} changes met a conflict": {
     meaning: "So many operators were told that another change came first",
     handler: (world, values) => {
-      const met =
+      const conflicts =
         world.operators.changes.filter(({ error }) =>
           error?.result === "revision_conflict"
         ).length;
-      if (met === values.number("count")) return;
-      throw new Error(`${met} met a conflict`);
+      if (conflicts === values.number("count")) return;
+      throw new Error(`${conflicts} met a conflict`);
     },
   },
 };
--- a/packages/kelpspar-scenarios/src/steps/daemon_fault_steps.ts
+++ b/packages/kelpspar-scenarios/src/steps/daemon_fault_steps.ts
@@ -3,10 +3,10 @@
 import type { WorldDaemon } from "../world/daemon/world_daemon.ts";
 import type { NetworkLink } from "../world/network/network_link.ts";
 import type { World } from "../world/world.ts";
-import { plannedSteps } from "../language/delayed_steps.ts";
+import { withDelayedSteps } from "../language/delayed_steps.ts";
 
 /** Steps by which daemons and their connections fail. */
-export const DAEMON_FAULT_STEPS: StepTable = plannedSteps({
+export const DAEMON_FAULT_STEPS: StepTable = withDelayedSteps({
   "daemon {daemon:number} dies": {
     meaning: "The process ends without a word; its connections break",
     handler: (world, values) => daemonOf(world, values).die(),
@@ -34,7 +34,7 @@
       "Nothing passes between the daemon and `table`, `vm-list`, an endpoint or another daemon such as `daemon-2`",
     handler: (world, values) => {
       const { daemonId } = daemonOf(world, values);
-      cutFor(world, {
+      cutLinksFor(world, {
         links: [world.network.link(daemonId, values.text("party"))],
         milliseconds: values.milliseconds("time"),
       });
@@ -48,13 +48,16 @@
         const links = world.daemons
           .filter((other) => other.daemonId !== daemonId)
           .map((other) => world.network.link(daemonId, other.daemonId));
-        cutFor(world, { links, milliseconds: values.milliseconds("time") });
+        cutLinksFor(world, {
+          links,
+          milliseconds: values.milliseconds("time"),
+        });
       },
     },
   "the way to {party:name} takes {time:duration} longer": {
     meaning: "One way, of all that the party sends and receives",
     handler: (world, values) =>
-      world.network.slowDown(
+      world.network.setExtraDelay(
         values.text("party"),
         values.milliseconds("time"),
       ),
@@ -86,19 +89,19 @@
 ): void {
   const { process } = daemonOf(world, values);
   process.pause();
-  world.agenda.schedule(
+  world.actionQueue.schedule(
     values.milliseconds("time"),
     () => process.resume(first),
   );
 }
 
-function cutFor(world: World, options: {
+function cutLinksFor(world: World, options: {
   readonly links: readonly NetworkLink[];
   readonly milliseconds: number;
 }): void {
   const { links, milliseconds } = options;
   for (const link of links) link.cut();
-  world.agenda.schedule(milliseconds, () => {
+  world.actionQueue.schedule(milliseconds, () => {
     for (const link of links) link.heal();
   });
 }
--- a/packages/kelpspar-scenarios/src/steps/leaving_steps.ts
+++ b/packages/kelpspar-scenarios/src/steps/leaving_steps.ts
@@ -1,8 +1,8 @@
 import type { StepTable } from "../language/step_definition.ts";
-import { plannedSteps } from "../language/delayed_steps.ts";
+import { withDelayedSteps } from "../language/delayed_steps.ts";
 
 /** Steps by which endpoints leave, each known from one source alone. */
-export const LEAVING_STEPS: StepTable = plannedSteps({
+export const LEAVING_STEPS: StepTable = withDelayedSteps({
   "the VM list shows that {endpoint:name} is leaving": {
     meaning: "After its lag; the endpoint's own report says nothing",
     handler: (world, values) => {
@@ -32,7 +32,7 @@
       endpoint.faults = {
         ...endpoint.faults,
         hidesLeaving: true,
-        takesCallsWhileLeaving: false,
+        acceptsCallsWhileLeaving: false,
       };
       endpoint.leavingSince = world.timer.now();
     },
--- a/packages/kelpspar-scenarios/src/steps/load_steps.ts
+++ b/packages/kelpspar-scenarios/src/steps/load_steps.ts
@@ -2,17 +2,17 @@
 import type { StepTable } from "../language/step_definition.ts";
 import type { RetryPlan } from "../world/callers/retry_plan.ts";
 import type { World } from "../world/world.ts";
-import { PLANNED_SUFFIX } from "../language/delayed_steps.ts";
+import { DELAY_SUFFIX } from "../language/delayed_steps.ts";
 import { LOAD_KINDS } from "../world/callers/load_kind.ts";
 import { NO_RETRIES, PATIENT_RETRIES } from "../world/callers/retry_plan.ts";
 
-interface CallerManner {
+interface CallerBehavior {
   readonly meaning: string;
   readonly plan: (values: StepArguments) => RetryPlan;
 }
 
 /** What may stand behind "arrive over 2 s". */
-const MANNERS: Readonly<Record<string, CallerManner>> = {
+const CALLER_BEHAVIORS: Readonly<Record<string, CallerBehavior>> = {
   "": {
     meaning: "each caller sends once",
     plan: () => NO_RETRIES,
@@ -35,7 +35,7 @@
       meaning: "a caller leaves and asks the same daemon again, up to 4 times",
       plan: (values) => ({
         ...PATIENT_RETRIES,
-        atSameDaemon: true,
+        usesSameDaemon: true,
         silenceMilliseconds: values.milliseconds("silence"),
       }),
     },
@@ -44,8 +44,8 @@
       meaning: "a caller asks a second daemon and goes on reading the first",
       plan: (values) => ({
         ...NO_RETRIES,
-        mostAttempts: 2,
-        keepsFirst: true,
+        maximumAttempts: 2,
+        keepsFirstAttempt: true,
         silenceMilliseconds: values.milliseconds("silence"),
       }),
     },
@@ -54,21 +54,21 @@
       "a caller that was answered asks a second daemon for the same, and comes back as records advise",
     plan: (values) => ({
       ...PATIENT_RETRIES,
-      mostAttempts: 6,
-      askAgainMilliseconds: values.milliseconds("again"),
+      maximumAttempts: 6,
+      repeatAfterMilliseconds: values.milliseconds("again"),
     }),
   },
   ", each sent to two daemons at once": {
     meaning: "a caller sends the same request to two daemons at one moment",
-    plan: () => ({ ...NO_RETRIES, mostAttempts: 2, atOnce: true }),
+    plan: () => ({ ...NO_RETRIES, maximumAttempts: 2, sendsTwoAtOnce: true }),
   },
   ", each sent twice at once to one daemon": {
     meaning: "a caller sends the same request twice to one daemon",
     plan: () => ({
       ...NO_RETRIES,
-      mostAttempts: 2,
-      atOnce: true,
-      atSameDaemon: true,
+      maximumAttempts: 2,
+      sendsTwoAtOnce: true,
+      usesSameDaemon: true,
     }),
   },
 };
@@ -115,42 +115,45 @@
       world.loads.accountId = undefined;
     },
   },
-  ...createArrivals(),
+  ...createArrivalSteps(),
 };
 
 /**
  * With `after 2 s` behind it a load begins later, but what its callers are
  * like is what the scenario says where the step stands.
  */
-function createArrivals(): StepTable {
-  const rows = Object.entries(MANNERS).flatMap(([suffix, manner]) => {
-    const pattern = "{count:number} {load:words} arrive over {time:duration}" +
-      suffix;
-    const definition = {
-      meaning:
-        `Callers send so many requests, evenly over the time and the availability zones; ${manner.meaning}`,
-    };
-    const arriveAfter = (delay: (values: StepArguments) => number) =>
-    (
-      world: World,
-      values: StepArguments,
-    ): void =>
-      arrive(world, values, {
-        retries: manner.plan(values),
-        delayMilliseconds: delay(values),
-      });
-    return [
-      [pattern, { ...definition, handler: arriveAfter(() => 0) }] as const,
-      [pattern + PLANNED_SUFFIX, {
-        ...definition,
-        handler: arriveAfter((values) => values.milliseconds("after")),
-      }] as const,
-    ];
-  });
+function createArrivalSteps(): StepTable {
+  const rows = Object.entries(CALLER_BEHAVIORS).flatMap(
+    ([suffix, behavior]) => {
+      const pattern =
+        "{count:number} {load:words} arrive over {time:duration}" +
+        suffix;
+      const definition = {
+        meaning:
+          `Callers send so many requests, evenly over the time and the availability zones; ${behavior.meaning}`,
+      };
+      const createHandler = (delay: (values: StepArguments) => number) =>
+      (
+        world: World,
+        values: StepArguments,
+      ): void =>
+        scheduleArrivals(world, values, {
+          retries: behavior.plan(values),
+          delayMilliseconds: delay(values),
+        });
+      return [
+        [pattern, { ...definition, handler: createHandler(() => 0) }] as const,
+        [pattern + DELAY_SUFFIX, {
+          ...definition,
+          handler: createHandler((values) => values.milliseconds("after")),
+        }] as const,
+      ];
+    },
+  );
   return Object.fromEntries(rows);
 }
 
-function arrive(
+function scheduleArrivals(
   world: World,
   values: StepArguments,
   options: {
@@ -165,16 +168,19 @@
   }
   const { deadlineMilliseconds, daemon, accountId } = world.loads;
   const count = values.number("count");
-  const step = values.milliseconds("time") / count;
+  const intervalMilliseconds = values.milliseconds("time") / count;
   for (let index = 0; index < count; index++) {
-    world.agenda.schedule(delayMilliseconds + step * index, () => {
-      world.callers.submit({
-        kind,
-        accountId: accountId ?? ACCOUNTS[index % ACCOUNTS.length] ?? "",
-        retries,
-        deadlineMilliseconds,
-        ...(daemon === undefined ? {} : { daemon: world.daemon(daemon) }),
-      });
-    });
+    world.actionQueue.schedule(
+      delayMilliseconds + intervalMilliseconds * index,
+      () => {
+        world.callers.submit({
+          kind,
+          accountId: accountId ?? ACCOUNTS[index % ACCOUNTS.length] ?? "",
+          retries,
+          deadlineMilliseconds,
+          ...(daemon === undefined ? {} : { daemon: world.daemon(daemon) }),
+        });
+      },
+    );
   }
 }
--- a/packages/kelpspar-scenarios/src/steps/none.ts
+++ b/packages/kelpspar-scenarios/src/steps/none.ts
@@ -1,8 +1,8 @@
-const MOST_SHOWN = 5;
+const MAXIMUM_SHOWN = 5;
 
 /** Throws an Error that tells the first of what was found. */
 export function none(found: readonly string[]): void {
   if (found.length === 0) return;
-  const shown = found.slice(0, MOST_SHOWN).join("; ");
+  const shown = found.slice(0, MAXIMUM_SHOWN).join("; ");
   throw new Error(`${found.length} found: ${shown}`);
 }
--- a/packages/kelpspar-scenarios/src/steps/operator_steps.ts
+++ b/packages/kelpspar-scenarios/src/steps/operator_steps.ts
@@ -1,10 +1,10 @@
 import type { Configuration } from "kelpspar-configuration";
 import type { StepTable } from "../language/step_definition.ts";
 import type { World } from "../world/world.ts";
-import { plannedSteps } from "../language/delayed_steps.ts";
+import { withDelayedSteps } from "../language/delayed_steps.ts";
 
 /** Steps that operators take. */
-export const OPERATOR_STEPS: StepTable = plannedSteps({
+export const OPERATOR_STEPS: StepTable = withDelayedSteps({
   "daemon {daemon:number} is stopped": {
     meaning: "A planned stop, as by SIGTERM",
     handler: (world, values) => {
@@ -44,13 +44,16 @@
       meaning: "One after the other, each on top of what is in force there",
       handler: (world, values) => {
         const count = values.number("count");
-        const step = values.milliseconds("time") / count;
+        const intervalMilliseconds = values.milliseconds("time") / count;
         for (let index = 0; index < count; index++) {
-          world.agenda.schedule(step * index, () =>
-            world.operators.apply(
-              world.daemon(values.number("daemon")),
-              nextConfiguration(world),
-            ));
+          world.actionQueue.schedule(
+            intervalMilliseconds * index,
+            () =>
+              world.operators.apply(
+                world.daemon(values.number("daemon")),
+                nextConfiguration(world),
+              ),
+          );
         }
       },
     },
--- a/packages/kelpspar-scenarios/src/steps/platform_fault_steps.ts
+++ b/packages/kelpspar-scenarios/src/steps/platform_fault_steps.ts
@@ -1,10 +1,10 @@
 import type { TableFaults } from "kelpspar-standins";
 import type { StepTable } from "../language/step_definition.ts";
 import type { World } from "../world/world.ts";
-import { plannedSteps } from "../language/delayed_steps.ts";
+import { withDelayedSteps } from "../language/delayed_steps.ts";
 
 /** Steps by which the platform's services fail. */
-export const PLATFORM_FAULT_STEPS: StepTable = plannedSteps({
+export const PLATFORM_FAULT_STEPS: StepTable = withDelayedSteps({
   "the table is down for {time:duration}": {
     meaning: "It refuses every call",
     handler: (world, values) =>
@@ -81,7 +81,7 @@
   milliseconds: number,
 ): void {
   world.table.setFaults({ outage: kind });
-  world.agenda.schedule(
+  world.actionQueue.schedule(
     milliseconds,
     () => world.table.setFaults({ outage: "none" }),
   );
--- a/packages/kelpspar-scenarios/src/steps/site_steps.ts
+++ b/packages/kelpspar-scenarios/src/steps/site_steps.ts
@@ -15,10 +15,10 @@
     },
   "{time:duration} pass": {
     meaning: "Lets time pass and carries out what was planned for it",
-    handler: (world, values) => world.pass(values.milliseconds("time")),
+    handler: (world, values) => world.advance(values.milliseconds("time")),
   },
   "{time:duration} passes": {
     meaning: "The same, of one second or minute",
-    handler: (world, values) => world.pass(values.milliseconds("time")),
+    handler: (world, values) => world.advance(values.milliseconds("time")),
   },
 };
--- a/packages/kelpspar-scenarios/src/world/action_queue.ts
+++ b/packages/kelpspar-scenarios/src/world/action_queue.ts
@@ -1,15 +1,15 @@
 import type { ManualTimer } from "kelpspar-shared";
 
-interface AgendaItem {
+interface ScheduledAction {
   readonly dueAt: number;
   readonly order: number;
   readonly action: () => void | Promise<void>;
 }
 
 /** What the scenario has planned, carried out as time passes. */
-export class Agenda {
+export class ActionQueue {
   readonly #timer: ManualTimer;
-  #items: AgendaItem[] = [];
+  #items: ScheduledAction[] = [];
   #nextOrder = 0;
 
   constructor(timer: ManualTimer) {
@@ -22,10 +22,10 @@
   }
 
   /** Lets time pass; each action ends before time goes on. */
-  async pass(milliseconds: number): Promise<void> {
+  async advance(milliseconds: number): Promise<void> {
     const target = this.#timer.now() + milliseconds;
     for (;;) {
-      const next = this.#takeDue(target);
+      const next = this.#dequeueDue(target);
       if (next === undefined) break;
       await this.#timer.advance(Math.max(0, next.dueAt - this.#timer.now()));
       await next.action();
@@ -34,7 +34,7 @@
   }
 
   /** The earliest item up to `target`, also one that was added meanwhile. */
-  #takeDue(target: number): AgendaItem | undefined {
+  #dequeueDue(target: number): ScheduledAction | undefined {
     const [first] = this.#items
       .filter(({ dueAt }) => dueAt <= target)
       .sort((left, right) =>
--- a/packages/kelpspar-scenarios/src/world/callers/attempt.ts
+++ b/packages/kelpspar-scenarios/src/world/callers/attempt.ts
@@ -22,7 +22,7 @@
   /** Set once the daemon took the request. */
   context?: RequestContext;
   /** Closes the connection that reads the answer. */
-  leave?: () => void;
+  disconnect?: () => void;
   ending?: AttemptEnding;
   endedAt?: number;
   /** The text as the caller put it together. */
--- a/packages/kelpspar-scenarios/src/world/callers/caller_directory.ts
+++ b/packages/kelpspar-scenarios/src/world/callers/caller_directory.ts
@@ -14,9 +14,9 @@
   readonly daemons: () => readonly WorldDaemon[];
 }
 
-interface KeptAnswer {
+interface CachedAnswer {
   readonly answer: AddressAnswer;
-  readonly keepUntil: number;
+  readonly expiresAt: number;
 }
 
 /**
@@ -26,46 +26,49 @@
  */
 export class CallerDirectory {
   readonly #options: CallerDirectoryOptions;
-  readonly #kept = new Map<string, KeptAnswer>();
+  readonly #cache = new Map<string, CachedAnswer>();
 
   constructor(options: CallerDirectoryOptions) {
     this.#options = options;
   }
 
   /** A daemon for a caller of a zone, not `except` if there is another. */
-  choose(zone: string, except?: WorldDaemon): WorldDaemon {
+  chooseDaemon(zone: string, except?: WorldDaemon): WorldDaemon {
     const { random } = this.#options;
     const addresses = this.#addressesOf(zone).filter(({ address }) =>
       address !== except?.address
     );
-    const near = addresses.filter(({ availabilityZone }) =>
+    const sameZone = addresses.filter(({ availabilityZone }) =>
       availabilityZone === zone
     );
-    const chosen = draw(near.length > 0 ? near : addresses, random);
+    const chosen = chooseByWeight(
+      sameZone.length > 0 ? sameZone : addresses,
+      random,
+    );
     const daemons = this.#options.daemons();
     const found = daemons.find(({ address }) => address === chosen?.address);
-    return found ?? this.#any(except);
+    return found ?? this.#chooseAnyDaemon(except);
   }
 
   /** Drops what is kept: a daemon of it refused or was not there. */
-  forget(zone: string): void {
-    this.#kept.delete(zone);
+  invalidate(zone: string): void {
+    this.#cache.delete(zone);
   }
 
   #addressesOf(zone: string): readonly DaemonAddress[] {
     const now = this.#options.timer.now();
-    const kept = this.#kept.get(zone);
-    if (kept !== undefined && now < kept.keepUntil) return kept.answer.daemons;
-    const daemon = this.#any();
-    if (!daemon.isRunning) return kept?.answer.daemons ?? [];
+    const hit = this.#cache.get(zone);
+    if (hit !== undefined && now < hit.expiresAt) return hit.answer.daemons;
+    const daemon = this.#chooseAnyDaemon();
+    if (!daemon.isRunning) return hit?.answer.daemons ?? [];
     const answer = daemon.core.fleet.addresses(zone);
-    const keepUntil = now + answer.keepMilliseconds;
-    this.#kept.set(zone, { answer, keepUntil });
+    const expiresAt = now + answer.keepMilliseconds;
+    this.#cache.set(zone, { answer, expiresAt });
     return answer.daemons;
   }
 
   /** Any daemon that answers, as callers keep a list of them to begin with. */
-  #any(except?: WorldDaemon): WorldDaemon {
+  #chooseAnyDaemon(except?: WorldDaemon): WorldDaemon {
     const daemons = this.#options.daemons();
     const others = daemons.filter((daemon) => daemon !== except);
     const running = others.filter(({ isRunning }) => isRunning);
@@ -81,15 +84,15 @@
   }
 }
 
-function draw(
+function chooseByWeight(
   addresses: readonly DaemonAddress[],
   random: RandomSource,
 ): DaemonAddress | undefined {
   const sum = addresses.reduce((total, { weight }) => total + weight, 0);
-  let left = random.next() * sum;
+  let remaining = random.next() * sum;
   for (const address of addresses) {
-    left -= address.weight;
-    if (left < 0) return address;
+    remaining -= address.weight;
+    if (remaining < 0) return address;
   }
   return addresses.at(-1);
 }
--- a/packages/kelpspar-scenarios/src/world/callers/callers.ts
+++ b/packages/kelpspar-scenarios/src/world/callers/callers.ts
@@ -11,15 +11,15 @@
   toFailureRecord,
   toKelpsparError,
 } from "kelpspar-shared";
-import { askDaemon } from "./send_to_daemon.ts";
+import { sendToDaemon } from "./send_to_daemon.ts";
 import { CallerDirectory } from "./caller_directory.ts";
 import { createKey } from "./create_key.ts";
 import { followAnswer } from "./follow_answer.ts";
-import { mayHaveBeenTaken } from "./may_have_been_accepted.ts";
+import { mayHaveBeenAccepted } from "./may_have_been_accepted.ts";
 import { toEndRecord } from "./to_end_record.ts";
 
 const ZONES: readonly string[] = ["zone-a", "zone-b", "zone-c"];
-const DEFAULT_COMEBACK_MILLISECONDS = 100;
+const DEFAULT_RETRY_DELAY_MILLISECONDS = 100;
 
 /** What callers use of the world. */
 export interface CallersOptions extends CallerDirectoryOptions {
@@ -33,7 +33,7 @@
 }
 
 /** What a caller asks for. */
-export interface Wish {
+export interface SubmissionOptions {
   readonly kind: LoadKind;
   readonly accountId: string;
   readonly deadlineMilliseconds: number;
@@ -61,39 +61,39 @@
   }
 
   /** Sends a request now. */
-  submit(wish: Wish): Submission {
+  submit(options: SubmissionOptions): Submission {
     const number = this.submissions.length + 1;
     const zone = ZONES[number % ZONES.length] ?? "";
-    const daemon = wish.daemon ?? this.#directory.choose(zone);
+    const daemon = options.daemon ?? this.#directory.chooseDaemon(zone);
     const token = `T${number}`;
-    const key = createKey(wish.kind, { token, daemon });
+    const key = createKey(options.kind, { token, daemon });
     const submission: Submission = {
       token,
-      accountId: wish.accountId,
+      accountId: options.accountId,
       zone,
-      kind: wish.kind,
-      retries: wish.retries,
+      kind: options.kind,
+      retries: options.retries,
       sentAt: this.#options.timer.now(),
       attempts: [],
       request: submitRequestSchema.parse({
-        pipeline: wish.kind.pipeline,
+        pipeline: options.kind.pipeline,
         input: `quarter section ${number} token=${token}`,
-        deadlineMilliseconds: wish.deadlineMilliseconds,
-        nonIdempotent: wish.kind.nonIdempotent,
+        deadlineMilliseconds: options.deadlineMilliseconds,
+        nonIdempotent: options.kind.nonIdempotent,
         ...(key === undefined ? {} : { idempotencyKey: key }),
       }),
     };
     this.submissions.push(submission);
-    this.#attempt(submission, { daemon });
-    if (wish.retries.atOnce) this.#retry(submission, { daemon });
+    this.#startAttempt(submission, { daemon });
+    if (options.retries.sendsTwoAtOnce) this.#retry(submission, { daemon });
     return submission;
   }
 
-  #attempt(submission: Submission, next: NextAttempt): void {
+  #startAttempt(submission: Submission, next: NextAttempt): void {
     const { daemon, isLookUp = false } = next;
     const { timer } = this.#options;
     const isFirst = submission.attempts.length === 0;
-    const isResubmission = !isFirst && mayHaveBeenTaken(submission);
+    const isResubmission = !isFirst && mayHaveBeenAccepted(submission);
     const attempt: Attempt = {
       daemon,
       sentAt: timer.now(),
@@ -103,25 +103,28 @@
       faults: [],
     };
     submission.attempts.push(attempt);
-    this.#watchSilence(submission, attempt);
+    this.#startAnswerTimeout(submission, attempt);
     void this.#send(submission, attempt);
   }
 
   async #send(submission: Submission, attempt: Attempt): Promise<void> {
     const { daemon } = attempt;
     if (!daemon.isAlive) {
-      return this.#end(submission, { attempt, ending: { type: "broken" } });
+      return this.#endAttempt(submission, {
+        attempt,
+        ending: { type: "broken" },
+      });
     }
-    const stopWatch = daemon.process.registerDeathListener(() =>
-      this.#end(submission, { attempt, ending: { type: "broken" } })
+    const unregisterDeathListener = daemon.process.registerDeathListener(() =>
+      this.#endAttempt(submission, { attempt, ending: { type: "broken" } })
     );
-    await daemon.process.awake();
+    await daemon.process.whenRunning();
     const ended = (ending: AttemptEnding): void => {
-      stopWatch();
-      this.#end(submission, { attempt, ending });
+      unregisterDeathListener();
+      this.#endAttempt(submission, { attempt, ending });
     };
     try {
-      const found = await askDaemon(daemon, {
+      const found = await sendToDaemon(daemon, {
         account: this.#accountOf(submission, daemon),
         request: this.#requestOf(submission, attempt.isResubmission),
         isLookUp: attempt.isLookUp,
@@ -137,13 +140,13 @@
         attempt,
         (record) => ended({ type: "answered", record }),
       );
-      attempt.leave = () => {
+      attempt.disconnect = () => {
         stopReading();
-        void daemon.process.awake().then(() =>
+        void daemon.process.whenRunning().then(() =>
           daemon.core.requests.onReaderDisconnected(context)
         );
       };
-      if (attempt.ending?.type === "left") attempt.leave();
+      if (attempt.ending?.type === "left") attempt.disconnect();
     } catch (thrown) {
       const record = toFailureRecord(toKelpsparError(thrown), {
         elsewhere: daemon.core.fleet.elsewhere(),
@@ -169,26 +172,26 @@
     isResubmission: boolean,
   ): SubmitRequest {
     const { request, sentAt } = submission;
-    const left = request.deadlineMilliseconds -
+    const remaining = request.deadlineMilliseconds -
       (this.#options.timer.now() - sentAt);
     return {
       ...request,
-      deadlineMilliseconds: Math.max(1, Math.floor(left)),
+      deadlineMilliseconds: Math.max(1, Math.floor(remaining)),
       resubmission: isResubmission && !this.#options.dropsResubmission,
     };
   }
 
-  #watchSilence(submission: Submission, attempt: Attempt): void {
-    const { silenceMilliseconds, keepsFirst } = submission.retries;
+  #startAnswerTimeout(submission: Submission, attempt: Attempt): void {
+    const { silenceMilliseconds, keepsFirstAttempt } = submission.retries;
     if (silenceMilliseconds === undefined) return;
     this.#options.schedule(silenceMilliseconds, () => {
       if (attempt.ending !== undefined) return;
-      if (keepsFirst) return this.#retry(submission, attempt);
-      this.#end(submission, { attempt, ending: { type: "left" } });
+      if (keepsFirstAttempt) return this.#retry(submission, attempt);
+      this.#endAttempt(submission, { attempt, ending: { type: "left" } });
     });
   }
 
-  #end(
+  #endAttempt(
     submission: Submission,
     end: { readonly attempt: Attempt; readonly ending: AttemptEnding },
   ): void {
@@ -196,13 +199,13 @@
     if (attempt.ending !== undefined) return;
     attempt.ending = ending;
     attempt.endedAt = this.#options.timer.now();
-    if (ending.type === "left") attempt.leave?.();
+    if (ending.type === "left") attempt.disconnect?.();
     // What was kept named a daemon that did not serve.
-    if (ending.type !== "answered") this.#directory.forget(submission.zone);
-    this.#AFTER[ending.type](submission, attempt);
+    if (ending.type !== "answered") this.#directory.invalidate(submission.zone);
+    this.#ENDING_HANDLERS[ending.type](submission, attempt);
   }
 
-  readonly #AFTER: Readonly<
+  readonly #ENDING_HANDLERS: Readonly<
     Record<
       AttemptEnding["type"],
       (submission: Submission, attempt: Attempt) => void
@@ -211,24 +214,25 @@
     answered: (submission, { daemon, ending }) => {
       if (ending?.type !== "answered") return;
       if (ending.record.type === "end") {
-        return this.#afterAnswer(submission, daemon);
+        return this.#onAnswered(submission, daemon);
       }
-      this.#afterFailure(submission, { record: ending.record, daemon });
+      this.#onFailed(submission, { record: ending.record, daemon });
     },
     refused: (submission, { daemon, ending }) => {
       if (ending?.type !== "refused") return;
-      this.#afterFailure(submission, { record: ending.record, daemon });
+      this.#onFailed(submission, { record: ending.record, daemon });
     },
     broken: (submission, { daemon }) => {
-      if (submission.retries.onBrokenConnection) {
+      if (submission.retries.retriesBrokenConnection) {
         this.#retry(submission, { daemon });
       }
     },
     left: (submission, { daemon }) => this.#retry(submission, { daemon }),
   };
 
-  #afterAnswer(submission: Submission, daemon: WorldDaemon): void {
-    const { askAgainMilliseconds } = submission.retries;
+  #onAnswered(submission: Submission, daemon: WorldDaemon): void {
+    const { repeatAfterMilliseconds: askAgainMilliseconds } =
+      submission.retries;
     if (askAgainMilliseconds === undefined) return;
     if (submission.attempts.length > 1) return;
     this.#options.schedule(
@@ -237,13 +241,14 @@
     );
   }
 
-  #afterFailure(submission: Submission, failure: {
+  #onFailed(submission: Submission, failure: {
     readonly record: FailureRecord;
     readonly daemon: WorldDaemon;
   }): void {
     const { record, daemon } = failure;
-    if (!submission.retries.onRefusal || record.retry === "never") return;
-    const wait = record.retryAfterMilliseconds ?? DEFAULT_COMEBACK_MILLISECONDS;
+    if (!submission.retries.retriesRefusal || record.retry === "never") return;
+    const wait = record.retryAfterMilliseconds ??
+      DEFAULT_RETRY_DELAY_MILLISECONDS;
     const isLookUp = record.retry === "look_up" &&
       submission.request.idempotencyKey !== undefined;
     this.#options.schedule(
@@ -255,12 +260,12 @@
   #retry(submission: Submission, after: NextAttempt): void {
     const { daemon: before, isLookUp = false } = after;
     const { retries, attempts, request, sentAt } = submission;
-    if (attempts.length >= retries.mostAttempts) return;
+    if (attempts.length >= retries.maximumAttempts) return;
     const elapsed = this.#options.timer.now() - sentAt;
     if (elapsed >= request.deadlineMilliseconds) return;
-    const daemon = retries.atSameDaemon
+    const daemon = retries.usesSameDaemon
       ? before
-      : this.#directory.choose(submission.zone, before);
-    this.#attempt(submission, { daemon, isLookUp });
+      : this.#directory.chooseDaemon(submission.zone, before);
+    this.#startAttempt(submission, { daemon, isLookUp });
   }
 }
--- a/packages/kelpspar-scenarios/src/world/callers/follow_answer.ts
+++ b/packages/kelpspar-scenarios/src/world/callers/follow_answer.ts
@@ -13,9 +13,9 @@
 ): () => void {
   const log = attempt.context?.log;
   if (log === undefined) return () => {};
-  let isOver = false;
+  let isFinished = false;
   const read = (): void => {
-    if (isOver) {
+    if (isFinished) {
       attempt.faults.push("a record came after the final one");
       return;
     }
@@ -26,13 +26,13 @@
       attempt.text += chunk.text;
     }
     if (log.final === undefined) return;
-    isOver = true;
+    isFinished = true;
     checkEnd(attempt, log.final);
     onFinal(log.final);
   };
-  const stop = log.registerListener(read);
+  const unregister = log.registerListener(read);
   read();
-  return stop;
+  return unregister;
 }
 
 function checkEnd(attempt: Attempt, record: EndRecord | FailureRecord): void {
--- a/packages/kelpspar-scenarios/src/world/callers/retry_plan.ts
+++ b/packages/kelpspar-scenarios/src/world/callers/retry_plan.ts
@@ -3,34 +3,34 @@
   /** Tries another daemon after so long without a final record. */
   readonly silenceMilliseconds?: number;
   /** Tries another daemon when its connection breaks. */
-  readonly onBrokenConnection: boolean;
+  readonly retriesBrokenConnection: boolean;
   /** Comes back as a refusal's advice says. */
-  readonly onRefusal: boolean;
+  readonly retriesRefusal: boolean;
   /** Sends the same request to the same daemon again. */
-  readonly atSameDaemon: boolean;
+  readonly usesSameDaemon: boolean;
   /** Sends the second copy at the same moment as the first. */
-  readonly atOnce: boolean;
+  readonly sendsTwoAtOnce: boolean;
   /** Keeps reading the first answer while it asks elsewhere. */
-  readonly keepsFirst: boolean;
+  readonly keepsFirstAttempt: boolean;
   /** Asks another daemon for the same, so long after a whole answer. */
-  readonly askAgainMilliseconds?: number;
-  readonly mostAttempts: number;
+  readonly repeatAfterMilliseconds?: number;
+  readonly maximumAttempts: number;
 }
 
 /** A caller that sends once and waits. */
 export const NO_RETRIES: RetryPlan = {
-  onBrokenConnection: false,
-  onRefusal: false,
-  atSameDaemon: false,
-  atOnce: false,
-  keepsFirst: false,
-  mostAttempts: 1,
+  retriesBrokenConnection: false,
+  retriesRefusal: false,
+  usesSameDaemon: false,
+  sendsTwoAtOnce: false,
+  keepsFirstAttempt: false,
+  maximumAttempts: 1,
 };
 
 /** A caller that does what the records advise it. */
 export const PATIENT_RETRIES: RetryPlan = {
   ...NO_RETRIES,
-  onBrokenConnection: true,
-  onRefusal: true,
-  mostAttempts: 5,
+  retriesBrokenConnection: true,
+  retriesRefusal: true,
+  maximumAttempts: 5,
 };
--- a/packages/kelpspar-scenarios/src/world/callers/send_to_daemon.ts
+++ b/packages/kelpspar-scenarios/src/world/callers/send_to_daemon.ts
@@ -6,10 +6,10 @@
 import { KelpsparError } from "kelpspar-shared";
 
 /** A whole answer that a daemon or the table kept. */
-export type KeptAnswer = Extract<StoredResult, { readonly text: string }>;
+export type StoredAnswer = Extract<StoredResult, { readonly text: string }>;
 
 /** What a caller asks of a daemon. */
-export interface DaemonQuestion {
+export interface CallerRequest {
   readonly account: AccountConfiguration;
   readonly request: SubmitRequest;
   /** True to look the key up without starting anything. */
@@ -17,14 +17,14 @@
 }
 
 /** Does what a daemon's HTTP routes for callers do; throws its refusal. */
-export async function askDaemon(
+export async function sendToDaemon(
   daemon: WorldDaemon,
-  question: DaemonQuestion,
+  callerRequest: CallerRequest,
 ): Promise<
-  { readonly context: RequestContext } | { readonly result: KeptAnswer }
+  { readonly context: RequestContext } | { readonly result: StoredAnswer }
 > {
   const { lookup, requests, keeper } = daemon.core;
-  const { account, request, isLookUp } = question;
+  const { account, request, isLookUp } = callerRequest;
   if (!isLookUp) {
     await keeper.whenSettled();
     return { context: requests.submit(account, request) };
--- a/packages/kelpspar-scenarios/src/world/callers/to_end_record.ts
+++ b/packages/kelpspar-scenarios/src/world/callers/to_end_record.ts
@@ -1,8 +1,8 @@
 import type { EndRecord } from "kelpspar-shared";
-import type { KeptAnswer } from "./send_to_daemon.ts";
+import type { StoredAnswer } from "./send_to_daemon.ts";
 
 /** The record that ends a kept answer. */
-export function toEndRecord(answer: KeptAnswer): EndRecord {
+export function toEndRecord(answer: StoredAnswer): EndRecord {
   const { length, checksum, cost } = answer;
   return {
     type: "end",
--- a/packages/kelpspar-scenarios/src/world/daemon/active_revision.ts
+++ b/packages/kelpspar-scenarios/src/world/daemon/active_revision.ts
@@ -1,5 +1,5 @@
 /** A revision that came into force at a daemon. */
-export interface RevisionInForce {
+export interface ActiveRevision {
   readonly revision: number;
   readonly at: number;
 }
--- a/packages/kelpspar-scenarios/src/world/daemon/daemon_process.ts
+++ b/packages/kelpspar-scenarios/src/world/daemon/daemon_process.ts
@@ -12,7 +12,7 @@
   readonly timer: DaemonTimer;
   readonly #deathListeners = new Set<() => void>();
   #state: ProcessState = "running";
-  #waiting: (() => void)[] = [];
+  #resumeListeners: (() => void)[] = [];
 
   constructor(base: ManualTimer) {
     this.timer = new DaemonTimer(base);
@@ -23,10 +23,10 @@
   }
 
   /** Resolves when the process can take something in; never once it is dead. */
-  awake(): Promise<void> {
+  whenRunning(): Promise<void> {
     if (this.#state === "running") return Promise.resolve();
     return new Promise((resolve) => {
-      if (this.#state === "paused") this.#waiting.push(resolve);
+      if (this.#state === "paused") this.#resumeListeners.push(resolve);
     });
   }
 
@@ -34,10 +34,10 @@
   async receive<Value>(pending: Promise<Value>): Promise<Value> {
     try {
       const value = await pending;
-      await this.awake();
+      await this.whenRunning();
       return value;
     } catch (thrown) {
-      await this.awake();
+      await this.whenRunning();
       throw thrown;
     }
   }
@@ -57,8 +57,8 @@
     if (this.#state !== "paused") return;
     this.#state = "running";
     if (first === "alarms") await this.timer.resume();
-    const waiting = this.#waiting;
-    this.#waiting = [];
+    const waiting = this.#resumeListeners;
+    this.#resumeListeners = [];
     for (const resolve of waiting) {
       resolve();
       // Promises run between two arrivals, and nothing else.
@@ -69,7 +69,7 @@
 
   die(): void {
     this.#state = "dead";
-    this.#waiting = [];
+    this.#resumeListeners = [];
     this.timer.stop();
     for (const listener of this.#deathListeners) listener();
     this.#deathListeners.clear();
--- a/packages/kelpspar-scenarios/src/world/daemon/daemon_timer.ts
+++ b/packages/kelpspar-scenarios/src/world/daemon/daemon_timer.ts
@@ -1,6 +1,6 @@
 import type { ManualTimer, TimerService } from "kelpspar-shared";
 
-interface Alarm {
+interface PendingTimeout {
   readonly dueAt: number;
   readonly listener: () => void;
   isCancelled: boolean;
@@ -14,7 +14,7 @@
 export class DaemonTimer implements TimerService {
   readonly #base: ManualTimer;
   #state: "running" | "paused" | "dead" = "running";
-  #held: Alarm[] = [];
+  #dueWhilePaused: PendingTimeout[] = [];
 
   constructor(base: ManualTimer) {
     this.#base = base;
@@ -30,27 +30,27 @@
 
   registerTimeout(listener: () => void, milliseconds: number): () => void {
     const dueAt = this.#base.now() + Math.max(0, milliseconds);
-    const alarm: Alarm = { dueAt, listener, isCancelled: false };
-    const stop = this.#base.registerTimeout(
-      () => this.#fire(alarm),
+    const timeout: PendingTimeout = { dueAt, listener, isCancelled: false };
+    const unregister = this.#base.registerTimeout(
+      () => this.#fire(timeout),
       milliseconds,
     );
     return () => {
-      alarm.isCancelled = true;
-      stop();
+      timeout.isCancelled = true;
+      unregister();
     };
   }
 
   registerInterval(listener: () => void, milliseconds: number): () => void {
-    let stop = (): void => {};
-    const arm = (): void => {
-      stop = this.registerTimeout(() => {
-        arm();
+    let unregister = (): void => {};
+    const schedule = (): void => {
+      unregister = this.registerTimeout(() => {
+        schedule();
         listener();
       }, milliseconds);
     };
-    arm();
-    return () => stop();
+    schedule();
+    return () => unregister();
   }
 
   pause(): void {
@@ -60,10 +60,12 @@
   /** Fires what fell due meanwhile, earliest first. */
   async resume(): Promise<void> {
     this.#state = "running";
-    const held = this.#held.sort((left, right) => left.dueAt - right.dueAt);
-    this.#held = [];
-    for (const alarm of held) {
-      if (!alarm.isCancelled) alarm.listener();
+    const due = this.#dueWhilePaused.sort((left, right) =>
+      left.dueAt - right.dueAt
+    );
+    this.#dueWhilePaused = [];
+    for (const timeout of due) {
+      if (!timeout.isCancelled) timeout.listener();
       // Promises run between two alarms, but nothing arrives.
       await new Promise<void>((resolve) => setImmediate(resolve));
     }
@@ -72,12 +74,12 @@
   /** Nothing fires any more. */
   stop(): void {
     this.#state = "dead";
-    this.#held = [];
+    this.#dueWhilePaused = [];
   }
 
-  #fire(alarm: Alarm): void {
+  #fire(timeout: PendingTimeout): void {
     if (this.#state === "dead") return;
-    if (this.#state === "paused") this.#held.push(alarm);
-    else alarm.listener();
+    if (this.#state === "paused") this.#dueWhilePaused.push(timeout);
+    else timeout.listener();
   }
 }
--- a/packages/kelpspar-scenarios/src/world/daemon/world_daemon.ts
+++ b/packages/kelpspar-scenarios/src/world/daemon/world_daemon.ts
@@ -7,7 +7,7 @@
 } from "kelpspar-daemon";
 import type { ManualTimer, RandomSource } from "kelpspar-shared";
 import type { WorldMutation } from "../world_mutation.ts";
-import type { RevisionInForce } from "./active_revision.ts";
+import type { ActiveRevision } from "./active_revision.ts";
 import {
   createCore,
   createPeerHandlers,
@@ -41,14 +41,14 @@
   readonly handlers: PeerHandlers;
   readonly log = new CollectingLog();
   /** Each revision that came into force here, and when. */
-  readonly revisions: RevisionInForce[] = [];
+  readonly revisions: ActiveRevision[] = [];
   /** Monotonic milliseconds. */
   readonly startedAt: number;
   /** When a planned stop began and ended, monotonic milliseconds. */
   stopBeganAt: number | undefined;
   stopEndedAt: number | undefined;
   readonly #options: WorldDaemonOptions;
-  readonly #stopListening: () => void;
+  readonly #unregisterListener: () => void;
 
   constructor(options: WorldDaemonOptions) {
     this.#options = options;
@@ -68,11 +68,13 @@
       ports: changed,
       port: () => settings.port,
     });
-    this.#stopListening = this.core.state.registerListener((now, before) => {
-      if (now.configurationRow === before.configurationRow) return;
-      const revision = now.configurationRow?.revision ?? 0;
-      this.revisions.push({ revision, at: timer.now() });
-    });
+    this.#unregisterListener = this.core.state.registerListener(
+      (now, before) => {
+        if (now.configurationRow === before.configurationRow) return;
+        const revision = now.configurationRow?.revision ?? 0;
+        this.revisions.push({ revision, at: timer.now() });
+      },
+    );
     mutation.core?.(this.core);
     this.handlers = createPeerHandlers(this.core, changed);
     this.roles = startRoles({ settings, ports: changed, core: this.core });
@@ -103,7 +105,7 @@
   /** The process ends without a word. */
   die(): void {
     this.process.die();
-    this.#stopListening();
+    this.#unregisterListener();
     this.roles.stop();
   }
 
--- a/packages/kelpspar-scenarios/src/world/daemon/world_peer_client.ts
+++ b/packages/kelpspar-scenarios/src/world/daemon/world_peer_client.ts
@@ -55,26 +55,26 @@
 
   #call<Answer>(
     peer: PeerAddress,
-    ask: (handlers: PeerHandlers) => Answer,
+    invoke: (handlers: PeerHandlers) => Answer,
   ): Promise<Answer> {
     const { network, process, daemonId } = this.#options;
-    const lost = (): Error =>
+    const createNoAnswerError = (): Error =>
       new KelpsparError(
         "peer_unavailable",
         `Daemon ${peer.address}:${peer.port} did not answer`,
       );
     const target = this.#options.find(peer);
-    if (target === undefined) return Promise.reject(lost());
+    if (target === undefined) return Promise.reject(createNoAnswerError());
     return exchange({
       network,
       process,
       from: daemonId,
       to: target.daemonId,
       timeoutMilliseconds: TIMEOUT_MILLISECONDS,
-      lost,
-      work: async () => {
-        await target.process.awake();
-        return structuredClone(ask(target.handlers));
+      createNoAnswerError,
+      handleRequest: async () => {
+        await target.process.whenRunning();
+        return structuredClone(invoke(target.handlers));
       },
     });
   }
--- a/packages/kelpspar-scenarios/src/world/endpoint/call_channel.ts
+++ b/packages/kelpspar-scenarios/src/world/endpoint/call_channel.ts
@@ -12,9 +12,9 @@
 export class CallChannel {
   readonly #deliver: (arrive: () => void) => void;
   readonly #events: ChannelEvent[] = [];
-  #wake = (): void => {};
+  #wakeReader = (): void => {};
   #onDisconnect = (): void => {};
-  #isOver = false;
+  #isDisconnected = false;
 
   /** `deliver` calls back when what is sent now has arrived, if it does. */
   constructor(deliver: (arrive: () => void) => void) {
@@ -38,14 +38,14 @@
   }
 
   /** Says what the endpoint does when the daemon's end goes away. */
-  onDisconnect(listener: () => void): void {
+  setDisconnectListener(listener: () => void): void {
     this.#onDisconnect = listener;
   }
 
   /** The daemon's end goes away; the endpoint notices a little later. */
   disconnect(): void {
-    if (this.#isOver) return;
-    this.#isOver = true;
+    if (this.#isDisconnected) return;
+    this.#isDisconnected = true;
     this.#deliver(() => this.#onDisconnect());
   }
 
@@ -55,16 +55,16 @@
       const event = this.#events.shift();
       if (event !== undefined) return event;
       await new Promise<void>((resolve) => {
-        this.#wake = resolve;
+        this.#wakeReader = resolve;
       });
     }
   }
 
   #send(...events: readonly ChannelEvent[]): void {
-    if (this.#isOver) return;
+    if (this.#isDisconnected) return;
     this.#deliver(() => {
       this.#events.push(...events);
-      this.#wake();
+      this.#wakeReader();
     });
   }
 }
--- a/packages/kelpspar-scenarios/src/world/endpoint/choose_call_outcome.ts
+++ b/packages/kelpspar-scenarios/src/world/endpoint/choose_call_outcome.ts
@@ -1,15 +1,18 @@
 import type { EndpointFaults } from "./endpoint_faults.ts";
-import type { RunFate } from "./endpoint_run.ts";
+import type { CallOutcome } from "./endpoint_run.ts";
 
 /** How the Nth call of an endpoint ends under its faults. */
-export function fateOfCall(number: number, faults: EndpointFaults): RunFate {
-  const fates: readonly (readonly [RunFate, number])[] = [
+export function chooseCallOutcome(
+  number: number,
+  faults: EndpointFaults,
+): CallOutcome {
+  const outcomes: readonly (readonly [CallOutcome, number])[] = [
     ["hang", faults.hangEvery],
     ["fail", faults.failEvery],
     ["lose_answer", faults.loseAnswerEvery],
     ["cut", faults.cutEvery],
     ["gap", faults.gapEvery],
   ];
-  const found = fates.find(([, every]) => every > 0 && number % every === 0);
+  const found = outcomes.find(([, every]) => every > 0 && number % every === 0);
   return found?.[0] ?? "answer";
 }
--- a/packages/kelpspar-scenarios/src/world/endpoint/create_delivery.ts
+++ b/packages/kelpspar-scenarios/src/world/endpoint/create_delivery.ts
@@ -6,20 +6,20 @@
   readonly daemonId: string;
   readonly endpointId: string;
   /** False while or once the connection carries nothing. */
-  readonly carries: () => boolean;
+  readonly canDeliver: () => boolean;
 }
 
 /** Carries what is sent over one connection, in order, until it is lost. */
 export function createDelivery(
   options: DeliveryOptions,
 ): (arrive: () => void) => void {
-  const { network, daemonId, endpointId, carries } = options;
+  const { network, daemonId, endpointId, canDeliver } = options;
   let isLost = false;
-  let last = Promise.resolve();
+  let previousDelivery = Promise.resolve();
   return (arrive) => {
-    const travelled = network.travel(endpointId, daemonId);
-    last = Promise.all([last, travelled]).then(() => {
-      if (!carries()) isLost = true;
+    const transit = network.waitForTransit(endpointId, daemonId);
+    previousDelivery = Promise.all([previousDelivery, transit]).then(() => {
+      if (!canDeliver()) isLost = true;
       if (!isLost) arrive();
     });
   };
--- a/packages/kelpspar-scenarios/src/world/endpoint/endpoint_faults.ts
+++ b/packages/kelpspar-scenarios/src/world/endpoint/endpoint_faults.ts
@@ -22,7 +22,7 @@
   /** Its report says nothing of its leaving. */
   readonly hidesLeaving: boolean;
   /** Takes calls although it is leaving. */
-  readonly takesCallsWhileLeaving: boolean;
+  readonly acceptsCallsWhileLeaving: boolean;
 }
 
 /** An endpoint that is well. */
@@ -39,5 +39,5 @@
   splitsCharacters: false,
   isOverloaded: false,
   hidesLeaving: false,
-  takesCallsWhileLeaving: true,
+  acceptsCallsWhileLeaving: true,
 };
--- a/packages/kelpspar-scenarios/src/world/endpoint/endpoint_run.ts
+++ b/packages/kelpspar-scenarios/src/world/endpoint/endpoint_run.ts
@@ -2,7 +2,7 @@
 import type { RecordWriter, ResultPiece } from "./record_writer.ts";
 
 /** How a call ends at the endpoint. */
-export type RunFate =
+export type CallOutcome =
   | "answer"
   | "fail"
   | "lose_answer"
@@ -14,17 +14,17 @@
 export interface EndpointRunOptions {
   readonly call: StageCall;
   readonly output: string;
-  readonly fate: RunFate;
+  readonly outcome: CallOutcome;
   /** How long the whole call takes, milliseconds. */
   readonly milliseconds: number;
   readonly splitsCharacters: boolean;
   /** True when the pieces come one by one, as they are generated. */
-  readonly isStream: boolean;
+  readonly isStreaming: boolean;
   readonly timer: ManualTimer;
   readonly onEnd: () => void;
 }
 
-const PIECES = 4;
+const PIECE_COUNT = 4;
 
 /** One call while an endpoint runs it. */
 export class EndpointRun {
@@ -32,32 +32,32 @@
   readonly #pieces: readonly ResultPiece[];
   readonly #startedAt: number;
   #writer: RecordWriter;
-  #written = 0;
-  #isOver = false;
-  #stopTimers: (() => void)[] = [];
+  #writtenPieces = 0;
+  #isFinished = false;
+  #timerTeardowns: (() => void)[] = [];
 
   constructor(options: EndpointRunOptions, writer: RecordWriter) {
     this.options = options;
-    this.#pieces = cutIntoPieces(options.output, {
+    this.#pieces = splitIntoPieces(options.output, {
       splitsCharacters: options.splitsCharacters,
     });
     this.#startedAt = options.timer.now();
     this.#writer = writer;
   }
 
-  get isOver(): boolean {
-    return this.#isOver;
+  get isFinished(): boolean {
+    return this.#isFinished;
   }
 
   start(): void {
-    const { timer, milliseconds, isStream } = this.options;
-    const step = milliseconds / this.#pieces.length;
-    for (let index = 1; index < this.#pieces.length && isStream; index++) {
-      this.#stopTimers.push(
-        timer.registerTimeout(() => this.#writeUpTo(index), step * index),
+    const { timer, milliseconds, isStreaming } = this.options;
+    const interval = milliseconds / this.#pieces.length;
+    for (let index = 1; index < this.#pieces.length && isStreaming; index++) {
+      this.#timerTeardowns.push(
+        timer.registerTimeout(() => this.#writeUpTo(index), interval * index),
       );
     }
-    this.#stopTimers.push(
+    this.#timerTeardowns.push(
       timer.registerTimeout(() => this.#finish(), milliseconds),
     );
   }
@@ -65,64 +65,66 @@
   /** Another connection takes the stream up at an offset. */
   resume(writer: RecordWriter, offset: number): void {
     this.#writer = writer;
-    for (const piece of this.#pieces.slice(0, this.#written)) {
+    for (const piece of this.#pieces.slice(0, this.#writtenPieces)) {
       if (piece.offset + piece.text.length <= offset) continue;
       writer.piece(piece);
     }
-    if (this.#isOver) writer.end(this.options.output.length, 0);
+    if (this.#isFinished) writer.end(this.options.output.length, 0);
   }
 
   /** Stops at once: the endpoint died or was told to. */
   stop(): void {
-    for (const stopTimer of this.#stopTimers) stopTimer();
+    for (const unregister of this.#timerTeardowns) unregister();
     this.#writer.break();
   }
 
   #writeUpTo(count: number): void {
-    const { fate, call } = this.options;
-    const from = call.resumeOffset ?? 0;
-    const last = fate === "cut" || fate === "fail"
+    const { outcome, call } = this.options;
+    const resumeOffset = call.resumeOffset ?? 0;
+    const pieceLimit = outcome === "cut" || outcome === "fail"
       ? Math.min(count, Math.floor(this.#pieces.length / 2))
       : count;
-    for (; this.#written < last; this.#written++) {
-      const piece = this.#pieces[this.#written];
-      if (piece === undefined || fate === "hang") continue;
-      if (fate === "lose_answer" && !this.options.isStream) continue;
-      if (fate === "gap" && this.#written === 1) continue;
-      if (piece.offset + piece.text.length <= from) continue;
+    for (; this.#writtenPieces < pieceLimit; this.#writtenPieces++) {
+      const piece = this.#pieces[this.#writtenPieces];
+      if (piece === undefined || outcome === "hang") continue;
+      if (outcome === "lose_answer" && !this.options.isStreaming) continue;
+      if (outcome === "gap" && this.#writtenPieces === 1) continue;
+      if (piece.offset + piece.text.length <= resumeOffset) continue;
       this.#writer.piece(piece);
     }
   }
 
   #finish(): void {
-    const { fate, output, timer } = this.options;
+    const { outcome, output, timer } = this.options;
     this.#writeUpTo(this.#pieces.length);
-    this.#isOver = true;
+    this.#isFinished = true;
     this.options.onEnd();
-    const spent = timer.now() - this.#startedAt;
-    const endings: Readonly<Record<RunFate, () => void>> = {
-      answer: () => this.#writer.end(output.length, spent),
-      gap: () => this.#writer.end(output.length, spent),
+    const elapsed = timer.now() - this.#startedAt;
+    const endings: Readonly<Record<CallOutcome, () => void>> = {
+      answer: () => this.#writer.end(output.length, elapsed),
+      gap: () => this.#writer.end(output.length, elapsed),
       fail: () => this.#writer.failure(true, "failed"),
       lose_answer: () => this.#writer.break(),
       hang: () => {},
       cut: () => this.#writer.close(),
     };
-    endings[fate]();
+    endings[outcome]();
   }
 }
 
-function cutIntoPieces(
+function splitIntoPieces(
   text: string,
   options: { readonly splitsCharacters: boolean },
 ): readonly ResultPiece[] {
   const characters = [...text];
-  const size = Math.ceil(characters.length / PIECES);
+  const size = Math.ceil(characters.length / PIECE_COUNT);
   const pieces: ResultPiece[] = [];
   let offset = 0;
   for (let start = 0; start < characters.length; start += size) {
     const whole = characters.slice(start, start + size).join("");
-    const halves = options.splitsCharacters ? splitPair(whole) : [whole];
+    const halves = options.splitsCharacters
+      ? splitSurrogatePair(whole)
+      : [whole];
     for (const piece of halves) {
       pieces.push({ offset, text: piece });
       offset += piece.length;
@@ -132,7 +134,7 @@
 }
 
 /** Two pieces, parted between the units of the first pair; one without any. */
-function splitPair(text: string): readonly string[] {
+function splitSurrogatePair(text: string): readonly string[] {
   const high = text.search(/[\uD800-\uDBFF]/);
   if (high < 0) return [text];
   return [text.slice(0, high + 1), text.slice(high + 1)];
--- a/packages/kelpspar-scenarios/src/world/endpoint/execution_log.ts
+++ b/packages/kelpspar-scenarios/src/world/endpoint/execution_log.ts
@@ -11,9 +11,9 @@
 
   add(execution: Execution): void {
     this.#executions.push(execution);
-    const known = this.#byToken.get(execution.token);
-    if (known === undefined) this.#byToken.set(execution.token, [execution]);
-    else known.push(execution);
+    const existing = this.#byToken.get(execution.token);
+    if (existing === undefined) this.#byToken.set(execution.token, [execution]);
+    else existing.push(execution);
   }
 
   ofToken(token: string): readonly Execution[] {
--- a/packages/kelpspar-scenarios/src/world/endpoint/record_writer.ts
+++ b/packages/kelpspar-scenarios/src/world/endpoint/record_writer.ts
@@ -13,20 +13,20 @@
   readonly #call: StageCall;
   readonly #channel: CallChannel;
   readonly #faults: EndpointFaults;
-  readonly #stranger: () => StageCall | undefined;
-  #heldBack: StageRecord | undefined;
+  readonly #otherCall: () => StageCall | undefined;
+  #delayedRecord: StageRecord | undefined;
 
   constructor(options: {
     readonly call: StageCall;
     readonly channel: CallChannel;
     readonly faults: EndpointFaults;
     /** Another call, whose records are mixed in. */
-    readonly stranger: () => StageCall | undefined;
+    readonly otherCall: () => StageCall | undefined;
   }) {
     this.#call = options.call;
     this.#channel = options.channel;
     this.#faults = options.faults;
-    this.#stranger = options.stranger;
+    this.#otherCall = options.otherCall;
   }
 
   piece(piece: ResultPiece): void {
@@ -63,9 +63,9 @@
   }
 
   #write(record: StageRecord): void {
-    if (this.#faults.mixesRecords) this.#writeForeign(record);
-    if (this.#faults.reordersRecords && this.#heldBack === undefined) {
-      this.#heldBack = record;
+    if (this.#faults.mixesRecords) this.#writeForeignRecords(record);
+    if (this.#faults.reordersRecords && this.#delayedRecord === undefined) {
+      this.#delayedRecord = record;
       return;
     }
     this.#send(record);
@@ -73,22 +73,22 @@
   }
 
   #flush(): void {
-    const record = this.#heldBack;
-    this.#heldBack = undefined;
+    const record = this.#delayedRecord;
+    this.#delayedRecord = undefined;
     if (record !== undefined) this.#send(record);
   }
 
   #send(record: StageRecord): void {
-    const times = this.#faults.duplicatesRecords ? 2 : 1;
-    for (let index = 0; index < times; index++) this.#channel.write([record]);
+    const copies = this.#faults.duplicatesRecords ? 2 : 1;
+    for (let index = 0; index < copies; index++) this.#channel.write([record]);
   }
 
   /**
    * The same record as another call and as an earlier attempt of this one
    * would get it, with other text.
    */
-  #writeForeign(record: StageRecord): void {
-    const { requestId, stageId, attemptId } = this.#stranger() ?? this.#call;
+  #writeForeignRecords(record: StageRecord): void {
+    const { requestId, stageId, attemptId } = this.#otherCall() ?? this.#call;
     const text = record.type === "chunk"
       ? { text: record.text.replace(/\w/g, "x") }
       : {};
--- a/packages/kelpspar-scenarios/src/world/endpoint/world_endpoint.ts
+++ b/packages/kelpspar-scenarios/src/world/endpoint/world_endpoint.ts
@@ -11,7 +11,7 @@
 import { readToken } from "kelpspar-standins";
 import { answerCall } from "./answer_call.ts";
 import { NO_ENDPOINT_FAULTS } from "./endpoint_faults.ts";
-import { fateOfCall } from "./choose_call_outcome.ts";
+import { chooseCallOutcome } from "./choose_call_outcome.ts";
 import { EndpointRun } from "./endpoint_run.ts";
 import { RecordWriter } from "./record_writer.ts";
 
@@ -28,15 +28,15 @@
   readonly log: ExecutionLog;
 }
 
-interface WaitingCall {
+interface QueuedCall {
   readonly call: StageCall;
   readonly writer: RecordWriter;
   readonly channel: CallChannel;
 }
 
-const GRACE_MILLISECONDS = 1_000;
+const RESUME_GRACE_MILLISECONDS = 1_000;
 const REPORT_LAG_MILLISECONDS = 100;
-const SPREAD = 0.2;
+const SERVICE_TIME_SPREAD = 0.2;
 
 /** A model engine or a plain service in memory. */
 export class WorldEndpoint {
@@ -45,17 +45,17 @@
   /** When it began to leave; undefined while it stays. */
   leavingSince: number | undefined;
   /** When each call arrived, whatever became of it. */
-  readonly arrivals: number[] = [];
+  readonly arrivalTimes: number[] = [];
   /** Calls that are running or waiting. */
-  readonly #waiting: WaitingCall[] = [];
+  readonly #queue: QueuedCall[] = [];
   readonly #runs = new Map<string, EndpointRun>();
   #running = 0;
   #generation = 1;
   #sequence = 0;
   #accepted = 0;
   #isAlive = true;
-  #calls = 0;
-  #lastStranger: StageCall | undefined;
+  #startedCalls = 0;
+  #previousCall: StageCall | undefined;
   #report: LoadReport;
   #reportedAt = Number.NEGATIVE_INFINITY;
 
@@ -74,37 +74,37 @@
 
   /** True while a call waits or runs. */
   get isBusy(): boolean {
-    return this.#running > 0 || this.#waiting.length > 0;
+    return this.#running > 0 || this.#queue.length > 0;
   }
 
   /** Takes in a call that arrived over `channel`. */
   receive(call: StageCall, channel: CallChannel): void {
-    this.arrivals.push(this.options.timer.now());
-    const stranger = this.#lastStranger;
+    this.arrivalTimes.push(this.options.timer.now());
+    const otherCall = this.#previousCall;
     const writer = new RecordWriter({
       call,
       channel,
       faults: this.faults,
-      stranger: () => stranger,
+      otherCall: () => otherCall,
     });
-    this.#lastStranger = call;
+    this.#previousCall = call;
     if (call.resumeAttemptId !== undefined) {
       this.#resume(call, { channel, writer });
       return;
     }
-    if (this.#refuses(writer)) return;
+    if (this.#rejectIfUnavailable(writer)) return;
     this.#accepted++;
-    this.#waiting.push({ call, writer, channel });
+    this.#queue.push({ call, writer, channel });
     this.#startNext();
   }
 
   /** Stops an attempt that is no longer wanted. */
   cancel(attemptId: string): void {
-    const index = this.#waiting.findIndex(({ call }) =>
+    const index = this.#queue.findIndex(({ call }) =>
       call.attemptId === attemptId
     );
-    if (index >= 0) this.#waiting.splice(index, 1);
-    if (this.options.kind === "engine") this.#drop(attemptId);
+    if (index >= 0) this.#queue.splice(index, 1);
+    if (this.options.kind === "engine") this.#stopRun(attemptId);
   }
 
   /** Its load, some time ago. */
@@ -121,9 +121,9 @@
   die(): void {
     this.#isAlive = false;
     for (const run of this.#runs.values()) run.stop();
-    for (const { channel } of this.#waiting) channel.break();
+    for (const { channel } of this.#queue) channel.break();
     this.#runs.clear();
-    this.#waiting.length = 0;
+    this.#queue.length = 0;
     this.#running = 0;
   }
 
@@ -138,13 +138,13 @@
     this.#reportedAt = Number.NEGATIVE_INFINITY;
   }
 
-  #refuses(writer: RecordWriter): boolean {
+  #rejectIfUnavailable(writer: RecordWriter): boolean {
     if (this.faults.isOverloaded) {
       writer.failure(false, "overloaded");
       return true;
     }
     const isLeaving = this.leavingSince !== undefined;
-    if (!isLeaving || this.faults.takesCallsWhileLeaving) return false;
+    if (!isLeaving || this.faults.acceptsCallsWhileLeaving) return false;
     writer.failure(false, "leaving");
     return true;
   }
@@ -153,26 +153,29 @@
     call: StageCall,
     options: { readonly channel: CallChannel; readonly writer: RecordWriter },
   ): void {
-    const earlier = call.resumeAttemptId ?? "";
-    const run = this.#runs.get(earlier);
+    const earlierAttemptId = call.resumeAttemptId ?? "";
+    const run = this.#runs.get(earlierAttemptId);
     if (run === undefined) {
       return options.writer.failure(false, "unknown_attempt");
     }
-    this.#runs.delete(earlier);
+    this.#runs.delete(earlierAttemptId);
     this.#runs.set(call.attemptId, run);
-    this.#watch(call.attemptId, { run, channel: options.channel });
+    this.#stopRunOnDisconnect(call.attemptId, {
+      run,
+      channel: options.channel,
+    });
     run.resume(options.writer, call.resumeOffset ?? 0);
   }
 
   #startNext(): void {
     while (this.#running < this.options.concurrency) {
-      const next = this.#waiting.shift();
+      const next = this.#queue.shift();
       if (next === undefined) return;
       this.#start(next);
     }
   }
 
-  #start({ call, writer, channel }: WaitingCall): void {
+  #start({ call, writer, channel }: QueuedCall): void {
     const { timer, random, kind, log, address } = this.options;
     this.#running++;
     const output = answerCall(call, { kind, address });
@@ -184,48 +187,48 @@
       startedAt: timer.now(),
       output,
     });
-    const around = 1 + SPREAD * (2 * random.next() - 1);
+    const durationFactor = 1 + SERVICE_TIME_SPREAD * (2 * random.next() - 1);
     const generation = this.#generation;
     const run = new EndpointRun({
       call,
       output,
-      fate: fateOfCall(++this.#calls, this.faults),
-      milliseconds: this.options.serviceMilliseconds * around *
+      outcome: chooseCallOutcome(++this.#startedCalls, this.faults),
+      milliseconds: this.options.serviceMilliseconds * durationFactor *
         this.faults.slowFactor,
       splitsCharacters: this.faults.splitsCharacters,
-      isStream: kind === "engine",
+      isStreaming: kind === "engine",
       timer,
       onEnd: () => {
         if (generation !== this.#generation || !this.#isAlive) return;
         this.#running--;
         timer.registerTimeout(
           () => this.#runs.delete(call.attemptId),
-          GRACE_MILLISECONDS,
+          RESUME_GRACE_MILLISECONDS,
         );
         this.#startNext();
       },
     }, writer);
     this.#runs.set(call.attemptId, run);
-    this.#watch(call.attemptId, { run, channel });
+    this.#stopRunOnDisconnect(call.attemptId, { run, channel });
     run.start();
   }
 
   /** An engine gives a call up some time after its connection broke. */
-  #watch(
+  #stopRunOnDisconnect(
     attemptId: string,
     options: { readonly run: EndpointRun; readonly channel: CallChannel },
   ): void {
     if (this.options.kind !== "engine") return;
-    options.channel.onDisconnect(() => {
+    options.channel.setDisconnectListener(() => {
       this.options.timer.registerTimeout(() => {
-        if (this.#runs.get(attemptId) === options.run) this.#drop(attemptId);
-      }, GRACE_MILLISECONDS);
+        if (this.#runs.get(attemptId) === options.run) this.#stopRun(attemptId);
+      }, RESUME_GRACE_MILLISECONDS);
     });
   }
 
-  #drop(attemptId: string): void {
+  #stopRun(attemptId: string): void {
     const run = this.#runs.get(attemptId);
-    if (run === undefined || run.isOver) return;
+    if (run === undefined || run.isFinished) return;
     this.#runs.delete(attemptId);
     run.stop();
     this.#running--;
@@ -241,7 +244,7 @@
       sequence: ++this.#sequence,
       state: isLeaving ? "leaving" : "ready",
       running: this.#running,
-      waiting: this.#waiting.length,
+      waiting: this.#queue.length,
       concurrency,
       accepted: this.#accepted,
       queuedTokens: 0,
--- a/packages/kelpspar-scenarios/src/world/endpoint/world_endpoint_client.ts
+++ b/packages/kelpspar-scenarios/src/world/endpoint/world_endpoint_client.ts
@@ -47,7 +47,7 @@
     );
     const disconnect = (): void => channel.disconnect();
     const stopListening = process.registerDeathListener(disconnect);
-    const aborted = whenAborted(options.signal);
+    const aborted = rejectWhenAborted(options.signal);
     try {
       for (;;) {
         const event = await process.receive(
@@ -71,7 +71,7 @@
 
   renewConnections(address: EndpointAddress): void {
     const { network, daemonId } = this.#options;
-    network.link(daemonId, address.endpointId).renew();
+    network.link(daemonId, address.endpointId).renewPooled();
   }
 
   load(address: EndpointAddress): Promise<LoadReport> {
@@ -107,7 +107,9 @@
     const { network, process, daemonId } = this.#options;
     const { endpointId } = address;
     const link = network.link(daemonId, endpointId);
-    const generation = options.isNew ? link.newest : link.pooled;
+    const generation = options.isNew
+      ? link.newestGeneration
+      : link.pooledGeneration;
     if (options.isNew && !link.canConnect) {
       await new Promise<void>((resolve) => {
         process.timer.registerTimeout(resolve, CONNECT_TIMEOUT_MILLISECONDS);
@@ -119,10 +121,10 @@
       network,
       daemonId,
       endpointId,
-      carries: () => link.carries(generation),
+      canDeliver: () => link.canDeliver(generation),
     }));
-    await network.travel(daemonId, endpointId);
-    if (!link.carries(generation)) return channel;
+    await network.waitForTransit(daemonId, endpointId);
+    if (!link.canDeliver(generation)) return channel;
     const endpoint = this.#find(address);
     if (endpoint?.isAlive !== true) {
       const result = wasAlive ? "endpoint_failed" : "endpoint_refused";
@@ -134,7 +136,7 @@
 
   #control<Answer>(
     address: EndpointAddress,
-    work: (endpoint: WorldEndpoint) => Answer,
+    handleRequest: (endpoint: WorldEndpoint) => Answer,
   ): Promise<Answer> {
     const { network, process, daemonId } = this.#options;
     const { endpointId } = address;
@@ -145,10 +147,11 @@
       to: endpointId,
       isNewConnection: true,
       timeoutMilliseconds: CONTROL_TIMEOUT_MILLISECONDS,
-      lost: () => failure("endpoint_failed", address, "timed out"),
-      work: async () => {
+      createNoAnswerError: () =>
+        failure("endpoint_failed", address, "timed out"),
+      handleRequest: async () => {
         const endpoint = this.#find(address);
-        if (endpoint?.isAlive === true) return work(endpoint);
+        if (endpoint?.isAlive === true) return handleRequest(endpoint);
         throw failure("endpoint_refused", address, "nobody listens there");
       },
     });
@@ -170,7 +173,7 @@
   );
 }
 
-function whenAborted(signal: AbortSignal): Promise<never> {
+function rejectWhenAborted(signal: AbortSignal): Promise<never> {
   const aborted = new Promise<never>((_resolve, reject) => {
     const fail = (): void => reject(signal.reason);
     if (signal.aborted) fail();
--- a/packages/kelpspar-scenarios/src/world/network/exchange.ts
+++ b/packages/kelpspar-scenarios/src/world/network/exchange.ts
@@ -3,18 +3,18 @@
 import type { Network } from "./network.ts";
 
 /** One request from a daemon to another party, and its answer. */
-export interface Exchange<Answer> {
+export interface ExchangeOptions<Answer> {
   readonly network: Network;
   readonly process: DaemonProcess;
   readonly from: string;
   readonly to: string;
   /** What the other party does when the request arrives. */
-  readonly work: () => Promise<Answer>;
+  readonly handleRequest: () => Promise<Answer>;
   readonly timeoutMilliseconds: number;
   /** True for a connection of its own; default false: the kept one. */
   readonly isNewConnection?: boolean;
   /** The error of an exchange without an answer. */
-  readonly lost: () => Error;
+  readonly createNoAnswerError: () => Error;
 }
 
 /**
@@ -22,17 +22,19 @@
  * platform's HTTP clients: a time-out makes the next exchange use a new
  * connection.
  */
-export function exchange<Answer>(options: Exchange<Answer>): Promise<Answer> {
+export function exchange<Answer>(
+  options: ExchangeOptions<Answer>,
+): Promise<Answer> {
   const { network, process, from, to } = options;
   const isNew = options.isNewConnection === true;
   const link = network.link(from, to);
-  const generation = isNew ? link.newest : link.pooled;
+  const generation = isNew ? link.newestGeneration : link.pooledGeneration;
   return new Promise<Answer>((resolve, reject) => {
     const stopTimer = process.timer.registerTimeout(() => {
-      if (!isNew) link.renew();
-      reject(options.lost());
+      if (!isNew) link.renewPooled();
+      reject(options.createNoAnswerError());
     }, options.timeoutMilliseconds);
-    process.receive(carry(options, { link, generation })).then((answer) => {
+    process.receive(transfer(options, { link, generation })).then((answer) => {
       stopTimer();
       resolve(answer);
     }, (thrown) => {
@@ -43,17 +45,17 @@
 }
 
 /** Never settles when the request or its answer is lost. */
-async function carry<Answer>(
-  options: Exchange<Answer>,
+async function transfer<Answer>(
+  options: ExchangeOptions<Answer>,
   connection: { readonly link: NetworkLink; readonly generation: number },
 ): Promise<Answer> {
   const { network, from, to } = options;
   const { link, generation } = connection;
-  await network.travel(from, to);
-  if (!link.carries(generation)) return await never();
-  const answer = await options.work();
-  await network.travel(to, from);
-  if (!link.carries(generation)) return await never();
+  await network.waitForTransit(from, to);
+  if (!link.canDeliver(generation)) return await never();
+  const answer = await options.handleRequest();
+  await network.waitForTransit(to, from);
+  if (!link.canDeliver(generation)) return await never();
   return answer;
 }
 
--- a/packages/kelpspar-scenarios/src/world/network/network.ts
+++ b/packages/kelpspar-scenarios/src/world/network/network.ts
@@ -1,10 +1,10 @@
 import type { ManualTimer, RandomSource } from "kelpspar-shared";
 import { NetworkLink } from "./network_link.ts";
 
-const LEAST_DELAY_MILLISECONDS = 0.3;
-const SPREAD_MILLISECONDS = 1.2;
+const MINIMUM_DELAY_MILLISECONDS = 0.3;
+const DELAY_SPREAD_MILLISECONDS = 1.2;
 /** Arrivals are rounded up to these steps, so that many share an instant. */
-const STEP_MILLISECONDS = 0.25;
+const ARRIVAL_STEP_MILLISECONDS = 0.25;
 
 /** Carries what daemons, endpoints and the platform send to one another. */
 export class Network {
@@ -22,10 +22,10 @@
   }
 
   /** The connections between two parties, whichever of them asks. */
-  link(one: string, other: string): NetworkLink {
-    const name = [one, other].sort().join(" ");
-    const known = this.#links.get(name);
-    if (known !== undefined) return known;
+  link(first: string, second: string): NetworkLink {
+    const name = [first, second].sort().join(" ");
+    const existing = this.#links.get(name);
+    if (existing !== undefined) return existing;
     const link = new NetworkLink();
     this.#links.set(name, link);
     return link;
@@ -39,18 +39,18 @@
   }
 
   /** Adds to the one-way delay of all that a party sends or receives. */
-  slowDown(party: string, milliseconds: number): void {
+  setExtraDelay(party: string, milliseconds: number): void {
     this.#extraDelays.set(party, milliseconds);
   }
 
   /** Waits as long as one way between two parties takes. */
-  travel(from: string, to: string): Promise<void> {
-    const delay = LEAST_DELAY_MILLISECONDS +
-      this.#random.next() * SPREAD_MILLISECONDS +
+  waitForTransit(from: string, to: string): Promise<void> {
+    const delay = MINIMUM_DELAY_MILLISECONDS +
+      this.#random.next() * DELAY_SPREAD_MILLISECONDS +
       (this.#extraDelays.get(from) ?? 0) + (this.#extraDelays.get(to) ?? 0);
     const now = this.#timer.now();
-    const arrivesAt = Math.ceil((now + delay) / STEP_MILLISECONDS) *
-      STEP_MILLISECONDS;
+    const arrivesAt = Math.ceil((now + delay) / ARRIVAL_STEP_MILLISECONDS) *
+      ARRIVAL_STEP_MILLISECONDS;
     return new Promise((resolve) => {
       this.#timer.registerTimeout(resolve, arrivesAt - now);
     });
--- a/packages/kelpspar-scenarios/src/world/network/network_link.ts
+++ b/packages/kelpspar-scenarios/src/world/network/network_link.ts
@@ -5,27 +5,27 @@
 export class NetworkLink {
   #isCut = false;
   #generation = 0;
-  #silentUpTo = -1;
-  #pooled = 0;
+  #silentUpToGeneration = -1;
+  #pooledGeneration = 0;
 
   /** The generation of a connection opened now. */
-  get newest(): number {
+  get newestGeneration(): number {
     return this.#generation;
   }
 
   /** The generation of the connection kept for reuse. */
-  get pooled(): number {
-    return this.#pooled;
+  get pooledGeneration(): number {
+    return this.#pooledGeneration;
   }
 
   /** Drops the kept connection: the next one is new. */
-  renew(): void {
-    this.#pooled = this.#generation;
+  renewPooled(): void {
+    this.#pooledGeneration = this.#generation;
   }
 
   /** Open connections go silent for good; new ones work. */
   goSilent(): void {
-    this.#silentUpTo = this.#generation;
+    this.#silentUpToGeneration = this.#generation;
     this.#generation++;
   }
 
@@ -38,8 +38,8 @@
   }
 
   /** True when a connection of this generation carries what is sent. */
-  carries(generation: number): boolean {
-    return !this.#isCut && generation > this.#silentUpTo;
+  canDeliver(generation: number): boolean {
+    return !this.#isCut && generation > this.#silentUpToGeneration;
   }
 
   /** False while no new connection can be made. */
--- a/packages/kelpspar-scenarios/src/world/operators/operators.ts
+++ b/packages/kelpspar-scenarios/src/world/operators/operators.ts
@@ -6,15 +6,15 @@
 /** A change that an operator asked for, and what became of it. */
 export interface OperatorChange {
   readonly changeId: string;
-  readonly askedAt: number;
+  readonly submittedAt: number;
   /** The revision that the operator was told; undefined if none. */
   revision?: number;
-  toldAt?: number;
+  confirmedAt?: number;
   error?: KelpsparError;
 }
 
 /** What an operator drains. */
-export interface DrainWish {
+export interface DrainTarget {
   readonly kind: "endpoint" | "daemon";
   readonly id: string;
   /** The VM's incarnation. */
@@ -22,9 +22,9 @@
   readonly onAccepted: () => void;
 }
 
-const READ_BACK_MILLISECONDS = 200;
-const MOST_READS = 50;
-const HISTORY = 100;
+const READ_BACK_INTERVAL_MILLISECONDS = 200;
+const MAXIMUM_READ_BACKS = 50;
+const HISTORY_REVISIONS = 100;
 
 /** The operators of a world. */
 export class Operators {
@@ -48,26 +48,26 @@
   async apply(daemon: WorldDaemon, configuration: unknown): Promise<void> {
     const change: OperatorChange = {
       changeId: `change-${this.changes.length + 1}`,
-      askedAt: this.#timer.now(),
+      submittedAt: this.#timer.now(),
     };
     this.changes.push(change);
-    void this.#run(daemon, { change, configuration });
+    void this.#applyChange(daemon, { change, configuration });
   }
 
   /** Drains an endpoint or daemon; `onAccepted` once it is stored. */
-  async drain(daemon: WorldDaemon, target: DrainWish): Promise<void> {
-    const { onAccepted, ...wish } = target;
-    void daemon.core.drains.drain(wish).then((drains) => {
+  async drain(daemon: WorldDaemon, options: DrainTarget): Promise<void> {
+    const { onAccepted, ...target } = options;
+    void daemon.core.drains.drain(target).then((drains) => {
       daemon.core.state.update(() => ({ drains }));
       onAccepted();
     }, (thrown) => this.drainErrors.push(toKelpsparError(thrown)));
   }
 
-  async #run(daemon: WorldDaemon, wish: {
+  async #applyChange(daemon: WorldDaemon, options: {
     readonly change: OperatorChange;
     readonly configuration: unknown;
   }): Promise<void> {
-    const { change, configuration } = wish;
+    const { change, configuration } = options;
     const { roles } = daemon;
     const applier = new ConfigurationApplier(daemon.ports);
     try {
@@ -78,7 +78,7 @@
         operator: "release",
       });
       roles.offer(row);
-      this.#accept(change, row.revision);
+      this.#confirm(change, row.revision);
     } catch (thrown) {
       const error = toKelpsparError(thrown);
       if (error.result !== "apply_unconfirmed") {
@@ -90,12 +90,14 @@
   }
 
   async #readBack(daemon: WorldDaemon, change: OperatorChange): Promise<void> {
-    for (let tries = 0; tries < MOST_READS; tries++) {
-      const rows = await daemon.core.store.history(HISTORY).catch(() => []);
+    for (let attempt = 0; attempt < MAXIMUM_READ_BACKS; attempt++) {
+      const rows = await daemon.core.store.history(HISTORY_REVISIONS).catch(
+        () => [],
+      );
       const row = rows.find(({ changeId }) => changeId === change.changeId);
-      if (row !== undefined) return this.#accept(change, row.revision);
+      if (row !== undefined) return this.#confirm(change, row.revision);
       await new Promise<void>((resolve) => {
-        this.#timer.registerTimeout(resolve, READ_BACK_MILLISECONDS);
+        this.#timer.registerTimeout(resolve, READ_BACK_INTERVAL_MILLISECONDS);
       });
     }
     change.error = new KelpsparError(
@@ -104,8 +106,8 @@
     );
   }
 
-  #accept(change: OperatorChange, revision: number): void {
+  #confirm(change: OperatorChange, revision: number): void {
     change.revision = revision;
-    change.toldAt = this.#timer.now();
+    change.confirmedAt = this.#timer.now();
   }
 }
--- a/packages/kelpspar-scenarios/src/world/platform/world_table.ts
+++ b/packages/kelpspar-scenarios/src/world/platform/world_table.ts
@@ -6,7 +6,7 @@
   TableTransaction,
   TransactionResult,
 } from "kelpspar-backends";
-import type { Exchange } from "../network/exchange.ts";
+import type { ExchangeOptions } from "../network/exchange.ts";
 import type { ResultName } from "kelpspar-shared";
 import { KelpsparError } from "kelpspar-shared";
 import { exchange } from "../network/exchange.ts";
@@ -14,7 +14,7 @@
 /** How a daemon reaches the table service. */
 export type WorldTableOptions =
   & Pick<
-    Exchange<unknown>,
+    ExchangeOptions<unknown>,
     "network" | "process" | "from" | "timeoutMilliseconds"
   >
   & { readonly table: TableService };
@@ -43,15 +43,16 @@
   }
 
   #exchange<Answer>(
-    work: (table: TableService) => Promise<Answer>,
-    lost: ResultName,
+    handleRequest: (table: TableService) => Promise<Answer>,
+    noAnswerResult: ResultName,
   ): Promise<Answer> {
-    const { table, ...way } = this.#options;
+    const { table, ...connection } = this.#options;
     return exchange({
-      ...way,
+      ...connection,
       to: "table",
-      work: async () => structuredClone(await work(table)),
-      lost: () => new KelpsparError(lost, "The table gave no answer in time"),
+      handleRequest: async () => structuredClone(await handleRequest(table)),
+      createNoAnswerError: () =>
+        new KelpsparError(noAnswerResult, "The table gave no answer in time"),
     });
   }
 }
--- a/packages/kelpspar-scenarios/src/world/platform/world_vm_list.ts
+++ b/packages/kelpspar-scenarios/src/world/platform/world_vm_list.ts
@@ -1,12 +1,12 @@
 import type { VmList, VmListAnswer } from "kelpspar-backends";
-import type { Exchange } from "../network/exchange.ts";
+import type { ExchangeOptions } from "../network/exchange.ts";
 import { KelpsparError } from "kelpspar-shared";
 import { exchange } from "../network/exchange.ts";
 
 /** How a daemon reaches the VM list. */
 export type WorldVmListOptions =
   & Pick<
-    Exchange<unknown>,
+    ExchangeOptions<unknown>,
     "network" | "process" | "from" | "timeoutMilliseconds"
   >
   & { readonly vmList: VmList };
@@ -20,12 +20,12 @@
   }
 
   list(): Promise<VmListAnswer> {
-    const { vmList, ...way } = this.#options;
+    const { vmList, ...connection } = this.#options;
     return exchange({
-      ...way,
+      ...connection,
       to: "vm-list",
-      work: async () => structuredClone(await vmList.list()),
-      lost: () =>
+      handleRequest: async () => structuredClone(await vmList.list()),
+      createNoAnswerError: () =>
         new KelpsparError(
           "table_unavailable",
           "The VM list gave no answer in time",
--- a/packages/kelpspar-scenarios/src/world/world.ts
+++ b/packages/kelpspar-scenarios/src/world/world.ts
@@ -5,7 +5,7 @@
 import type { WorldMutation } from "./world_mutation.ts";
 import { InMemoryTable } from "kelpspar-standins";
 import { SeededRandom } from "kelpspar-shared";
-import { Agenda } from "./action_queue.ts";
+import { ActionQueue } from "./action_queue.ts";
 import { createLoadDefaults } from "./callers/load_defaults.ts";
 import { Callers } from "./callers/callers.ts";
 import { WorldDaemon } from "./daemon/world_daemon.ts";
@@ -56,7 +56,7 @@
   readonly endpoints: WorldEndpoint[] = [];
   readonly callers: Callers;
   readonly operators: Operators;
-  readonly agenda: Agenda;
+  readonly actionQueue: ActionQueue;
   readonly loads: LoadDefaults = createLoadDefaults();
   /** Every incarnation of every daemon, in the order they started. */
   readonly incarnations: WorldDaemon[] = [];
@@ -76,13 +76,13 @@
       timeoutMilliseconds: NEVER_MILLISECONDS,
     });
     this.vms = new VmRows(this.timer);
-    this.agenda = new Agenda(this.timer);
+    this.actionQueue = new ActionQueue(this.timer);
     this.callers = new Callers({
       timer: this.timer,
       random: new SeededRandom(options.seed + 3),
       daemons: () => this.daemons,
       schedule: (milliseconds, action) =>
-        this.agenda.schedule(milliseconds, action),
+        this.actionQueue.schedule(milliseconds, action),
       accounts: this.configuration.accounts,
       dropsResubmission: options.mutation.dropsResubmission === true,
     });
@@ -112,7 +112,7 @@
       this.startDaemon(`daemon-${number}`);
     }
     await this.operators.apply(this.daemon(1), this.configuration);
-    await this.pass(WARM_UP_MILLISECONDS);
+    await this.advance(WARM_UP_MILLISECONDS);
   }
 
   /** Starts a daemon, or a new incarnation of it. */
@@ -123,23 +123,23 @@
       random: new SeededRandom(this.random.nextInteger(2 ** 30)),
       mutation: this.mutation,
       createPorts: (process) => {
-        const way = {
+        const connection = {
           network: this.network,
           process,
           from: daemonId,
           timeoutMilliseconds: PLATFORM_TIMEOUT_MILLISECONDS,
         };
-        const daemonWay = { network: this.network, process, daemonId };
+        const daemonConnection = { network: this.network, process, daemonId };
         return {
-          table: new WorldTable({ ...way, table: this.table }),
-          vmList: new WorldVmList({ ...way, vmList: this.vms.list }),
+          table: new WorldTable({ ...connection, table: this.table }),
+          vmList: new WorldVmList({ ...connection, vmList: this.vms.list }),
           weightStore: new GrantingWeightStore(),
           endpoints: new WorldEndpointClient({
-            ...daemonWay,
+            ...daemonConnection,
             find: (address) => this.#endpointAt(address),
           }),
           peers: new WorldPeerClient({
-            ...daemonWay,
+            ...daemonConnection,
             find: (peer) => this.#daemonAt(peer.address),
           }),
         };
@@ -174,8 +174,8 @@
   }
 
   /** Lets time pass, and carries out what is on the agenda. */
-  pass(milliseconds: number): Promise<void> {
-    return this.agenda.pass(milliseconds);
+  advance(milliseconds: number): Promise<void> {
+    return this.actionQueue.advance(milliseconds);
   }
 
   /** Ends every daemon. */
--- a/packages/kelpspar-scenarios/src/world/world_timer.ts
+++ b/packages/kelpspar-scenarios/src/world/world_timer.ts
@@ -3,13 +3,13 @@
 /** A chain of nact messages takes a turn each. */
 const TURNS_TO_SETTLE = 3;
 
-interface Alarm {
+interface PendingTimeout {
   readonly listener: () => void;
 }
 
 interface Instant {
   /** In the order they were set. */
-  readonly alarms: Set<Alarm>;
+  readonly timeouts: Set<PendingTimeout>;
   readonly stop: () => void;
 }
 
@@ -26,10 +26,10 @@
     milliseconds: number,
   ): () => void {
     const dueAt = this.now() + Math.max(0, milliseconds);
-    const alarm: Alarm = { listener };
-    const instant = this.#instants.get(dueAt) ?? this.#begin(dueAt);
-    instant.alarms.add(alarm);
-    return () => this.#cancel(dueAt, { instant, alarm });
+    const timeout: PendingTimeout = { listener };
+    const instant = this.#instants.get(dueAt) ?? this.#createInstant(dueAt);
+    instant.timeouts.add(timeout);
+    return () => this.#cancel(dueAt, { instant, alarm: timeout });
   }
 
   override registerInterval(
@@ -37,13 +37,13 @@
     milliseconds: number,
   ): () => void {
     let stop = (): void => {};
-    const arm = (): void => {
+    const schedule = (): void => {
       stop = this.registerTimeout(() => {
-        arm();
+        schedule();
         listener();
       }, milliseconds);
     };
-    arm();
+    schedule();
     return () => stop();
   }
 
@@ -53,23 +53,23 @@
     }
   }
 
-  #begin(dueAt: number): Instant {
+  #createInstant(dueAt: number): Instant {
     const stop = super.registerTimeout(
       () => this.#fire(dueAt),
       dueAt - this.now(),
     );
-    const instant: Instant = { alarms: new Set(), stop };
+    const instant: Instant = { timeouts: new Set(), stop };
     this.#instants.set(dueAt, instant);
     return instant;
   }
 
-  #cancel(dueAt: number, of: {
+  #cancel(dueAt: number, registration: {
     readonly instant: Instant;
-    readonly alarm: Alarm;
+    readonly alarm: PendingTimeout;
   }): void {
-    const { instant, alarm } = of;
-    instant.alarms.delete(alarm);
-    if (instant.alarms.size > 0) return;
+    const { instant, alarm: timeout } = registration;
+    instant.timeouts.delete(timeout);
+    if (instant.timeouts.size > 0) return;
     if (this.#instants.get(dueAt) !== instant) return;
     this.#instants.delete(dueAt);
     instant.stop();
@@ -78,6 +78,6 @@
   #fire(dueAt: number): void {
     const instant = this.#instants.get(dueAt);
     this.#instants.delete(dueAt);
-    for (const { listener } of instant?.alarms ?? []) listener();
+    for (const { listener } of instant?.timeouts ?? []) listener();
   }
 }
