--- a/packages/kelpspar-scenarios/src/__tests__/unit/scenario_language_test.ts
+++ b/packages/kelpspar-scenarios/src/__tests__/unit/scenario_language_test.ts
@@ -23,7 +23,7 @@
   return text.replace(/[\s-]+/g, " ");
 }
 
-test("every promise has a scenario for each failure that can touch it, and for two at once", () => {
+test("every invariant has a scenario for each failure that can affect it, and one with two failures", () => {
   const missing = Object.keys(INVARIANTS).flatMap((invariant) => [
     ...Object.keys(FAILURES).filter((failure) =>
       failure !== "network-cut" &&
@@ -39,7 +39,7 @@
   expect(missing).toEqual([]);
 });
 
-test("every scenario stands under a known promise, with known tags and a title of its own", () => {
+test("every scenario has a known invariant, known tags and a unique title", () => {
   const unknown = SCENARIOS.flatMap(({ invariant, failures }) => [
     ...invariant in { ...INVARIANTS, ...FURTHER_INVARIANTS } ? [] : [invariant],
     ...failures.filter((failure) => !(failure in FAILURES)),
@@ -49,13 +49,13 @@
   expect(new Set(titles).size).toEqual(titles.length);
 });
 
-test("every mutant names a scenario that there is", () => {
+test("every mutant names an existing scenario", () => {
   const titles = SCENARIOS.map(scenarioTitle);
   const lost = MUTANTS.filter(({ noticedBy }) => !titles.includes(noticedBy));
   expect(lost).toEqual([]);
 });
 
-test("docs/SCENARIOS.md lists every step, the coverage and the mutants as they are", () => {
+test("docs/SCENARIOS.md lists the current steps, coverage and mutants", () => {
   const page = withoutLayout(readFileSync(PAGE, "utf8"));
   for (const [name, table] of Object.entries(STEP_GROUPS)) {
     const rendered = withoutLayout(renderSteps({ [name]: table })).trim();
@@ -67,7 +67,7 @@
   expect(page.includes(mutants)).toEqual(true);
 });
 
-test("a pattern matches whole texts and reads its values", () => {
+test("a pattern matches whole texts and extracts its values", () => {
   const pattern = new StepPattern("{who:endpoints} waits {time:duration}");
   const values = pattern.match("every engine waits 1.5 s");
   expect(values?.text("who")).toEqual("every engine");
@@ -76,7 +76,7 @@
   expect(pattern.match("daemon 1 waits 5 s")).toEqual(undefined);
 });
 
-test("an outline becomes one scenario a row, with its tags and seed", () => {
+test("an outline becomes one scenario per row, with its tags and seed", () => {
   const text = `Feature: F
   @seed-7 @burst
   Scenario Outline: it <verb>
--- a/packages/kelpspar-scenarios/src/__tests__/unit/world_test.ts
+++ b/packages/kelpspar-scenarios/src/__tests__/unit/world_test.ts
@@ -4,12 +4,12 @@
 import { PATIENT_RETRIES } from "../../world/callers/retry_plan.ts";
 import { World } from "../../world/world.ts";
 
-/** What happened in a world with failures, as text. */
+/** Serializes the executions and attempts of a world with failures. */
 async function runWorld(seed: number): Promise<string> {
   const world = new World({ seed, mutation: {} });
   await world.build({ daemons: 2, engines: 2, plain: 2 });
   const kind = LOAD_KINDS["booking confirmations"];
-  if (kind === undefined) throw new Error("There is no such load");
+  if (kind === undefined) throw new Error('No load "booking confirmations"');
   for (let number = 0; number < 10; number++) {
     world.actionQueue.schedule(number * 50, () => {
       world.callers.submit({
@@ -32,18 +32,17 @@
   ]);
 }
 
-test("a seed gives the same world each time, another seed another one", async () => {
+test("runs with the same seed are identical, runs with another seed differ", async () => {
   const first = await runWorld(3);
   expect(await runWorld(3)).toEqual(first);
   expect(await runWorld(4)).not.toEqual(first);
 });
 
-// Symptom: a daemon of a scenario acts while it should stand still, and a
-// scenario about paused daemons proves nothing.
-// Sequence: the daemon pauses, its alarms fall due, it wakes.
-// Cause: alarms or arrivals that are not held.
+// Guards against a paused daemon that still acts, which would invalidate the
+// scenarios with paused daemons: it pauses, its timeouts become due, it resumes.
+// The failure occurs if timeouts or arrivals aren't deferred during the pause.
 for (const first of ["alarms", "arrivals"] as const) {
-  test(`a paused daemon does nothing and catches up when it wakes, ${first} first`, async () => {
+  test(`a paused daemon does nothing and catches up when it resumes, ${first} first`, async () => {
     const world = new World({ seed: 1, mutation: {} });
     await world.build({ daemons: 2, engines: 1, plain: 1 });
     const { process } = world.daemon(1);
@@ -52,8 +51,8 @@
     process.timer.registerTimeout(() => events.push("alarms"), 1_000);
     process.pause();
     void process.whenRunning().then(() => events.push("arrivals"));
-    // What it sent right before its pause still arrives, and shows with the
-    // other daemon's next listing, half a second later.
+    // Messages sent right before the pause still arrive; the other daemon shows
+    // them with its next listing, half a second later.
     await world.advance(600);
     const sequenceBefore = fleet.members[0]?.digest?.sequence;
     await world.advance(3_000);
--- a/packages/kelpspar-scenarios/src/ablation/main.ts
+++ b/packages/kelpspar-scenarios/src/ablation/main.ts
@@ -19,8 +19,8 @@
 }
 
 /**
- * Switches each mechanism off alone, plays the replayed loads without it and
- * prints what it is worth: the worth with all, and the loss without each.
+ * Disables each mechanism in turn, replays the loads without it and prints the
+ * baseline worth with all mechanisms and the loss without each.
  */
 function main(names: readonly string[]): void {
   const chosen = chooseMechanisms(names);
@@ -52,7 +52,9 @@
     if (knownNames.has(name)) continue;
     throw new KelpsparError(
       "usage",
-      `No mechanism "${name}"; known are ${[...knownNames].join(", ")}`,
+      `Unknown mechanism "${name}"; expected one of ${
+        [...knownNames].join(", ")
+      }`,
     );
   }
   return names.length === 0
@@ -66,7 +68,7 @@
     ["--conditions=source", "--import", "tsx", LOADS_SCRIPT],
     { cwd: copy.folder, encoding: "utf8" },
   );
-  if (status !== 0) throw new Error(`The loads could not be played: ${stderr}`);
+  if (status !== 0) throw new Error(`Failed to replay the loads: ${stderr}`);
   return JSON.parse(stdout) as readonly LoadResult[];
 }
 
--- a/packages/kelpspar-scenarios/src/ablation/mechanism.ts
+++ b/packages/kelpspar-scenarios/src/ablation/mechanism.ts
@@ -1,11 +1,11 @@
-/** A mechanism of the gateway's decisions and how it is switched off. */
+/** A mechanism of the gateway's decisions and how to disable it. */
 export interface Mechanism {
-  /** Short, without spaces: names it on the command line. */
+  /** Short name without spaces, for the command line. */
   readonly name: string;
-  /** Source file, from the root of the repository. */
+  /** Source file, relative to the repository root. */
   readonly file: string;
-  /** What stands there once. */
+  /** Code that occurs exactly once in the file. */
   readonly code: string;
-  /** What stands there with the mechanism off. */
+  /** Replacement that disables the mechanism. */
   readonly without: string;
 }
--- a/packages/kelpspar-scenarios/src/ablation/mechanisms.ts
+++ b/packages/kelpspar-scenarios/src/ablation/mechanisms.ts
@@ -2,7 +2,7 @@
 
 const GATEWAY = "packages/kelpspar-gateway/src";
 
-/** What the gateway decides by, each to be switched off alone. */
+/** The mechanisms of the gateway's decisions, each of which can be disabled. */
 export const MECHANISMS: readonly Mechanism[] = [
   {
     name: "placement-by-coordinator",
--- a/packages/kelpspar-scenarios/src/checks/engine_share.ts
+++ b/packages/kelpspar-scenarios/src/checks/engine_share.ts
@@ -2,15 +2,15 @@
 
 const ENGINE_SERVICE = "engine";
 
-/** Which calls to count. */
+/** The calls to count. */
 export interface EngineShareOptions {
   readonly accountId: string;
-  /** Milliseconds from the first submission. */
+  /** Start and end, in milliseconds since the first submission. */
   readonly from: number;
   readonly to: number;
 }
 
-/** The share of an account in the calls that engines began, 0 to 1. */
+/** The share of an account in the calls that engines started, from 0 to 1. */
 export function engineShare(
   world: World,
   options: EngineShareOptions,
--- a/packages/kelpspar-scenarios/src/checks/executions_with_effect.ts
+++ b/packages/kelpspar-scenarios/src/checks/executions_with_effect.ts
@@ -3,8 +3,8 @@
 import type { World } from "../world/world.ts";
 
 /**
- * What endpoints ran of a request that counts as its run: its stages that act
- * on the world, or any stage of a request that has none.
+ * The executions that count as a run of the request: those of its stages with
+ * side effects or, if it has no such stage, those of any stage.
  */
 export function executionsWithEffect(
   world: World,
--- a/packages/kelpspar-scenarios/src/checks/find_accepted_requests.ts
+++ b/packages/kelpspar-scenarios/src/checks/find_accepted_requests.ts
@@ -1,7 +1,7 @@
 import type { StepArguments } from "../language/step_arguments.ts";
 import type { World } from "../world/world.ts";
 
-/** Requests that a daemon took in a time in which it was to take none. */
+/** Finds requests that a daemon accepted during a period without any. */
 export function findAcceptedRequests(
   world: World,
   values: StepArguments,
@@ -16,6 +16,6 @@
         attempt.daemon === daemon && attempt.context !== undefined &&
         attempt.sentAt >= from && attempt.sentAt <= to
       )
-      .map(({ sentAt }) => `${token} was taken at ${Math.round(sentAt)} ms`)
+      .map(({ sentAt }) => `${token} was accepted at ${Math.round(sentAt)} ms`)
   );
 }
--- a/packages/kelpspar-scenarios/src/checks/find_cut_requests.ts
+++ b/packages/kelpspar-scenarios/src/checks/find_cut_requests.ts
@@ -1,6 +1,6 @@
 import type { World } from "../world/world.ts";
 
-/** Requests in flight that a planned stop cut off, and stops without an end. */
+/** Finds in-flight requests that a planned stop cut off, and unfinished stops. */
 export function findCutRequests(world: World): readonly string[] {
   const stopped = world.incarnations.filter((daemon) =>
     daemon.stopBeganAt !== undefined
--- a/packages/kelpspar-scenarios/src/checks/find_false_refusals.ts
+++ b/packages/kelpspar-scenarios/src/checks/find_false_refusals.ts
@@ -4,10 +4,10 @@
 import { executionsWithEffect } from "./executions_with_effect.ts";
 
 /**
- * Refusals that said `not_run` of a request that ran, before or after. A
- * refusal speaks of its own submission to a daemon and, when its caller said
- * that earlier ones of the key got no final answer (`resubmission`), of those
- * too; what the caller sends later is not spoken of.
+ * Finds refusals with outcome `not_run` for a request that ran, before or after.
+ * A refusal covers its own submission to a daemon. If the caller stated that
+ * earlier submissions of the key got no final answer (`resubmission`), it covers
+ * those too. It doesn't cover later submissions.
  */
 export function findFalseRefusals(world: World): readonly string[] {
   return world.callers.submissions.flatMap((submission) =>
--- a/packages/kelpspar-scenarios/src/checks/find_lagging_daemons.ts
+++ b/packages/kelpspar-scenarios/src/checks/find_lagging_daemons.ts
@@ -1,8 +1,8 @@
 import type { World } from "../world/world.ts";
 
 /**
- * Daemons that run and reach others, and whose revision is lower than one that
- * has been in force at another daemon for so many milliseconds.
+ * Finds running, connected daemons whose revision is lower than one that has
+ * been active at another daemon for at least `milliseconds`.
  */
 export function findLaggingDaemons(
   world: World,
@@ -22,11 +22,11 @@
     .filter((daemon) => daemon.startedAt <= now - milliseconds)
     .filter((daemon) => daemon.revision < activeRevision)
     .map(({ daemonId, revision }) =>
-      `${daemonId} serves revision ${revision}, and ${activeRevision} is in force elsewhere`
+      `${daemonId} serves revision ${revision}, but ${activeRevision} is active elsewhere`
     );
 }
 
-/** True while nothing passes between the daemon and any other. */
+/** True while the daemon is cut off from all other daemons. */
 function isIsolated(world: World, daemonId: string): boolean {
   return world.daemons
     .filter((other) => other.daemonId !== daemonId)
--- a/packages/kelpspar-scenarios/src/checks/find_late_calls.ts
+++ b/packages/kelpspar-scenarios/src/checks/find_late_calls.ts
@@ -1,6 +1,9 @@
 import type { World } from "../world/world.ts";
 
-/** Calls that reached endpoints too long after those began to leave. */
+/**
+ * Finds calls that arrived more than `milliseconds` after the endpoint started
+ * to leave.
+ */
 export function findLateCalls(
   world: World,
   milliseconds: number,
@@ -13,7 +16,7 @@
     return [
       `${id} received ${late.length} calls, the first ${
         Math.round(first - leavingSince)
-      } ms after it began to leave`,
+      } ms after it started to leave`,
     ];
   });
 }
--- a/packages/kelpspar-scenarios/src/checks/find_late_refusals.ts
+++ b/packages/kelpspar-scenarios/src/checks/find_late_refusals.ts
@@ -1,6 +1,6 @@
 import type { World } from "../world/world.ts";
 
-/** Failures that came later than so many milliseconds after the attempt. */
+/** Finds failures that came more than `milliseconds` after the attempt. */
 export function findLateRefusals(
   world: World,
   milliseconds: number,
@@ -12,7 +12,7 @@
       if (record.type === "end" || endedAt === undefined) return [];
       const elapsed = Math.round(endedAt - sentAt);
       if (elapsed <= milliseconds) return [];
-      return [`${token} was told "${record.result}" after ${elapsed} ms`];
+      return [`${token} got "${record.result}" after ${elapsed} ms`];
     })
   );
 }
--- a/packages/kelpspar-scenarios/src/checks/find_lost_changes.ts
+++ b/packages/kelpspar-scenarios/src/checks/find_lost_changes.ts
@@ -4,8 +4,8 @@
 const REVISION_DIGITS = 8;
 
 /**
- * Accepted changes that the table does not hold under the revision that their
- * operator was told, or that two operators were told of one revision.
+ * Finds accepted changes that the table doesn't hold under the revision that was
+ * confirmed to the operator, including two changes confirmed as one revision.
  */
 export async function findLostChanges(
   world: World,
@@ -23,6 +23,6 @@
       | { readonly changeId?: string }
       | undefined;
     if (stored?.changeId === changeId) return [];
-    return [`${changeId} is not what was stored as revision ${revision}`];
+    return [`${changeId} is not stored as revision ${revision}`];
   });
 }
--- a/packages/kelpspar-scenarios/src/checks/find_missing_repeats.ts
+++ b/packages/kelpspar-scenarios/src/checks/find_missing_repeats.ts
@@ -3,7 +3,7 @@
 import type { World } from "../world/world.ts";
 import { completedAttempt } from "../world/callers/submission.ts";
 
-/** Answered requests whose last asking got no or another answer. */
+/** Finds answered requests whose last repeat got no or a different answer. */
 export function findMissingRepeats(world: World): readonly string[] {
   return world.callers.submissions.flatMap((submission) => {
     const first = completedAttempt(submission);
@@ -23,10 +23,10 @@
   { token }: Submission,
   ending: AttemptEnding | undefined,
 ): string {
-  if (ending === undefined) return `${token} got other words the second time`;
+  if (ending === undefined) return `${token} got a different second answer`;
   const hasRecord = ending.type === "answered" || ending.type === "refused";
   const found = hasRecord && ending.record.type === "failure"
     ? ending.record.result
     : ending.type;
-  return `${token} was asked for again and got "${found}"`;
+  return `${token} was repeated and got "${found}"`;
 }
--- a/packages/kelpspar-scenarios/src/checks/find_repeated_runs.ts
+++ b/packages/kelpspar-scenarios/src/checks/find_repeated_runs.ts
@@ -1,7 +1,7 @@
 import type { World } from "../world/world.ts";
 import { executionsWithEffect } from "./executions_with_effect.ts";
 
-/** Requests that must run at most once and ran more often. */
+/** Finds non-idempotent requests that ran more than once. */
 export function findRepeatedRuns(world: World): readonly string[] {
   const { submissions } = world.callers;
   return submissions
--- a/packages/kelpspar-scenarios/src/checks/find_reverts.ts
+++ b/packages/kelpspar-scenarios/src/checks/find_reverts.ts
@@ -1,6 +1,6 @@
 import type { World } from "../world/world.ts";
 
-/** Daemons that went back to a lower revision. */
+/** Finds daemons that returned to a lower revision. */
 export function findReverts(world: World): readonly string[] {
   return world.incarnations.flatMap(({ daemonId, revisions }) =>
     revisions.flatMap(({ revision }, index) => {
--- a/packages/kelpspar-scenarios/src/checks/find_slow_changes.ts
+++ b/packages/kelpspar-scenarios/src/checks/find_slow_changes.ts
@@ -2,8 +2,8 @@
 import type { World } from "../world/world.ts";
 
 /**
- * Accepted changes that were not in force everywhere so many milliseconds
- * after their operator was told: at every daemon that ran all that time.
+ * Finds accepted changes that were not active everywhere `milliseconds` after
+ * their confirmation: at every daemon that ran throughout this time.
  */
 export function findSlowChanges(
   world: World,
@@ -17,7 +17,7 @@
       .filter((daemon) => daemon.isRunning && daemon.startedAt <= confirmedAt)
       .filter((daemon) => !isInForce(daemon, { revision, dueAt }))
       .map(({ daemonId }) =>
-        `Revision ${revision} was not in force at ${daemonId} in time`
+        `Revision ${revision} was not active at ${daemonId} in time`
       );
   });
 }
--- a/packages/kelpspar-scenarios/src/checks/find_wrong_answers.ts
+++ b/packages/kelpspar-scenarios/src/checks/find_wrong_answers.ts
@@ -4,8 +4,8 @@
 import type { World } from "../world/world.ts";
 
 /**
- * Whole answers that are not what the request's own last stage made of what
- * its own earlier stages made, and answers whose records do not fit.
+ * Finds whole answers that weren't produced by the request's own chain of stages
+ * from its input, and answers with invalid records.
  */
 export function findWrongAnswers(world: World): readonly string[] {
   return world.callers.submissions.flatMap((submission) =>
@@ -33,10 +33,12 @@
   ) {
     return [];
   }
-  return [`${submission.token} was answered "${text}", which no stage made`];
+  return [
+    `${submission.token} was answered "${text}", which no stage produced`,
+  ];
 }
 
-/** Follows a text back through the stages to the caller's input. */
+/** True if a chain of executions leads from the input to the text. */
 function isProducedBy(executions: readonly Execution[], chain: {
   readonly stages: readonly string[];
   readonly text: string;
--- a/packages/kelpspar-scenarios/src/checks/find_wrong_endings.ts
+++ b/packages/kelpspar-scenarios/src/checks/find_wrong_endings.ts
@@ -3,21 +3,23 @@
 import type { World } from "../world/world.ts";
 
 /**
- * Submissions without a final record although their daemon lives, and requests
- * that were answered twice in different words.
+ * Finds submissions to live daemons without a final record, and non-idempotent
+ * requests with two different answers.
  */
 export function findWrongEndings(world: World): readonly string[] {
   return world.callers.submissions.flatMap((submission) => [
     ...submission.attempts.flatMap((attempt) =>
       isUnfinished(attempt)
-        ? [`${submission.token} has no final answer of ${daemonIdOf(attempt)}`]
+        ? [
+          `${submission.token} has no final answer from ${daemonIdOf(attempt)}`,
+        ]
         : []
     ),
     ...findTwoAnswers(submission),
   ]);
 }
 
-/** A caller that left is owed an end too: nothing runs for ever. */
+/** Requests of disconnected callers must end too: none runs forever. */
 function isUnfinished({ ending, context, daemon }: Attempt): boolean {
   if (ending === undefined) return true;
   if (ending.type !== "left" || !daemon.isRunning) return false;
@@ -32,7 +34,7 @@
     )
     .map(({ text }) => text);
   if (new Set(texts).size <= 1) return [];
-  return [`${submission.token} was answered in different words`];
+  return [`${submission.token} got different answers`];
 }
 
 function daemonIdOf({ daemon }: Attempt): string {
--- a/packages/kelpspar-scenarios/src/guards/guard.ts
+++ b/packages/kelpspar-scenarios/src/guards/guard.ts
@@ -1,12 +1,12 @@
-/** One guard of the gateway's code and how it is taken away. */
+/** A safeguard in the code and how to disable it. */
 export interface Guard {
   readonly name: string;
-  /** Source file, from the root of the repository. */
+  /** Source file, relative to the repository root. */
   readonly file: string;
-  /** The guard as it stands there, once. */
+  /** Code of the guard, which occurs exactly once in the file. */
   readonly code: string;
-  /** What stands there without it. */
+  /** Replacement that disables the guard. */
   readonly without: string;
-  /** Test file that must fail then, from the root. */
+  /** Test file that must fail without the guard, relative to the root. */
   readonly noticedBy: string;
 }
--- a/packages/kelpspar-scenarios/src/guards/guards.ts
+++ b/packages/kelpspar-scenarios/src/guards/guards.ts
@@ -4,7 +4,7 @@
 const GATEWAY_TESTS = `${GATEWAY}/__tests__/unit`;
 const PLATFORM_TESTS = "platform/src/__tests__/unit";
 
-/** Guards of the gateway, each with the test that notices its absence. */
+/** Guards of the gateway, each with the test that fails without it. */
 export const GUARDS: readonly Guard[] = [
   {
     name: "a configuration never goes back",
--- a/packages/kelpspar-scenarios/src/guards/main.ts
+++ b/packages/kelpspar-scenarios/src/guards/main.ts
@@ -9,18 +9,18 @@
 const ROOT = fileURLToPath(new URL("../../../../", import.meta.url));
 const NAME_WIDTH = 62;
 const EXIT_USAGE = 64;
-const USAGE = "Usage: npm run guards [-- TEST_FILE], a file that notices one";
-/** A test that hangs without its guard has noticed as well, milliseconds. */
+const USAGE = "Usage: npm run guards [-- TEST_FILE], a test of a guard";
+/** A test that exceeds this without its guard counts as failed. */
 const TEST_TIMEOUT_MILLISECONDS = 60_000;
 
-/** Guards that one test file notices; all when it isn't given. */
+/** The guards that a test file checks; all if none is given. */
 function chooseGuards(testFile: string | undefined): readonly Guard[] {
   const all = [...GUARDS, ...QUARANTINE_GUARDS, ...NOTICE_GUARDS];
   if (testFile === undefined) return all;
   return all.filter(({ noticedBy }) => noticedBy.endsWith(testFile));
 }
 
-/** Takes each guard of the gateway away and says whether its test notices. */
+/** Disables each guard in turn and prints whether its test fails. */
 function main(): void {
   const guards = chooseGuards(process.argv[2]);
   if (guards.length === 0) {
@@ -30,8 +30,8 @@
   }
   const copy = new SourceCopy(ROOT);
   for (const file of new Set(guards.map(({ noticedBy }) => noticedBy))) {
-    // A test that fails in the copy anyway would seem to notice everything.
-    if (!passes(file, copy)) throw new Error(`"${file}" fails with its guards`);
+    // A test that already fails with all guards would appear to detect each one.
+    if (!passes(file, copy)) throw new Error(`"${file}" fails with all guards`);
   }
   let missed = 0;
   for (const guard of guards) {
--- a/packages/kelpspar-scenarios/src/guards/notice_guards.ts
+++ b/packages/kelpspar-scenarios/src/guards/notice_guards.ts
@@ -3,7 +3,7 @@
 const GATEWAY = "packages/kelpspar-gateway/src";
 const TESTS = `${GATEWAY}/__tests__/unit`;
 
-/** Guards of what endpoints say of themselves, for the whole fleet. */
+/** Guards of the notices of endpoints, which daemons share in the fleet. */
 export const NOTICE_GUARDS: readonly Guard[] = [
   {
     name: "a named limit binds",
--- a/packages/kelpspar-scenarios/src/guards/quarantine_guards.ts
+++ b/packages/kelpspar-scenarios/src/guards/quarantine_guards.ts
@@ -4,7 +4,7 @@
 const GATEWAY_TESTS = `${GATEWAY}/__tests__/unit`;
 const DECISIONS = "packages/kelpspar-decisions/src";
 
-/** Guards of the quarantine and of what endpoints say of themselves. */
+/** Guards of the quarantine and of the notices of endpoints. */
 export const QUARANTINE_GUARDS: readonly Guard[] = [
   {
     name: "a quarantined request fails before its stages",
--- a/packages/kelpspar-scenarios/src/guards/source_copy.ts
+++ b/packages/kelpspar-scenarios/src/guards/source_copy.ts
@@ -15,18 +15,18 @@
 const OWN_PACKAGE_NAME = /^(kelpspar|@kelpspar)/;
 const ROOT_FILES = ["package.json", "tsconfig.base.json", "tsconfig.json"];
 
-/** Code and what stands in its place for a while. */
+/** A temporary replacement of code. */
 export interface Replacement {
-  /** Source file, from the root of the repository. */
+  /** Source file, relative to the repository root. */
   readonly file: string;
-  /** What stands there once. */
+  /** Code that occurs exactly once in the file. */
   readonly code: string;
   readonly without: string;
 }
 
 /**
- * A copy of the sources in a temporary folder, so that guards are taken away
- * there and never in the work tree. Libraries are those of the repository.
+ * A copy of the sources in a temporary folder, so that guards are never disabled
+ * in the work tree. Libraries are linked from the repository.
  */
 export class SourceCopy {
   readonly folder = mkdtempSync(join(tmpdir(), "kelpspar-guards-"));
@@ -46,7 +46,10 @@
     this.#linkLibraries(root);
   }
 
-  /** Runs `act` while `code`, which must stand once in a file, is replaced. */
+  /**
+   * Runs `action` while `code` is replaced. Throws an Error if `code` doesn't
+   * occur exactly once in the file.
+   */
   runWithout<Result>(
     replacement: Replacement,
     action: () => Result,
@@ -55,7 +58,7 @@
     const path = join(this.folder, file);
     const source = readFileSync(path, "utf8");
     if (source.split(code).length !== 2) {
-      throw new Error(`"${code}" doesn't stand once in "${file}"`);
+      throw new Error(`"${code}" does not occur exactly once in "${file}"`);
     }
     writeFileSync(path, source.replace(code, () => without));
     try {
@@ -69,7 +72,7 @@
     rmSync(this.folder, { recursive: true });
   }
 
-  /** Our own packages must be those of the copy. */
+  /** Links the repository's own packages to the copy, not to the work tree. */
   #linkLibraries(root: string): void {
     const libraries = join(this.folder, "node_modules");
     mkdirSync(libraries);
--- a/packages/kelpspar-scenarios/src/language/delayed_steps.ts
+++ b/packages/kelpspar-scenarios/src/language/delayed_steps.ts
@@ -1,11 +1,11 @@
 import type { StepDefinition, StepTable } from "./step_definition.ts";
 
-/** What is added to a step that may be planned for later. */
+/** The suffix of the variant of a step that runs after a delay. */
 export const DELAY_SUFFIX = " after {after:duration}";
 
 /**
- * Lets each step of a table be planned: with `after 700 ms` behind it, it
- * happens so much later than the step was read.
+ * Adds a delayed variant of each step of a table: with a suffix such as `after
+ * 700 ms` it runs that long after the step was read.
  */
 export function withDelayedSteps(table: StepTable): StepTable {
   const rows = Object.entries(table).flatMap(([pattern, definition]) => [
--- a/packages/kelpspar-scenarios/src/language/failures.ts
+++ b/packages/kelpspar-scenarios/src/language/failures.ts
@@ -1,5 +1,5 @@
 /**
- * What fails, by the tag of the scenarios in which it does.
+ * The failures, by the tag of the scenarios that contain them.
  *
  * Source: the brief, "What fails".
  */
@@ -16,7 +16,7 @@
   "network-cut": "Nothing passes between two parties for a while",
 };
 
-/** Pairs that cannot touch, with the reason. */
+/** Pairs of an invariant and a failure that cannot affect it, and why. */
 export const INAPPLICABLE_PAIRS: Readonly<Record<string, string>> = {
   "accepted_configuration stage-fails":
     "No stage lies on the way of a change of the configuration",
--- a/packages/kelpspar-scenarios/src/language/invariants.ts
+++ b/packages/kelpspar-scenarios/src/language/invariants.ts
@@ -1,5 +1,5 @@
 /**
- * What must always hold, by the directory that proves it.
+ * The invariants, by the directory of the scenarios that check them.
  *
  * Source: the brief, "What must always hold".
  */
@@ -20,7 +20,7 @@
 };
 
 /**
- * What scenarios prove besides.
+ * Further properties that scenarios check.
  *
  * Source: the brief, "The product".
  */
--- a/packages/kelpspar-scenarios/src/language/load_scenarios.ts
+++ b/packages/kelpspar-scenarios/src/language/load_scenarios.ts
@@ -7,7 +7,7 @@
 const ROOT = fileURLToPath(new URL("../../../..", import.meta.url));
 const FEATURE_SUFFIX = ".feature";
 
-/** Reads every scenario below `scenarios/`, in the order of their files. */
+/** Loads all scenarios in `scenarios/`, ordered by file. */
 export function loadScenarios(): readonly Scenario[] {
   const directory = join(ROOT, "scenarios");
   const files = readdirSync(directory, { recursive: true, encoding: "utf8" })
--- a/packages/kelpspar-scenarios/src/language/parse_scenarios.ts
+++ b/packages/kelpspar-scenarios/src/language/parse_scenarios.ts
@@ -10,15 +10,15 @@
 const DEFAULT_SEED = 1;
 const SEED_TAG = /^@seed-(\d+)$/;
 
-/** Where a feature text comes from. */
+/** The origin of a feature text. */
 export interface FeatureSource {
   readonly invariant: string;
   readonly file: string;
 }
 
 /**
- * Reads the scenarios of a feature. Scenario outlines become one scenario for
- * each row of their examples. Throws the parser's error with its line.
+ * Parses the scenarios of a feature. A scenario outline becomes one scenario per
+ * row of its examples. Throws the parser's error, which names the line.
  */
 export function parseScenarios(
   text: string,
--- a/packages/kelpspar-scenarios/src/language/render_coverage.ts
+++ b/packages/kelpspar-scenarios/src/language/render_coverage.ts
@@ -2,7 +2,7 @@
 import { FAILURES, INAPPLICABLE_PAIRS } from "./failures.ts";
 import { INVARIANTS } from "./invariants.ts";
 
-/** The table of promises and failures for docs/SCENARIOS.md, in Markdown. */
+/** Renders the coverage table of docs/SCENARIOS.md in Markdown. */
 export function renderCoverage(scenarios: readonly Scenario[]): string {
   const invariants = Object.keys(INVARIANTS);
   const rows = Object.keys(FAILURES).map((failure) => [
@@ -29,7 +29,7 @@
   ].map((cells) => `| ${cells.join(" | ")} |`).join("\n");
 }
 
-/** How many scenarios of a promise have a failure in them. */
+/** Counts the scenarios of an invariant that contain a failure. */
 export function countScenarios(
   scenarios: readonly Scenario[],
   cell: { readonly invariant: string; readonly failure: string },
--- a/packages/kelpspar-scenarios/src/language/render_steps.ts
+++ b/packages/kelpspar-scenarios/src/language/render_steps.ts
@@ -1,7 +1,7 @@
 import type { StepTable } from "./step_definition.ts";
 import { DELAY_SUFFIX } from "./delayed_steps.ts";
 
-/** The lists of steps for docs/SCENARIOS.md, in Markdown. */
+/** Renders the lists of steps of docs/SCENARIOS.md in Markdown. */
 export function renderSteps(
   groups: Readonly<Record<string, StepTable>>,
 ): string {
@@ -20,7 +20,7 @@
     .join("\n");
 }
 
-/** `{time:duration}` becomes `{time}`. */
+/** Removes the types of placeholders: `{time:duration}` becomes `{time}`. */
 function toReadablePattern(pattern: string): string {
   return pattern.replace(/\{(\w+):\w+\}/g, "{$1}");
 }
--- a/packages/kelpspar-scenarios/src/language/run_scenario.ts
+++ b/packages/kelpspar-scenarios/src/language/run_scenario.ts
@@ -4,10 +4,10 @@
 import { World } from "../world/world.ts";
 import { StepPattern } from "./step_pattern.ts";
 
-/** How a scenario is run. */
+/** Options of `runScenario`. */
 export interface RunScenarioOptions {
   readonly steps: StepTable;
-  /** Takes a guard away, to see that the scenario notices. */
+  /** Disables a safeguard, to check that the scenario detects it. */
   readonly mutation?: WorldMutation;
 }
 
@@ -55,7 +55,7 @@
   });
   const [only] = found;
   if (only === undefined || found.length > 1) {
-    throw new Error(`${place} matches ${found.length} steps`);
+    throw new Error(`${place} matches ${found.length} steps instead of 1`);
   }
   try {
     await only.handler(world, only.values);
--- a/packages/kelpspar-scenarios/src/language/scenario.ts
+++ b/packages/kelpspar-scenarios/src/language/scenario.ts
@@ -1,21 +1,21 @@
 /** One line of a scenario, without its keyword. */
 export interface ScenarioStep {
   readonly text: string;
-  /** The line in the feature file, for failures. */
+  /** The line in the feature file, for error messages. */
   readonly line: number;
 }
 
-/** A scenario as read from a feature file. */
+/** A scenario of a feature file. */
 export interface Scenario {
-  /** The directory below `scenarios/`: the promise that it proves. */
+  /** The directory in `scenarios/`, named for the invariant it checks. */
   readonly invariant: string;
   readonly feature: string;
   readonly name: string;
-  /** The feature file, from the repository's root. */
+  /** Path of the feature file, relative to the repository root. */
   readonly file: string;
   /** From a tag `@seed-7`; default 1. */
   readonly seed: number;
-  /** What fails in it, from its other tags, without their `@`. */
+  /** The failures in it: its other tags, without `@`. */
   readonly failures: readonly string[];
   readonly steps: readonly ScenarioStep[];
 }
--- a/packages/kelpspar-scenarios/src/language/scenario_title.ts
+++ b/packages/kelpspar-scenarios/src/language/scenario_title.ts
@@ -1,6 +1,6 @@
 import type { Scenario } from "./scenario.ts";
 
-/** The name of a scenario's test. */
+/** The title of a scenario's test. */
 export function scenarioTitle(scenario: Scenario): string {
   return `${scenario.invariant}: ${scenario.name}`;
 }
--- a/packages/kelpspar-scenarios/src/language/step_arguments.ts
+++ b/packages/kelpspar-scenarios/src/language/step_arguments.ts
@@ -4,7 +4,7 @@
   min: 60_000,
 };
 
-/** The values of a step's placeholders, read by name. */
+/** The values of a step's placeholders, by name. */
 export class StepArguments {
   readonly #values: Readonly<Record<string, string>>;
 
@@ -14,7 +14,7 @@
 
   text(name: string): string {
     const value = this.#values[name];
-    if (value === undefined) throw new Error(`There is no argument "${name}"`);
+    if (value === undefined) throw new Error(`No argument "${name}"`);
     return value;
   }
 
@@ -33,7 +33,7 @@
     return Number(amount) * (UNIT_MILLISECONDS[unit] ?? Number.NaN);
   }
 
-  /** A percentage such as `95%`, as a share of 1. */
+  /** A percentage such as `95%`, as a fraction. */
   share(name: string): number {
     return Number(this.text(name).replace("%", "")) / 100;
   }
--- a/packages/kelpspar-scenarios/src/language/step_definition.ts
+++ b/packages/kelpspar-scenarios/src/language/step_definition.ts
@@ -1,18 +1,18 @@
 import type { World } from "../world/world.ts";
 import type { StepArguments } from "./step_arguments.ts";
 
-/** Carries out a step; throws an Error when what it asserts does not hold. */
+/** Runs a step; throws an Error if its assertion fails. */
 export type StepHandler = (
   world: World,
   values: StepArguments,
 ) => void | Promise<void>;
 
-/** A row of a table of steps. */
+/** The definition of a step. */
 export interface StepDefinition {
-  /** One sentence for docs/SCENARIOS.md. */
+  /** Description in docs/SCENARIOS.md, without a full stop. */
   readonly meaning: string;
   readonly handler: StepHandler;
 }
 
-/** Steps by their pattern. */
+/** Step definitions, by pattern. */
 export type StepTable = Readonly<Record<string, StepDefinition>>;
--- a/packages/kelpspar-scenarios/src/language/step_pattern.ts
+++ b/packages/kelpspar-scenarios/src/language/step_pattern.ts
@@ -20,21 +20,21 @@
 export class StepPattern {
   readonly #expression: RegExp;
 
-  /** Throws an Error for a placeholder whose shape is not known. */
+  /** Throws an Error for a placeholder of an unknown type. */
   constructor(pattern: string) {
     const source = pattern
       .replace(SPECIAL_CHARACTER, "\\$&")
       .replace(PLACEHOLDER, (_all, name: string, shape: string) => {
         const expression = PLACEHOLDER_EXPRESSIONS[shape];
         if (expression === undefined) {
-          throw new Error(`Pattern "${pattern}" has an unknown shape`);
+          throw new Error(`Pattern "${pattern}" has an unknown type`);
         }
         return `(?<${name}>${expression})`;
       });
     this.#expression = new RegExp(`^${source}$`);
   }
 
-  /** Undefined when the text does not match. */
+  /** Returns the values of the placeholders; undefined if there is no match. */
   match(text: string): StepArguments | undefined {
     const found = this.#expression.exec(text);
     if (found === null) return undefined;
--- a/packages/kelpspar-scenarios/src/mutants/claim_mutants.ts
+++ b/packages/kelpspar-scenarios/src/mutants/claim_mutants.ts
@@ -7,7 +7,7 @@
 
 const CLAIMS_TABLE = "claims";
 
-/** Guards of "runs at most once". */
+/** Mutants of the invariant that a request runs at most once. */
 export const CLAIM_MUTANTS: readonly Mutant[] = [
   {
     name: "claims_without_condition",
--- a/packages/kelpspar-scenarios/src/mutants/configuration_mutants.ts
+++ b/packages/kelpspar-scenarios/src/mutants/configuration_mutants.ts
@@ -5,7 +5,7 @@
 
 const CONFIGURATION_TABLE = "configuration";
 
-/** Guards of "an accepted configuration is in force and never reverts". */
+/** Mutants of the invariant that a configuration applies and never reverts. */
 export const CONFIGURATION_MUTANTS: readonly Mutant[] = [
   {
     name: "lower_revisions_accepted",
@@ -87,7 +87,10 @@
           scan: (scan) => ports.table.scan(scan),
           read: async (keys) => {
             if (keys.length === 1) return await ports.table.read(keys);
-            throw new KelpsparError("table_unavailable", "Not read");
+            throw new KelpsparError(
+              "table_unavailable",
+              "The mutant blocks reads",
+            );
           },
         },
       }),
--- a/packages/kelpspar-scenarios/src/mutants/fault_tolerance_mutants.ts
+++ b/packages/kelpspar-scenarios/src/mutants/fault_tolerance_mutants.ts
@@ -1,7 +1,7 @@
 import type { Mutant } from "./mutant.ts";
 import { KelpsparError } from "kelpspar-shared";
 
-/** Guards by which work goes on through failures. */
+/** Mutants of the safeguards that keep requests running during failures. */
 export const FAULT_TOLERANCE_MUTANTS: readonly Mutant[] = [
   {
     name: "no_retries",
--- a/packages/kelpspar-scenarios/src/mutants/leaving_mutants.ts
+++ b/packages/kelpspar-scenarios/src/mutants/leaving_mutants.ts
@@ -3,7 +3,7 @@
 
 const NO_DRAINS = { version: 0, endpoints: {}, daemons: {} } as const;
 
-/** Guards of "an endpoint that is leaving receives no new work". */
+/** Mutants of the invariant that a leaving endpoint receives no new work. */
 export const LEAVING_MUTANTS: readonly Mutant[] = [
   {
     name: "list_not_believed",
--- a/packages/kelpspar-scenarios/src/mutants/main.ts
+++ b/packages/kelpspar-scenarios/src/mutants/main.ts
@@ -6,7 +6,7 @@
 
 const NAME_WIDTH = 40;
 
-/** Takes each guard away and says whether its scenario noticed. */
+/** Applies each mutant and prints whether its scenario failed. */
 async function main(): Promise<void> {
   const pool = new ScenarioPool();
   const results = await Promise.all(
@@ -34,7 +34,7 @@
   const index = loadScenarios().findIndex((scenario) =>
     scenarioTitle(scenario) === mutant.noticedBy
   );
-  if (index < 0) throw new Error(`There is no "${mutant.noticedBy}"`);
+  if (index < 0) throw new Error(`No scenario "${mutant.noticedBy}"`);
   const { failure } = await pool.run({ index, mutant: mutant.name });
   return { mutant, ...(failure === undefined ? {} : { failure }) };
 }
--- a/packages/kelpspar-scenarios/src/mutants/mutant.ts
+++ b/packages/kelpspar-scenarios/src/mutants/mutant.ts
@@ -1,11 +1,11 @@
 import type { WorldMutation } from "../world/world_mutation.ts";
 
-/** A guard taken away, and the scenario that must notice. */
+/** A disabled safeguard, and the scenario that must fail without it. */
 export interface Mutant {
   readonly name: string;
-  /** What is taken away, in one sentence. */
+  /** The safeguard that is disabled, in one sentence. */
   readonly removes: string;
   readonly mutation: WorldMutation;
-  /** The scenario's promise and name, as its test is called. */
+  /** Title of the scenario's test. */
   readonly noticedBy: string;
 }
--- a/packages/kelpspar-scenarios/src/mutants/mutants.ts
+++ b/packages/kelpspar-scenarios/src/mutants/mutants.ts
@@ -8,7 +8,7 @@
 import { STOP_MUTANTS } from "./stop_mutants.ts";
 import { FAULT_TOLERANCE_MUTANTS } from "./fault_tolerance_mutants.ts";
 
-/** Every guard that can be taken away at the world's seams. */
+/** All mutants, each of which disables one safeguard. */
 export const MUTANTS: readonly Mutant[] = [
   ...RECORD_MUTANTS,
   ...REFUSAL_MUTANTS,
--- a/packages/kelpspar-scenarios/src/mutants/record_mutants.ts
+++ b/packages/kelpspar-scenarios/src/mutants/record_mutants.ts
@@ -4,7 +4,7 @@
 import type { Mutant } from "./mutant.ts";
 import { withEndpoints, withRecords } from "./with_endpoints.ts";
 
-/** Guards of "no stage result is lost, doubled or foreign" and of whole answers. */
+/** Mutants of the invariants that results are own, complete and unduplicated. */
 export const RECORD_MUTANTS: readonly Mutant[] = [
   {
     name: "foreign_records_pass",
--- a/packages/kelpspar-scenarios/src/mutants/refusal_mutants.ts
+++ b/packages/kelpspar-scenarios/src/mutants/refusal_mutants.ts
@@ -9,10 +9,10 @@
   withRecords,
 } from "./with_endpoints.ts";
 
-/** Shorter than any progress time-out of the scenarios. */
+/** Shorter than any progress timeout of the scenarios. */
 const SILENCE_TIMEOUT_MILLISECONDS = 300;
 
-/** Guards of "when a refusal says a request was not run, it was not run". */
+/** Mutants of the invariant that a request refused as not run did not run. */
 export const REFUSAL_MUTANTS: readonly Mutant[] = [
   {
     name: "broken_connection_counts_as_refused",
@@ -87,7 +87,7 @@
     yield record;
   }
   if (isEnded) return;
-  throw new KelpsparError("endpoint_refused", "The answer was not whole");
+  throw new KelpsparError("endpoint_refused", "The answer was incomplete");
 }
 
 async function* treatSilenceAsRefusal(
@@ -99,7 +99,10 @@
   for (;;) {
     const next = await Promise.race([records.next(), waitForTimeout(timer)]);
     if (next === undefined) {
-      throw new KelpsparError("endpoint_refused", "It was not answered");
+      throw new KelpsparError(
+        "endpoint_refused",
+        "The call was not answered in time",
+      );
     }
     if (next.done === true) return;
     yield next.value;
--- a/packages/kelpspar-scenarios/src/mutants/share_mutants.ts
+++ b/packages/kelpspar-scenarios/src/mutants/share_mutants.ts
@@ -1,6 +1,6 @@
 import type { Mutant } from "./mutant.ts";
 
-/** Guards of the accounts' shares. */
+/** Mutants of the fair sharing among client accounts. */
 export const SHARE_MUTANTS: readonly Mutant[] = [
   {
     name: "one_queue_for_all",
--- a/packages/kelpspar-scenarios/src/mutants/stop_mutants.ts
+++ b/packages/kelpspar-scenarios/src/mutants/stop_mutants.ts
@@ -1,6 +1,6 @@
 import type { Mutant } from "./mutant.ts";
 
-/** Guards of "every planned stop is a graceful shutdown". */
+/** Mutants of the invariant that every planned stop is graceful. */
 export const STOP_MUTANTS: readonly Mutant[] = [
   {
     name: "stop_at_once",
--- a/packages/kelpspar-scenarios/src/mutants/with_endpoints.ts
+++ b/packages/kelpspar-scenarios/src/mutants/with_endpoints.ts
@@ -7,14 +7,14 @@
 } from "kelpspar-shared";
 import type { WorldMutation } from "../world/world_mutation.ts";
 
-/** A call as the daemon makes it. */
+/** An intercepted call of a daemon. */
 export interface InterceptedCall {
   readonly address: EndpointAddress;
   readonly call: StageCall;
   readonly options: StageCallOptions;
 }
 
-/** What is changed of the endpoint client; the rest is passed on. */
+/** Overrides of an endpoint client; other methods are passed through. */
 export interface EndpointOverrides {
   readonly call?: (
     client: EndpointClient,
@@ -24,7 +24,7 @@
   readonly renews?: boolean;
 }
 
-/** Changes every daemon's endpoint client. */
+/** Overrides the endpoint client of every daemon. */
 export function withEndpoints(changes: EndpointOverrides): WorldMutation {
   return {
     ports: (ports) => ({
@@ -34,7 +34,7 @@
   };
 }
 
-/** Changes each record of every call. */
+/** Maps each record of every call. */
 export function withRecords(
   change: (record: StageRecord, call: StageCall) => StageRecord,
 ): WorldMutation {
@@ -54,7 +54,7 @@
   for await (const record of records) yield change(record);
 }
 
-/** The client with some of its calls changed. */
+/** Wraps a client with overrides. */
 export function overrideClient(
   client: EndpointClient,
   changes: EndpointOverrides,
--- a/packages/kelpspar-scenarios/src/mutants/with_table.ts
+++ b/packages/kelpspar-scenarios/src/mutants/with_table.ts
@@ -1,7 +1,7 @@
 import type { TableService } from "kelpspar-backends";
 import type { WorldMutation } from "../world/world_mutation.ts";
 
-/** Changes how every daemon's table commits. */
+/** Overrides `commit` of every daemon's table service. */
 export function withCommit(
   commit: (
     table: TableService,
--- a/packages/kelpspar-scenarios/src/runner/scenario_job.ts
+++ b/packages/kelpspar-scenarios/src/runner/scenario_job.ts
@@ -1,7 +1,7 @@
-/** Which scenario a worker is to run. */
+/** A scenario for a worker to run. */
 export interface ScenarioJob {
-  /** Its place in `loadScenarios()`. */
+  /** Index in `loadScenarios()`. */
   readonly index: number;
-  /** The guard to take away, by its name in the table of mutants. */
+  /** Name of the mutant to apply; default: none. */
   readonly mutant?: string;
 }
--- a/packages/kelpspar-scenarios/src/runner/scenario_pool.ts
+++ b/packages/kelpspar-scenarios/src/runner/scenario_pool.ts
@@ -4,7 +4,7 @@
 import { fork } from "node:child_process";
 import { fileURLToPath } from "node:url";
 
-/** Scenarios that run at a time. */
+/** Number of scenarios that run concurrently. */
 export const DEFAULT_WORKERS = 4;
 
 interface QueuedJob {
@@ -14,9 +14,8 @@
 }
 
 /**
- * Runs scenarios in a few child processes. In a process of its own a scenario
- * takes half the time: node's test runner follows every promise of the
- * process that it runs in.
+ * Runs scenarios in child processes, where they take half the time: node's test
+ * runner tracks every promise of the process that it runs in.
  */
 export class ScenarioPool {
   readonly #maximumWorkers: number;
@@ -28,7 +27,7 @@
     this.#maximumWorkers = options.workers ?? DEFAULT_WORKERS;
   }
 
-  /** Resolves to what became of the scenario. */
+  /** Resolves to the result; rejects if the worker process dies. */
   run(order: ScenarioJob): Promise<ScenarioResult> {
     return new Promise((resolve, reject) => {
       this.#queue.push({ order, resolve, reject });
@@ -36,7 +35,7 @@
     });
   }
 
-  /** Ends the workers. */
+  /** Stops the workers and waits until they exited. */
   async close(): Promise<void> {
     const workers = [...this.#workers];
     const exits = workers.map((worker) =>
@@ -53,7 +52,9 @@
     const next = this.#queue.shift();
     if (next === undefined) return;
     const onExit = (): void => {
-      next.reject(new Error("The process of the scenario ended"));
+      next.reject(
+        new Error("The worker process exited while it ran the scenario"),
+      );
       this.#startNext();
     };
     worker.once("message", (result: ScenarioResult) => {
@@ -69,7 +70,7 @@
 
   #createWorker(): ChildProcess | undefined {
     if (this.#workers.size >= this.#maximumWorkers) return undefined;
-    // A test runner's child talks to it over its output; ours must not.
+    // With NODE_TEST_CONTEXT set, a child writes test runner messages to stdout.
     const { NODE_TEST_CONTEXT: _left, ...environment } = process.env;
     const worker = fork(
       fileURLToPath(new URL("./worker_main.ts", import.meta.url)),
--- a/packages/kelpspar-scenarios/src/runner/scenario_result.ts
+++ b/packages/kelpspar-scenarios/src/runner/scenario_result.ts
@@ -1,7 +1,7 @@
-/** What a worker says of the scenario it ran. */
+/** The message of a worker about a scenario that it ran. */
 export interface ScenarioResult {
-  /** Why it failed; absent when it held. */
+  /** Why the scenario failed; undefined if it passed. */
   readonly failure?: string;
-  /** True when the worker's process ends with this answer. */
+  /** True if the worker process exits after this message. */
   readonly isLast?: boolean;
 }
--- a/packages/kelpspar-scenarios/src/runner/worker_main.ts
+++ b/packages/kelpspar-scenarios/src/runner/worker_main.ts
@@ -9,8 +9,8 @@
 
 let onUnhandledRejection = (_reason: unknown): void => {};
 
-// What nobody handles would end a daemon's process, so that it fails the
-// scenario that runs.
+// An unhandled rejection would crash a daemon process, so it fails the current
+// scenario.
 process.on("unhandledRejection", (reason) => onUnhandledRejection(reason));
 
 process.on("message", (order: ScenarioJob) => {
@@ -30,7 +30,7 @@
 
 async function runJob(order: ScenarioJob): Promise<ScenarioResult> {
   const scenario = SCENARIOS[order.index];
-  if (scenario === undefined) return { failure: "There is no such scenario" };
+  if (scenario === undefined) return { failure: "No scenario at this index" };
   const mutant = MUTANTS.find(({ name }) => name === order.mutant);
   try {
     await runScenario(scenario, {
--- a/packages/kelpspar-scenarios/src/steps/answer_assertions.ts
+++ b/packages/kelpspar-scenarios/src/steps/answer_assertions.ts
@@ -6,7 +6,7 @@
 import { none } from "./none.ts";
 import { formatPercent } from "./format_percent.ts";
 
-/** Assertions about what callers received. */
+/** Assertions about the answers that callers received. */
 export const ANSWER_ASSERTIONS: StepTable = {
   "attainment is at least {share:percent}": {
     meaning:
@@ -35,7 +35,7 @@
           to: values.milliseconds("to"),
         });
         if (share >= values.share("share")) return;
-        throw new Error(`It got ${formatPercent(share)}`);
+        throw new Error(`The share is ${formatPercent(share)}`);
       },
     },
   "every answer that was asked for again was given again": {
--- a/packages/kelpspar-scenarios/src/steps/assertion_steps.ts
+++ b/packages/kelpspar-scenarios/src/steps/assertion_steps.ts
@@ -12,7 +12,7 @@
 import { findErrors } from "../checks/find_errors.ts";
 import { none } from "./none.ts";
 
-/** Assertions of the brief's "What must always hold". */
+/** Assertions of the invariants: the brief's "What must always hold". */
 export const ASSERTION_STEPS: StepTable = {
   "no request ran twice": holds(
     "No request marked non-idempotent ran its acting stage more than once, at any endpoint",
@@ -50,7 +50,7 @@
       const { arrivalTimes } = world.endpoint(values.text("endpoint"));
       const from = world.timer.now() - values.milliseconds("time");
       if (arrivalTimes.some((at) => at >= from)) return;
-      throw new Error("It received none");
+      throw new Error("The endpoint received no call");
     },
   },
   "daemon {daemon:number} took no request from {from:duration} to {to:duration}":
--- a/packages/kelpspar-scenarios/src/steps/configuration_assertions.ts
+++ b/packages/kelpspar-scenarios/src/steps/configuration_assertions.ts
@@ -5,7 +5,7 @@
 import { findSlowChanges } from "../checks/find_slow_changes.ts";
 import { none } from "./none.ts";
 
-/** Assertions about the configuration in force. */
+/** Assertions about the active configuration. */
 export const CONFIGURATION_ASSERTIONS: StepTable = {
   "every accepted change was in force everywhere within {time:duration}": {
     meaning:
@@ -49,7 +49,7 @@
         world.operators.changes.filter(({ revision }) => revision !== undefined)
           .length - 1;
       if (accepted === values.number("count")) return;
-      throw new Error(`${accepted} were accepted`);
+      throw new Error(`${accepted} changes were accepted`);
     },
   },
   "{count:number} changes met a conflict": {
@@ -60,7 +60,7 @@
           error?.result === "revision_conflict"
         ).length;
       if (conflicts === values.number("count")) return;
-      throw new Error(`${conflicts} met a conflict`);
+      throw new Error(`${conflicts} changes met a conflict`);
     },
   },
 };
--- a/packages/kelpspar-scenarios/src/steps/daemon_fault_steps.ts
+++ b/packages/kelpspar-scenarios/src/steps/daemon_fault_steps.ts
@@ -5,7 +5,7 @@
 import type { World } from "../world/world.ts";
 import { withDelayedSteps } from "../language/delayed_steps.ts";
 
-/** Steps by which daemons and their connections fail. */
+/** Steps that inject faults into daemons and their connections. */
 export const DAEMON_FAULT_STEPS: StepTable = withDelayedSteps({
   "daemon {daemon:number} dies": {
     meaning: "The process ends without a word; its connections break",
--- a/packages/kelpspar-scenarios/src/steps/endpoint_fault_steps.ts
+++ b/packages/kelpspar-scenarios/src/steps/endpoint_fault_steps.ts
@@ -9,8 +9,8 @@
 const ALL_OF_SERVICE_PREFIX = "every ";
 
 /**
- * Steps by which endpoints fail. `{endpoints}` is an id such as `engine-1`, or
- * `every engine` for all of a service.
+ * Steps that inject faults into endpoints. `{endpoints}` is an id such as
+ * `engine-1`, or `every engine` for all endpoints of a service.
  */
 export const ENDPOINT_FAULT_STEPS: StepTable = withDelayedSteps({
   "{endpoints:endpoints} dies": forEachEndpoint(
@@ -73,7 +73,7 @@
   ),
 });
 
-/** The endpoints that a step names. */
+/** Finds the endpoints that a step names. */
 export function findEndpoints(
   world: World,
   values: StepArguments,
--- a/packages/kelpspar-scenarios/src/steps/leaving_steps.ts
+++ b/packages/kelpspar-scenarios/src/steps/leaving_steps.ts
@@ -1,7 +1,7 @@
 import type { StepTable } from "../language/step_definition.ts";
 import { withDelayedSteps } from "../language/delayed_steps.ts";
 
-/** Steps by which endpoints leave, each known from one source alone. */
+/** Steps that make endpoints leave; each is announced by one source only. */
 export const LEAVING_STEPS: StepTable = withDelayedSteps({
   "the VM list shows that {endpoint:name} is leaving": {
     meaning: "After its lag; the endpoint's own report says nothing",
--- a/packages/kelpspar-scenarios/src/steps/load_steps.ts
+++ b/packages/kelpspar-scenarios/src/steps/load_steps.ts
@@ -11,7 +11,7 @@
   readonly plan: (values: StepArguments) => RetryPlan;
 }
 
-/** What may stand behind "arrive over 2 s". */
+/** Caller behaviors, by the suffix that follows "arrive over 2 s". */
 const CALLER_BEHAVIORS: Readonly<Record<string, CallerBehavior>> = {
   "": {
     meaning: "each caller sends once",
@@ -81,7 +81,7 @@
   "dispatchers",
 ];
 
-/** Steps that plan requests. */
+/** Steps that schedule requests. */
 export const LOAD_STEPS: StepTable = {
   "callers have a deadline of {deadline:duration}": {
     meaning: "Sets the deadline of requests planned from here on; at first 3 s",
@@ -119,8 +119,8 @@
 };
 
 /**
- * With `after 2 s` behind it a load begins later, but what its callers are
- * like is what the scenario says where the step stands.
+ * With the suffix `after 2 s` a load starts later, but its callers have the
+ * properties that are set when the step is read.
  */
 function createArrivalSteps(): StepTable {
   const rows = Object.entries(CALLER_BEHAVIORS).flatMap(
@@ -164,7 +164,7 @@
   const { retries, delayMilliseconds } = options;
   const kind = LOAD_KINDS[values.text("load")];
   if (kind === undefined) {
-    throw new Error(`There is no load "${values.text("load")}"`);
+    throw new Error(`No load "${values.text("load")}"`);
   }
   const { deadlineMilliseconds, daemon, accountId } = world.loads;
   const count = values.number("count");
--- a/packages/kelpspar-scenarios/src/steps/operator_steps.ts
+++ b/packages/kelpspar-scenarios/src/steps/operator_steps.ts
@@ -3,7 +3,7 @@
 import type { World } from "../world/world.ts";
 import { withDelayedSteps } from "../language/delayed_steps.ts";
 
-/** Steps that operators take. */
+/** Steps that simulate operators. */
 export const OPERATOR_STEPS: StepTable = withDelayedSteps({
   "daemon {daemon:number} is stopped": {
     meaning: "A planned stop, as by SIGTERM",
@@ -69,7 +69,7 @@
     },
 });
 
-/** A configuration that differs from all before it. */
+/** Creates a configuration that differs from all earlier ones. */
 function nextConfiguration(world: World): Configuration {
   const { configuration, operators } = world;
   const { limits } = configuration;
--- a/packages/kelpspar-scenarios/src/steps/platform_fault_steps.ts
+++ b/packages/kelpspar-scenarios/src/steps/platform_fault_steps.ts
@@ -3,7 +3,7 @@
 import type { World } from "../world/world.ts";
 import { withDelayedSteps } from "../language/delayed_steps.ts";
 
-/** Steps by which the platform's services fail. */
+/** Steps that inject faults into the platform's services. */
 export const PLATFORM_FAULT_STEPS: StepTable = withDelayedSteps({
   "the table is down for {time:duration}": {
     meaning: "It refuses every call",
--- a/packages/kelpspar-scenarios/src/steps/site_steps.ts
+++ b/packages/kelpspar-scenarios/src/steps/site_steps.ts
@@ -1,6 +1,6 @@
 import type { StepTable } from "../language/step_definition.ts";
 
-/** Steps that build the site and let time pass. */
+/** Steps that build the site and advance time. */
 export const SITE_STEPS: StepTable = {
   "a site with {daemons:number} daemons, {engines:number} engines and {plain:number} endpoints of each other service":
     {
--- a/packages/kelpspar-scenarios/src/steps/step_table.ts
+++ b/packages/kelpspar-scenarios/src/steps/step_table.ts
@@ -10,7 +10,7 @@
 import { PLATFORM_FAULT_STEPS } from "./platform_fault_steps.ts";
 import { SITE_STEPS } from "./site_steps.ts";
 
-/** The steps of the language, in the groups of docs/SCENARIOS.md. */
+/** All steps, in the groups of docs/SCENARIOS.md. */
 export const STEP_GROUPS: Readonly<Record<string, StepTable>> = {
   "Site and time": SITE_STEPS,
   "Load": LOAD_STEPS,
@@ -24,7 +24,7 @@
   "Measures": ANSWER_ASSERTIONS,
 };
 
-/** Every step of the language. */
+/** All steps, by pattern. */
 export const STEPS: StepTable = Object.assign(
   {},
   ...Object.values(STEP_GROUPS),
--- a/packages/kelpspar-scenarios/src/world/action_queue.ts
+++ b/packages/kelpspar-scenarios/src/world/action_queue.ts
@@ -6,7 +6,7 @@
   readonly action: () => void | Promise<void>;
 }
 
-/** What the scenario has planned, carried out as time passes. */
+/** Runs the actions that a scenario scheduled as time advances. */
 export class ActionQueue {
   readonly #timer: ManualTimer;
   #items: ScheduledAction[] = [];
@@ -21,7 +21,7 @@
     this.#items.push({ dueAt, order: this.#nextOrder++, action });
   }
 
-  /** Lets time pass; each action ends before time goes on. */
+  /** Advances time; each action completes before time advances further. */
   async advance(milliseconds: number): Promise<void> {
     const target = this.#timer.now() + milliseconds;
     for (;;) {
@@ -33,7 +33,10 @@
     await this.#timer.advance(target - this.#timer.now());
   }
 
-  /** The earliest item up to `target`, also one that was added meanwhile. */
+  /**
+   * Removes and returns the earliest action due by `target`, including actions
+   * that were added in the meantime.
+   */
   #dequeueDue(target: number): ScheduledAction | undefined {
     const [first] = this.#items
       .filter(({ dueAt }) => dueAt <= target)
--- a/packages/kelpspar-scenarios/src/world/callers/attempt.ts
+++ b/packages/kelpspar-scenarios/src/world/callers/attempt.ts
@@ -2,14 +2,14 @@
 import type { EndRecord, FailureRecord } from "kelpspar-shared";
 import type { WorldDaemon } from "../daemon/world_daemon.ts";
 
-/** How an attempt ended for its caller. */
+/** The outcome of an attempt for its caller. */
 export type AttemptEnding =
   | { readonly type: "answered"; readonly record: EndRecord | FailureRecord }
-  /** Refused before an answer began. */
+  /** Refused before the answer started. */
   | { readonly type: "refused"; readonly record: FailureRecord }
-  /** The daemon died or was not there. */
+  /** The daemon died or was unreachable. */
   | { readonly type: "broken" }
-  /** The caller left. */
+  /** The caller disconnected after a timeout. */
   | { readonly type: "left" };
 
 /** One submission of a caller's request to one daemon. */
@@ -17,16 +17,16 @@
   readonly daemon: WorldDaemon;
   readonly sentAt: number;
   readonly isResubmission: boolean;
-  /** True for a look-up by key, which starts nothing. */
+  /** True for a lookup by key, which does not run the request. */
   readonly isLookUp: boolean;
-  /** Set once the daemon took the request. */
+  /** Set once the daemon accepted the request. */
   context?: RequestContext;
-  /** Closes the connection that reads the answer. */
+  /** Closes the connection on which the answer is read. */
   disconnect?: () => void;
   ending?: AttemptEnding;
   endedAt?: number;
-  /** The text as the caller put it together. */
+  /** The text that the caller assembled from the records. */
   text: string;
-  /** What the caller found wrong with the records themselves. */
+  /** Errors that the caller found in the records. */
   readonly faults: string[];
 }
--- a/packages/kelpspar-scenarios/src/world/callers/caller_directory.ts
+++ b/packages/kelpspar-scenarios/src/world/callers/caller_directory.ts
@@ -6,7 +6,7 @@
 } from "kelpspar-shared";
 import type { WorldDaemon } from "../daemon/world_daemon.ts";
 
-/** What callers find daemons with. */
+/** Parameters of a `CallerDirectory`. */
 export interface CallerDirectoryOptions {
   readonly timer: ManualTimer;
   readonly random: RandomSource;
@@ -20,9 +20,9 @@
 }
 
 /**
- * Asks any daemon which ones to use and keeps the answer for as long as it
- * says, one for the callers of each availability zone, as the client library
- * does.
+ * Discovers daemons like the client library: fetches the addresses from any
+ * daemon and caches them per availability zone of the callers, for as long as
+ * the answer allows.
  */
 export class CallerDirectory {
   readonly #options: CallerDirectoryOptions;
@@ -32,7 +32,7 @@
     this.#options = options;
   }
 
-  /** A daemon for a caller of a zone, not `except` if there is another. */
+  /** Chooses a daemon for a caller of a zone; `except` only as a last resort. */
   chooseDaemon(zone: string, except?: WorldDaemon): WorldDaemon {
     const { random } = this.#options;
     const addresses = this.#addressesOf(zone).filter(({ address }) =>
@@ -50,7 +50,7 @@
     return found ?? this.#chooseAnyDaemon(except);
   }
 
-  /** Drops what is kept: a daemon of it refused or was not there. */
+  /** Drops the cached addresses after a daemon refused or was unreachable. */
   invalidate(zone: string): void {
     this.#cache.delete(zone);
   }
@@ -67,7 +67,7 @@
     return answer.daemons;
   }
 
-  /** Any daemon that answers, as callers keep a list of them to begin with. */
+  /** Chooses a daemon at random, as from a caller's initial list of addresses. */
   #chooseAnyDaemon(except?: WorldDaemon): WorldDaemon {
     const daemons = this.#options.daemons();
     const others = daemons.filter((daemon) => daemon !== except);
--- a/packages/kelpspar-scenarios/src/world/callers/callers.ts
+++ b/packages/kelpspar-scenarios/src/world/callers/callers.ts
@@ -21,9 +21,9 @@
 const ZONES: readonly string[] = ["zone-a", "zone-b", "zone-c"];
 const DEFAULT_RETRY_DELAY_MILLISECONDS = 100;
 
-/** What callers use of the world. */
+/** Parameters of `Callers`. */
 export interface CallersOptions extends CallerDirectoryOptions {
-  /** Runs an action of the world's agenda. */
+  /** Runs an action after a delay in milliseconds. */
   readonly schedule: (
     milliseconds: number,
     action: () => void | Promise<void>,
@@ -32,23 +32,23 @@
   readonly dropsResubmission: boolean;
 }
 
-/** What a caller asks for. */
+/** Parameters of a submission. */
 export interface SubmissionOptions {
   readonly kind: LoadKind;
   readonly accountId: string;
   readonly deadlineMilliseconds: number;
   readonly retries: RetryPlan;
-  /** The daemon it goes to first; default: one that the directory names. */
+  /** The daemon of the first attempt; default: chosen by the directory. */
   readonly daemon?: WorldDaemon;
 }
 
-/** A daemon to ask, or that was asked, and how to ask. */
+/** The daemon of the next or previous attempt, and the kind of attempt. */
 interface NextAttempt {
   readonly daemon: WorldDaemon;
   readonly isLookUp?: boolean;
 }
 
-/** The callers of a world and what they were told. */
+/** Simulates callers and records their submissions. */
 export class Callers {
   readonly submissions: Submission[] = [];
   readonly #options: CallersOptions;
@@ -60,7 +60,7 @@
     this.#directory = new CallerDirectory(options);
   }
 
-  /** Sends a request now. */
+  /** Sends a request immediately. */
   submit(options: SubmissionOptions): Submission {
     const number = this.submissions.length + 1;
     const zone = ZONES[number % ZONES.length] ?? "";
@@ -155,7 +155,10 @@
     }
   }
 
-  /** A daemon without a configuration is left to refuse by itself. */
+  /**
+   * Falls back to the initial accounts, so that a daemon without a
+   * configuration gets the request and refuses it.
+   */
   #accountOf(
     submission: Submission,
     daemon: WorldDaemon,
@@ -200,7 +203,7 @@
     attempt.ending = ending;
     attempt.endedAt = this.#options.timer.now();
     if (ending.type === "left") attempt.disconnect?.();
-    // What was kept named a daemon that did not serve.
+    // The cached addresses contain a daemon that did not answer.
     if (ending.type !== "answered") this.#directory.invalidate(submission.zone);
     this.#ENDING_HANDLERS[ending.type](submission, attempt);
   }
@@ -231,12 +234,11 @@
   };
 
   #onAnswered(submission: Submission, daemon: WorldDaemon): void {
-    const { repeatAfterMilliseconds: askAgainMilliseconds } =
-      submission.retries;
-    if (askAgainMilliseconds === undefined) return;
+    const { repeatAfterMilliseconds } = submission.retries;
+    if (repeatAfterMilliseconds === undefined) return;
     if (submission.attempts.length > 1) return;
     this.#options.schedule(
-      askAgainMilliseconds,
+      repeatAfterMilliseconds,
       () => this.#retry(submission, { daemon }),
     );
   }
--- a/packages/kelpspar-scenarios/src/world/callers/create_key.ts
+++ b/packages/kelpspar-scenarios/src/world/callers/create_key.ts
@@ -2,7 +2,7 @@
 import type { LoadKind } from "./load_kind.ts";
 import { formatEpochKey } from "kelpspar-decisions/claims";
 
-/** The idempotency key of a request; undefined for a kind without one. */
+/** Creates the idempotency key of a request; undefined for kinds without. */
 export function createKey(
   kind: LoadKind,
   options: { readonly token: string; readonly daemon: WorldDaemon },
--- a/packages/kelpspar-scenarios/src/world/callers/follow_answer.ts
+++ b/packages/kelpspar-scenarios/src/world/callers/follow_answer.ts
@@ -3,9 +3,9 @@
 import { extendChecksum, formatChecksum } from "kelpspar-shared";
 
 /**
- * Reads an attempt's answer as a caller does: puts the text together by
- * offset and notes what a caller would find wrong with it. Returns what stops
- * the reading.
+ * Reads an attempt's answer like a caller: assembles the text by offset and
+ * records the errors that a caller would detect. Returns the teardown, which
+ * stops the reading.
  */
 export function followAnswer(
   attempt: Attempt,
@@ -16,12 +16,12 @@
   let isFinished = false;
   const read = (): void => {
     if (isFinished) {
-      attempt.faults.push("a record came after the final one");
+      attempt.faults.push("received a record after the final one");
       return;
     }
     for (const chunk of log.readFrom(attempt.text.length)) {
       if (chunk.offset !== attempt.text.length) {
-        attempt.faults.push(`a chunk at ${chunk.offset} leaves a gap`);
+        attempt.faults.push(`chunk at offset ${chunk.offset} leaves a gap`);
       }
       attempt.text += chunk.text;
     }
@@ -39,10 +39,10 @@
   if (record.type === "failure") return;
   if (record.length !== attempt.text.length) {
     attempt.faults.push(
-      `its end record says ${record.length} characters of ${attempt.text.length}`,
+      `end record states ${record.length} characters, received ${attempt.text.length}`,
     );
   }
   if (formatChecksum(extendChecksum(0, attempt.text)) !== record.checksum) {
-    attempt.faults.push("its checksum does not fit the text");
+    attempt.faults.push("checksum does not match the text");
   }
 }
--- a/packages/kelpspar-scenarios/src/world/callers/load_defaults.ts
+++ b/packages/kelpspar-scenarios/src/world/callers/load_defaults.ts
@@ -1,13 +1,13 @@
-/** What requests are like that a scenario plans from here on. */
+/** Properties of the requests that a scenario schedules next. */
 export interface LoadDefaults {
   deadlineMilliseconds: number;
-  /** The daemon asked first, by its number; undefined for all in turn. */
+  /** Number of the daemon to try first; undefined to use the directory. */
   daemon: number | undefined;
-  /** The client account; undefined for all in turn. */
+  /** The client account; undefined to alternate among all. */
   accountId: string | undefined;
 }
 
-/** What requests are like at first. */
+/** Creates the initial properties of requests. */
 export function createLoadDefaults(): LoadDefaults {
   return {
     deadlineMilliseconds: 3_000,
--- a/packages/kelpspar-scenarios/src/world/callers/load_kind.ts
+++ b/packages/kelpspar-scenarios/src/world/callers/load_kind.ts
@@ -1,14 +1,14 @@
-/** What callers ask for, by the words of the scenarios. */
+/** A kind of request that callers send. */
 export interface LoadKind {
   readonly pipeline: string;
   readonly nonIdempotent: boolean;
-  /** Stages whose execution acts on the world; empty when none does. */
+  /** Stages with side effects; empty if there are none. */
   readonly effectfulStages: readonly string[];
-  /** How the idempotency key is made. */
+  /** The form of the idempotency key; "bound" keys name an incarnation. */
   readonly key: "none" | "free" | "bound";
 }
 
-/** Kinds of load; the plural is what scenarios say. */
+/** Kinds of load, by their plural in the scenarios. */
 export const LOAD_KINDS: Readonly<Record<string, LoadKind>> = {
   "spread plans": {
     pipeline: "spread-plan",
--- a/packages/kelpspar-scenarios/src/world/callers/may_have_been_accepted.ts
+++ b/packages/kelpspar-scenarios/src/world/callers/may_have_been_accepted.ts
@@ -1,6 +1,6 @@
 import type { Submission } from "./submission.ts";
 
-/** False once every earlier attempt was refused as not run. */
+/** False if every earlier attempt failed with outcome `not_run`. */
 export function mayHaveBeenAccepted(submission: Submission): boolean {
   return submission.attempts.some(({ ending }) => {
     if (ending?.type === "refused" || ending?.type === "answered") {
--- a/packages/kelpspar-scenarios/src/world/callers/retry_plan.ts
+++ b/packages/kelpspar-scenarios/src/world/callers/retry_plan.ts
@@ -1,23 +1,23 @@
-/** What a caller does when it has no whole answer. */
+/** The retry policy of a caller. */
 export interface RetryPlan {
-  /** Tries another daemon after so long without a final record. */
+  /** Retries after this time without a final record; default: never. */
   readonly silenceMilliseconds?: number;
-  /** Tries another daemon when its connection breaks. */
+  /** Retries if the connection breaks. */
   readonly retriesBrokenConnection: boolean;
-  /** Comes back as a refusal's advice says. */
+  /** Retries a refusal as its record advises. */
   readonly retriesRefusal: boolean;
-  /** Sends the same request to the same daemon again. */
+  /** Retries at the same daemon instead of another one. */
   readonly usesSameDaemon: boolean;
-  /** Sends the second copy at the same moment as the first. */
+  /** Sends two copies of the request at the same time. */
   readonly sendsTwoAtOnce: boolean;
-  /** Keeps reading the first answer while it asks elsewhere. */
+  /** Keeps reading the first answer after the timeout. */
   readonly keepsFirstAttempt: boolean;
-  /** Asks another daemon for the same, so long after a whole answer. */
+  /** Repeats the request this long after a whole answer; default: never. */
   readonly repeatAfterMilliseconds?: number;
   readonly maximumAttempts: number;
 }
 
-/** A caller that sends once and waits. */
+/** Sends the request once and waits. */
 export const NO_RETRIES: RetryPlan = {
   retriesBrokenConnection: false,
   retriesRefusal: false,
@@ -27,7 +27,7 @@
   maximumAttempts: 1,
 };
 
-/** A caller that does what the records advise it. */
+/** Retries as the records advise. */
 export const PATIENT_RETRIES: RetryPlan = {
   ...NO_RETRIES,
   retriesBrokenConnection: true,
--- a/packages/kelpspar-scenarios/src/world/callers/send_to_daemon.ts
+++ b/packages/kelpspar-scenarios/src/world/callers/send_to_daemon.ts
@@ -5,18 +5,21 @@
 import type { WorldDaemon } from "../daemon/world_daemon.ts";
 import { KelpsparError } from "kelpspar-shared";
 
-/** A whole answer that a daemon or the table kept. */
+/** A whole answer that a daemon or the table stored. */
 export type StoredAnswer = Extract<StoredResult, { readonly text: string }>;
 
-/** What a caller asks of a daemon. */
+/** A request of a caller to a daemon. */
 export interface CallerRequest {
   readonly account: AccountConfiguration;
   readonly request: SubmitRequest;
-  /** True to look the key up without starting anything. */
+  /** True to only look up the result of the idempotency key. */
   readonly isLookUp: boolean;
 }
 
-/** Does what a daemon's HTTP routes for callers do; throws its refusal. */
+/**
+ * Submits or looks up a request like the daemon's HTTP routes for callers.
+ * Throws a KelpsparError if the daemon refuses.
+ */
 export async function sendToDaemon(
   daemon: WorldDaemon,
   callerRequest: CallerRequest,
@@ -32,5 +35,5 @@
   const found = await lookup.find(account, request.idempotencyKey ?? "");
   if ("context" in found) return found;
   if ("text" in found.result) return { result: found.result };
-  throw new KelpsparError("result_expired", "The result was too long to keep");
+  throw new KelpsparError("result_expired", "The result was too long to store");
 }
--- a/packages/kelpspar-scenarios/src/world/callers/submission.ts
+++ b/packages/kelpspar-scenarios/src/world/callers/submission.ts
@@ -3,7 +3,7 @@
 import type { LoadKind } from "./load_kind.ts";
 import type { RetryPlan } from "./retry_plan.ts";
 
-/** What one caller wants, and every attempt at it. */
+/** A request of a caller and all its attempts. */
 export interface Submission {
   readonly token: string;
   readonly accountId: string;
@@ -16,7 +16,7 @@
   readonly attempts: Attempt[];
 }
 
-/** The first attempt that gave a whole answer. */
+/** The first attempt that received a whole answer. */
 export function completedAttempt(
   submission: Submission,
 ): Attempt | undefined {
@@ -25,7 +25,7 @@
   );
 }
 
-/** True when the caller got a whole answer within its deadline. */
+/** True if the caller received a whole answer within its deadline. */
 export function isAttained(submission: Submission): boolean {
   const attempt = completedAttempt(submission);
   if (attempt?.endedAt === undefined) return false;
--- a/packages/kelpspar-scenarios/src/world/callers/to_end_record.ts
+++ b/packages/kelpspar-scenarios/src/world/callers/to_end_record.ts
@@ -1,7 +1,7 @@
 import type { EndRecord } from "kelpspar-shared";
 import type { StoredAnswer } from "./send_to_daemon.ts";
 
-/** The record that ends a kept answer. */
+/** Creates the end record of a stored answer. */
 export function toEndRecord(answer: StoredAnswer): EndRecord {
   const { length, checksum, cost } = answer;
   return {
--- a/packages/kelpspar-scenarios/src/world/daemon/active_revision.ts
+++ b/packages/kelpspar-scenarios/src/world/daemon/active_revision.ts
@@ -1,5 +1,6 @@
-/** A revision that came into force at a daemon. */
+/** A configuration revision that became active at a daemon. */
 export interface ActiveRevision {
   readonly revision: number;
+  /** Monotonic milliseconds. */
   readonly at: number;
 }
--- a/packages/kelpspar-scenarios/src/world/daemon/collecting_log.ts
+++ b/packages/kelpspar-scenarios/src/world/daemon/collecting_log.ts
@@ -1,6 +1,6 @@
 import type { DaemonLog } from "kelpspar-daemon";
 
-/** Keeps what a daemon reports as errors; drops the rest. */
+/** Records the errors that a daemon logs and discards other messages. */
 export class CollectingLog implements DaemonLog {
   readonly errors: string[] = [];
 
--- a/packages/kelpspar-scenarios/src/world/daemon/daemon_process.ts
+++ b/packages/kelpspar-scenarios/src/world/daemon/daemon_process.ts
@@ -1,12 +1,12 @@
 import type { ManualTimer } from "kelpspar-shared";
 import { DaemonTimer } from "./daemon_timer.ts";
 
-/** What can be told of a process from outside. */
+/** The state of a process as seen from outside. */
 export type ProcessState = "running" | "paused" | "dead";
 
 /**
- * A daemon's process as the world sees it: what arrives waits while it is
- * paused, and never arrives once it is dead.
+ * A simulated daemon process. Messages that arrive while it is paused are
+ * delivered when it resumes; messages to a dead process are never delivered.
  */
 export class DaemonProcess {
   readonly timer: DaemonTimer;
@@ -22,7 +22,7 @@
     return this.#state;
   }
 
-  /** Resolves when the process can take something in; never once it is dead. */
+  /** Resolves when the process is running; never resolves once it is dead. */
   whenRunning(): Promise<void> {
     if (this.#state === "running") return Promise.resolve();
     return new Promise((resolve) => {
@@ -30,7 +30,7 @@
     });
   }
 
-  /** Hands an answer from outside to the process. */
+  /** Settles like `pending`, but only while the process is running. */
   async receive<Value>(pending: Promise<Value>): Promise<Value> {
     try {
       const value = await pending;
@@ -49,9 +49,9 @@
   }
 
   /**
-   * Wakes it. A process that was stopped while it waited for its connections
-   * takes in what arrived before it looks at its alarms; one that was stopped
-   * elsewhere may look at its alarms first.
+   * Resumes the process. A process that was stopped while it polled its
+   * connections handles the arrivals before its timers; one that was stopped
+   * elsewhere may handle its timers first.
    */
   async resume(first: "arrivals" | "alarms"): Promise<void> {
     if (this.#state !== "paused") return;
@@ -61,7 +61,7 @@
     this.#resumeListeners = [];
     for (const resolve of waiting) {
       resolve();
-      // Promises run between two arrivals, and nothing else.
+      // Only promise callbacks run between two arrivals.
       await new Promise<void>((done) => setImmediate(done));
     }
     if (first === "arrivals") await this.timer.resume();
@@ -75,7 +75,7 @@
     this.#deathListeners.clear();
   }
 
-  /** Tells `listener` of the process's death; returns the teardown. */
+  /** Calls `listener` when the process dies; returns the teardown. */
   registerDeathListener(listener: () => void): () => void {
     this.#deathListeners.add(listener);
     return () => this.#deathListeners.delete(listener);
--- a/packages/kelpspar-scenarios/src/world/daemon/daemon_timer.ts
+++ b/packages/kelpspar-scenarios/src/world/daemon/daemon_timer.ts
@@ -7,9 +7,9 @@
 }
 
 /**
- * One daemon's view of the world's time. While the daemon is paused its alarms
- * are held; they all fire when it wakes, and its clock has gone on, as with a
- * process that the operating system stopped for a while.
+ * One daemon's view of the world's time. Timeouts that become due while the
+ * daemon is paused fire when it resumes. Its clock continues meanwhile, as for a
+ * process that the operating system suspended.
  */
 export class DaemonTimer implements TimerService {
   readonly #base: ManualTimer;
@@ -57,7 +57,7 @@
     this.#state = "paused";
   }
 
-  /** Fires what fell due meanwhile, earliest first. */
+  /** Fires the timeouts that became due during the pause, earliest first. */
   async resume(): Promise<void> {
     this.#state = "running";
     const due = this.#dueWhilePaused.sort((left, right) =>
@@ -66,12 +66,12 @@
     this.#dueWhilePaused = [];
     for (const timeout of due) {
       if (!timeout.isCancelled) timeout.listener();
-      // Promises run between two alarms, but nothing arrives.
+      // Promise callbacks run between two timeouts, but no message arrives.
       await new Promise<void>((resolve) => setImmediate(resolve));
     }
   }
 
-  /** Nothing fires any more. */
+  /** Discards all timeouts; none fires afterwards. */
   stop(): void {
     this.#state = "dead";
     this.#dueWhilePaused = [];
--- a/packages/kelpspar-scenarios/src/world/daemon/world_daemon.ts
+++ b/packages/kelpspar-scenarios/src/world/daemon/world_daemon.ts
@@ -17,13 +17,13 @@
 import { CollectingLog } from "./collecting_log.ts";
 import { DaemonProcess } from "./daemon_process.ts";
 
-/** What a daemon of the world is made of. */
+/** Parameters of a `WorldDaemon`. */
 export interface WorldDaemonOptions {
   readonly settings: Settings;
   readonly timer: ManualTimer;
   readonly random: RandomSource;
   readonly mutation: WorldMutation;
-  /** The ports that go through the world's network. */
+  /** Creates the ports that use the world's network. */
   readonly createPorts: (
     process: DaemonProcess,
   ) => Pick<
@@ -32,7 +32,7 @@
   >;
 }
 
-/** One incarnation of a daemon: a real core over the world's ports. */
+/** One incarnation of a daemon: a real core on simulated ports. */
 export class WorldDaemon {
   readonly process: DaemonProcess;
   readonly ports: DaemonPorts;
@@ -40,11 +40,11 @@
   readonly roles: DaemonRoles;
   readonly handlers: PeerHandlers;
   readonly log = new CollectingLog();
-  /** Each revision that came into force here, and when. */
+  /** The revisions that became active here, in order. */
   readonly revisions: ActiveRevision[] = [];
   /** Monotonic milliseconds. */
   readonly startedAt: number;
-  /** When a planned stop began and ended, monotonic milliseconds. */
+  /** Start and end of a planned stop, monotonic milliseconds. */
   stopBeganAt: number | undefined;
   stopEndedAt: number | undefined;
   readonly #options: WorldDaemonOptions;
@@ -84,7 +84,7 @@
     return this.#options.settings.daemonId;
   }
 
-  /** Where it listens. */
+  /** The address it listens on, without the port. */
   get address(): string {
     return this.#options.settings.address;
   }
@@ -97,19 +97,19 @@
     return this.process.state !== "dead";
   }
 
-  /** True while the process takes things in. */
+  /** True while the process handles messages and timers. */
   get isRunning(): boolean {
     return this.process.state === "running";
   }
 
-  /** The process ends without a word. */
+  /** Kills the process without notifying anyone. */
   die(): void {
     this.process.die();
     this.#unregisterListener();
     this.roles.stop();
   }
 
-  /** Stops in order, as on SIGTERM; resolves when the process has ended. */
+  /** Shuts down gracefully, as on SIGTERM; resolves when the process ended. */
   async stop(): Promise<void> {
     const { timer, settings, mutation } = this.#options;
     this.stopBeganAt = timer.now();
@@ -124,7 +124,7 @@
     this.die();
   }
 
-  /** Ends the process; what a core holds beside memory is freed behind it. */
+  /** Kills the process and frees the resources of its core. */
   close(): void {
     if (this.isAlive) this.die();
     void this.core.metrics.close();
--- a/packages/kelpspar-scenarios/src/world/daemon/world_peer_client.ts
+++ b/packages/kelpspar-scenarios/src/world/daemon/world_peer_client.ts
@@ -12,23 +12,23 @@
 
 const TIMEOUT_MILLISECONDS = 400;
 
-/** A daemon that others can reach. */
+/** A daemon that is reachable by its peers. */
 export interface ReachablePeer {
   readonly daemonId: string;
   readonly process: DaemonProcess;
   readonly handlers: PeerHandlers;
 }
 
-/** How a daemon reaches the others. */
+/** Parameters of a `WorldPeerClient`. */
 export interface WorldPeerClientOptions {
   readonly network: Network;
   readonly process: DaemonProcess;
   readonly daemonId: string;
-  /** Who listens at an address now; undefined when nobody does. */
+  /** The daemon that listens on an address; undefined if there is none. */
   readonly find: (peer: PeerAddress) => ReachablePeer | undefined;
 }
 
-/** Calls other daemons' handlers over the world's network. */
+/** Calls the handlers of other daemons over the simulated network. */
 export class WorldPeerClient implements PeerClient {
   readonly #options: WorldPeerClientOptions;
 
--- a/packages/kelpspar-scenarios/src/world/endpoint/answer_call.ts
+++ b/packages/kelpspar-scenarios/src/world/endpoint/answer_call.ts
@@ -4,8 +4,9 @@
 const ANSWER_TOKENS = 16;
 
 /**
- * Engines answer alike, so that one continues another's text. A plain service
- * answers each call in other words, so that a mixture is noticed.
+ * Generates the output of a call. Engines generate the same text for the same
+ * input, so that one can continue the text of another. The output of a plain
+ * service is unique per call, so that mixed-up answers are detected.
  */
 export function answerCall(call: StageCall, endpoint: {
   readonly kind: "engine" | "plain";
--- a/packages/kelpspar-scenarios/src/world/endpoint/call_channel.ts
+++ b/packages/kelpspar-scenarios/src/world/endpoint/call_channel.ts
@@ -6,8 +6,8 @@
   | { readonly type: "broken" };
 
 /**
- * The connection of one call: the endpoint's end writes records, the daemon's
- * end reads them after they travelled, in the order they were written.
+ * The connection of one call: the endpoint writes records, and the daemon reads
+ * them after the network delay, in the order they were written.
  */
 export class CallChannel {
   readonly #deliver: (arrive: () => void) => void;
@@ -16,7 +16,7 @@
   #onDisconnect = (): void => {};
   #isDisconnected = false;
 
-  /** `deliver` calls back when what is sent now has arrived, if it does. */
+  /** `deliver` calls `arrive` after the network delay, unless it is lost. */
   constructor(deliver: (arrive: () => void) => void) {
     this.#deliver = deliver;
   }
@@ -27,29 +27,29 @@
     );
   }
 
-  /** Ends the stream in order. */
+  /** Ends the stream regularly. */
   close(): void {
     this.#send({ type: "closed" });
   }
 
-  /** Breaks the connection off, as a dying endpoint does. */
+  /** Aborts the connection, as when the endpoint dies. */
   break(): void {
     this.#send({ type: "broken" });
   }
 
-  /** Says what the endpoint does when the daemon's end goes away. */
+  /** Sets the endpoint's listener for a disconnect of the daemon. */
   setDisconnectListener(listener: () => void): void {
     this.#onDisconnect = listener;
   }
 
-  /** The daemon's end goes away; the endpoint notices a little later. */
+  /** Disconnects the daemon; the endpoint is notified after the delay. */
   disconnect(): void {
     if (this.#isDisconnected) return;
     this.#isDisconnected = true;
     this.#deliver(() => this.#onDisconnect());
   }
 
-  /** The next event that arrived. */
+  /** Resolves to the next event that arrives. */
   async next(): Promise<ChannelEvent> {
     for (;;) {
       const event = this.#events.shift();
--- a/packages/kelpspar-scenarios/src/world/endpoint/choose_call_outcome.ts
+++ b/packages/kelpspar-scenarios/src/world/endpoint/choose_call_outcome.ts
@@ -1,7 +1,7 @@
 import type { EndpointFaults } from "./endpoint_faults.ts";
 import type { CallOutcome } from "./endpoint_run.ts";
 
-/** How the Nth call of an endpoint ends under its faults. */
+/** Chooses the outcome of the Nth call of an endpoint by its faults. */
 export function chooseCallOutcome(
   number: number,
   faults: EndpointFaults,
--- a/packages/kelpspar-scenarios/src/world/endpoint/create_delivery.ts
+++ b/packages/kelpspar-scenarios/src/world/endpoint/create_delivery.ts
@@ -1,15 +1,15 @@
 import type { Network } from "../network/network.ts";
 
-/** The way of one connection from an endpoint to a daemon. */
+/** A connection from an endpoint to a daemon. */
 export interface DeliveryOptions {
   readonly network: Network;
   readonly daemonId: string;
   readonly endpointId: string;
-  /** False while or once the connection carries nothing. */
+  /** False while messages on the connection are lost. */
   readonly canDeliver: () => boolean;
 }
 
-/** Carries what is sent over one connection, in order, until it is lost. */
+/** Delivers messages of a connection in order, until the first is lost. */
 export function createDelivery(
   options: DeliveryOptions,
 ): (arrive: () => void) => void {
--- a/packages/kelpspar-scenarios/src/world/endpoint/endpoint_faults.ts
+++ b/packages/kelpspar-scenarios/src/world/endpoint/endpoint_faults.ts
@@ -1,31 +1,31 @@
-/** What is wrong with an endpoint. Every Nth counts calls; 0 is never. */
+/** Faults of an endpoint. `...Every: N` affects every Nth call; 0 means never. */
 export interface EndpointFaults {
   readonly slowFactor: number;
-  /** Runs the call, then says that it failed. */
+  /** Runs the call, then reports a failure. */
   readonly failEvery: number;
-  /** Runs the call, then drops the connection without an answer. */
+  /** Runs the call, then breaks the connection without an answer. */
   readonly loseAnswerEvery: number;
   /** Runs the call and never answers. */
   readonly hangEvery: number;
-  /** Ends the stream in the middle as if it were whole. */
+  /** Ends the stream early, without an end record. */
   readonly cutEvery: number;
-  /** Leaves a piece out, and sends the end record all the same. */
+  /** Omits a piece but sends the end record. */
   readonly gapEvery: number;
   readonly duplicatesRecords: boolean;
   readonly reordersRecords: boolean;
-  /** Sends records of another call among those of this one. */
+  /** Mixes records of other calls into the stream. */
   readonly mixesRecords: boolean;
-  /** Cuts its pieces without regard to characters of two UTF-16 units. */
+  /** Splits surrogate pairs between pieces. */
   readonly splitsCharacters: boolean;
-  /** Answers every call by a failure record: not started. */
+  /** Rejects every call with a failure record that says it was not started. */
   readonly isOverloaded: boolean;
-  /** Its report says nothing of its leaving. */
+  /** Omits from its load report that it is leaving. */
   readonly hidesLeaving: boolean;
-  /** Takes calls although it is leaving. */
+  /** Accepts calls while it is leaving. */
   readonly acceptsCallsWhileLeaving: boolean;
 }
 
-/** An endpoint that is well. */
+/** A healthy endpoint. */
 export const NO_ENDPOINT_FAULTS: EndpointFaults = {
   slowFactor: 1,
   failEvery: 0,
--- a/packages/kelpspar-scenarios/src/world/endpoint/endpoint_run.ts
+++ b/packages/kelpspar-scenarios/src/world/endpoint/endpoint_run.ts
@@ -1,7 +1,7 @@
 import type { ManualTimer, StageCall } from "kelpspar-shared";
 import type { RecordWriter, ResultPiece } from "./record_writer.ts";
 
-/** How a call ends at the endpoint. */
+/** The outcome of a call at the endpoint. */
 export type CallOutcome =
   | "answer"
   | "fail"
@@ -10,15 +10,15 @@
   | "cut"
   | "gap";
 
-/** What an endpoint runs. */
+/** Parameters of an `EndpointRun`. */
 export interface EndpointRunOptions {
   readonly call: StageCall;
   readonly output: string;
   readonly outcome: CallOutcome;
-  /** How long the whole call takes, milliseconds. */
+  /** Duration of the whole call. */
   readonly milliseconds: number;
   readonly splitsCharacters: boolean;
-  /** True when the pieces come one by one, as they are generated. */
+  /** True to send each piece as it is generated instead of all at the end. */
   readonly isStreaming: boolean;
   readonly timer: ManualTimer;
   readonly onEnd: () => void;
@@ -26,7 +26,7 @@
 
 const PIECE_COUNT = 4;
 
-/** One call while an endpoint runs it. */
+/** One call that an endpoint runs. */
 export class EndpointRun {
   readonly options: EndpointRunOptions;
   readonly #pieces: readonly ResultPiece[];
@@ -62,7 +62,7 @@
     );
   }
 
-  /** Another connection takes the stream up at an offset. */
+  /** Resumes the stream at an offset on another connection. */
   resume(writer: RecordWriter, offset: number): void {
     this.#writer = writer;
     for (const piece of this.#pieces.slice(0, this.#writtenPieces)) {
@@ -72,7 +72,7 @@
     if (this.#isFinished) writer.end(this.options.output.length, 0);
   }
 
-  /** Stops at once: the endpoint died or was told to. */
+  /** Stops immediately: the endpoint died or the call was cancelled. */
   stop(): void {
     for (const unregister of this.#timerTeardowns) unregister();
     this.#writer.break();
@@ -80,7 +80,7 @@
 
   #writeUpTo(count: number): void {
     const { outcome, call } = this.options;
-    const resumeOffset = call.resumeOffset ?? 0;
+    const from = call.resumeOffset ?? 0;
     const pieceLimit = outcome === "cut" || outcome === "fail"
       ? Math.min(count, Math.floor(this.#pieces.length / 2))
       : count;
@@ -89,7 +89,7 @@
       if (piece === undefined || outcome === "hang") continue;
       if (outcome === "lose_answer" && !this.options.isStreaming) continue;
       if (outcome === "gap" && this.#writtenPieces === 1) continue;
-      if (piece.offset + piece.text.length <= resumeOffset) continue;
+      if (piece.offset + piece.text.length <= from) continue;
       this.#writer.piece(piece);
     }
   }
@@ -133,7 +133,7 @@
   return pieces;
 }
 
-/** Two pieces, parted between the units of the first pair; one without any. */
+/** Splits a text inside its first surrogate pair, if it has one. */
 function splitSurrogatePair(text: string): readonly string[] {
   const high = text.search(/[\uD800-\uDBFF]/);
   if (high < 0) return [text];
--- a/packages/kelpspar-scenarios/src/world/endpoint/execution_log.ts
+++ b/packages/kelpspar-scenarios/src/world/endpoint/execution_log.ts
@@ -1,6 +1,6 @@
 import type { Execution } from "./execution.ts";
 
-/** Everything that any endpoint of the world ran. */
+/** Records the calls that the endpoints of a world ran. */
 export class ExecutionLog {
   readonly #executions: Execution[] = [];
   readonly #byToken = new Map<string, Execution[]>();
--- a/packages/kelpspar-scenarios/src/world/endpoint/record_writer.ts
+++ b/packages/kelpspar-scenarios/src/world/endpoint/record_writer.ts
@@ -2,13 +2,13 @@
 import type { CallChannel } from "./call_channel.ts";
 import type { EndpointFaults } from "./endpoint_faults.ts";
 
-/** A piece of a result, and the offset it starts at. */
+/** A piece of a result at an offset in UTF-16 units. */
 export interface ResultPiece {
   readonly offset: number;
   readonly text: string;
 }
 
-/** Writes a call's records, as the endpoint's faults will have them. */
+/** Writes a call's records, with the endpoint's faults applied. */
 export class RecordWriter {
   readonly #call: StageCall;
   readonly #channel: CallChannel;
@@ -20,7 +20,7 @@
     readonly call: StageCall;
     readonly channel: CallChannel;
     readonly faults: EndpointFaults;
-    /** Another call, whose records are mixed in. */
+    /** A call whose records are mixed in; undefined if there is none. */
     readonly otherCall: () => StageCall | undefined;
   }) {
     this.#call = options.call;
@@ -84,8 +84,8 @@
   }
 
   /**
-   * The same record as another call and as an earlier attempt of this one
-   * would get it, with other text.
+   * Writes variants of a record that belong to another call and to an earlier
+   * attempt of this call, with different text.
    */
   #writeForeignRecords(record: StageRecord): void {
     const { requestId, stageId, attemptId } = this.#otherCall() ?? this.#call;
--- a/packages/kelpspar-scenarios/src/world/endpoint/world_endpoint.ts
+++ b/packages/kelpspar-scenarios/src/world/endpoint/world_endpoint.ts
@@ -15,11 +15,11 @@
 import { EndpointRun } from "./endpoint_run.ts";
 import { RecordWriter } from "./record_writer.ts";
 
-/** What an endpoint is. */
+/** Parameters of a `WorldEndpoint`. */
 export interface WorldEndpointOptions {
   readonly address: EndpointAddress;
   readonly kind: "engine" | "plain";
-  /** Models with their version; empty for plain services. */
+  /** Versions by model; empty for plain services. */
   readonly models: Readonly<Record<string, string>>;
   readonly concurrency: number;
   readonly serviceMilliseconds: number;
@@ -38,15 +38,15 @@
 const REPORT_LAG_MILLISECONDS = 100;
 const SERVICE_TIME_SPREAD = 0.2;
 
-/** A model engine or a plain service in memory. */
+/** A simulated endpoint of a model engine or a plain service. */
 export class WorldEndpoint {
   readonly options: WorldEndpointOptions;
   faults: EndpointFaults = NO_ENDPOINT_FAULTS;
-  /** When it began to leave; undefined while it stays. */
+  /** When it started to leave, monotonic milliseconds; undefined otherwise. */
   leavingSince: number | undefined;
-  /** When each call arrived, whatever became of it. */
+  /** Arrival times of all calls, including rejected ones. */
   readonly arrivalTimes: number[] = [];
-  /** Calls that are running or waiting. */
+  /** Calls that wait for a slot. */
   readonly #queue: QueuedCall[] = [];
   readonly #runs = new Map<string, EndpointRun>();
   #running = 0;
@@ -72,12 +72,12 @@
     return this.#isAlive;
   }
 
-  /** True while a call waits or runs. */
+  /** True while a call is queued or running. */
   get isBusy(): boolean {
     return this.#running > 0 || this.#queue.length > 0;
   }
 
-  /** Takes in a call that arrived over `channel`. */
+  /** Accepts, resumes or rejects a call that arrived over `channel`. */
   receive(call: StageCall, channel: CallChannel): void {
     this.arrivalTimes.push(this.options.timer.now());
     const otherCall = this.#previousCall;
@@ -98,7 +98,7 @@
     this.#startNext();
   }
 
-  /** Stops an attempt that is no longer wanted. */
+  /** Cancels an attempt; plain services only cancel queued ones. */
   cancel(attemptId: string): void {
     const index = this.#queue.findIndex(({ call }) =>
       call.attemptId === attemptId
@@ -107,7 +107,7 @@
     if (this.options.kind === "engine") this.#stopRun(attemptId);
   }
 
-  /** Its load, some time ago. */
+  /** The load report, refreshed at most every `REPORT_LAG_MILLISECONDS`. */
   report(): LoadReport {
     const now = this.options.timer.now();
     if (now - this.#reportedAt >= REPORT_LAG_MILLISECONDS) {
@@ -117,7 +117,7 @@
     return this.#report;
   }
 
-  /** The process ends without a word. */
+  /** Kills the process; its connections break. */
   die(): void {
     this.#isAlive = false;
     for (const run of this.#runs.values()) run.stop();
@@ -127,7 +127,7 @@
     this.#running = 0;
   }
 
-  /** A new process under the same address. */
+  /** Starts a new process under the same address. */
   restart(): void {
     this.#isAlive = true;
     this.#generation++;
@@ -213,7 +213,7 @@
     run.start();
   }
 
-  /** An engine gives a call up some time after its connection broke. */
+  /** Makes an engine stop a run a grace period after its connection broke. */
   #stopRunOnDisconnect(
     attemptId: string,
     options: { readonly run: EndpointRun; readonly channel: CallChannel },
--- a/packages/kelpspar-scenarios/src/world/endpoint/world_endpoint_client.ts
+++ b/packages/kelpspar-scenarios/src/world/endpoint/world_endpoint_client.ts
@@ -19,16 +19,16 @@
 const CONNECT_TIMEOUT_MILLISECONDS = 500;
 const CONTROL_TIMEOUT_MILLISECONDS = 1_000;
 
-/** How a daemon reaches the endpoints. */
+/** Parameters of a `WorldEndpointClient`. */
 export interface WorldEndpointClientOptions {
   readonly network: Network;
   readonly process: DaemonProcess;
   readonly daemonId: string;
-  /** Who listens at an address. */
+  /** The endpoint at an address; undefined if there is none. */
   readonly find: (address: EndpointAddress) => WorldEndpoint | undefined;
 }
 
-/** Calls the world's endpoints over its network. */
+/** Calls endpoints over the simulated network. */
 export class WorldEndpointClient implements EndpointClient {
   readonly #options: WorldEndpointClientOptions;
 
@@ -97,8 +97,8 @@
   async copyCache(): Promise<void> {}
 
   /**
-   * Sends a call. Only a connection that could not be made is a refusal; a
-   * call that was sent into a kept or dying connection proves nothing.
+   * Sends a call. Only a failure to connect is a refusal. If the call was sent
+   * on a pooled or breaking connection, it is unknown whether it ran.
    */
   async #connect(
     address: EndpointAddress,
@@ -114,7 +114,11 @@
       await new Promise<void>((resolve) => {
         process.timer.registerTimeout(resolve, CONNECT_TIMEOUT_MILLISECONDS);
       });
-      throw failure("endpoint_refused", address, "connecting timed out");
+      throw failure(
+        "endpoint_refused",
+        address,
+        "connection attempt timed out",
+      );
     }
     const wasAlive = this.#find(address)?.isAlive === true;
     const channel = new CallChannel(createDelivery({
@@ -128,7 +132,7 @@
     const endpoint = this.#find(address);
     if (endpoint?.isAlive !== true) {
       const result = wasAlive ? "endpoint_failed" : "endpoint_refused";
-      throw failure(result, address, "nobody listens there");
+      throw failure(result, address, "connection refused");
     }
     endpoint.receive(structuredClone(options.call), channel);
     return channel;
@@ -148,11 +152,11 @@
       isNewConnection: true,
       timeoutMilliseconds: CONTROL_TIMEOUT_MILLISECONDS,
       createNoAnswerError: () =>
-        failure("endpoint_failed", address, "timed out"),
+        failure("endpoint_failed", address, "request timed out"),
       handleRequest: async () => {
         const endpoint = this.#find(address);
         if (endpoint?.isAlive === true) return handleRequest(endpoint);
-        throw failure("endpoint_refused", address, "nobody listens there");
+        throw failure("endpoint_refused", address, "connection refused");
       },
     });
   }
--- a/packages/kelpspar-scenarios/src/world/network/exchange.ts
+++ b/packages/kelpspar-scenarios/src/world/network/exchange.ts
@@ -2,24 +2,24 @@
 import type { NetworkLink } from "./network_link.ts";
 import type { Network } from "./network.ts";
 
-/** One request from a daemon to another party, and its answer. */
+/** A request from a daemon to another party, and how it is answered. */
 export interface ExchangeOptions<Answer> {
   readonly network: Network;
   readonly process: DaemonProcess;
   readonly from: string;
   readonly to: string;
-  /** What the other party does when the request arrives. */
+  /** Handles the request at the other party. */
   readonly handleRequest: () => Promise<Answer>;
   readonly timeoutMilliseconds: number;
-  /** True for a connection of its own; default false: the kept one. */
+  /** True to open a new connection; default false: use the pooled one. */
   readonly isNewConnection?: boolean;
-  /** The error of an exchange without an answer. */
+  /** Creates the error of a request that timed out. */
   readonly createNoAnswerError: () => Error;
 }
 
 /**
- * Carries a request and its answer over the kept connection, like the
- * platform's HTTP clients: a time-out makes the next exchange use a new
+ * Sends a request over the pooled connection and returns its answer. As with
+ * the platform's HTTP clients, a timeout makes the next exchange open a new
  * connection.
  */
 export function exchange<Answer>(
@@ -44,7 +44,7 @@
   });
 }
 
-/** Never settles when the request or its answer is lost. */
+/** Never settles if the request or its answer is lost. */
 async function transfer<Answer>(
   options: ExchangeOptions<Answer>,
   connection: { readonly link: NetworkLink; readonly generation: number },
--- a/packages/kelpspar-scenarios/src/world/network/network.ts
+++ b/packages/kelpspar-scenarios/src/world/network/network.ts
@@ -3,10 +3,10 @@
 
 const MINIMUM_DELAY_MILLISECONDS = 0.3;
 const DELAY_SPREAD_MILLISECONDS = 1.2;
-/** Arrivals are rounded up to these steps, so that many share an instant. */
+/** Arrival times are rounded up to multiples of this, so that many coincide. */
 const ARRIVAL_STEP_MILLISECONDS = 0.25;
 
-/** Carries what daemons, endpoints and the platform send to one another. */
+/** Simulates the network among daemons, endpoints and the platform. */
 export class Network {
   readonly #timer: ManualTimer;
   readonly #random: RandomSource;
@@ -21,7 +21,7 @@
     this.#random = options.random;
   }
 
-  /** The connections between two parties, whichever of them asks. */
+  /** The link between two parties, in either order. */
   link(first: string, second: string): NetworkLink {
     const name = [first, second].sort().join(" ");
     const existing = this.#links.get(name);
@@ -31,19 +31,19 @@
     return link;
   }
 
-  /** Every link that ends at a party. */
+  /** All links of a party. */
   linksOf(party: string): readonly NetworkLink[] {
     return [...this.#links]
       .filter(([name]) => name.split(" ").includes(party))
       .map(([, link]) => link);
   }
 
-  /** Adds to the one-way delay of all that a party sends or receives. */
+  /** Adds a one-way delay to every message that a party sends or receives. */
   setExtraDelay(party: string, milliseconds: number): void {
     this.#extraDelays.set(party, milliseconds);
   }
 
-  /** Waits as long as one way between two parties takes. */
+  /** Waits for the one-way delay between two parties. */
   waitForTransit(from: string, to: string): Promise<void> {
     const delay = MINIMUM_DELAY_MILLISECONDS +
       this.#random.next() * DELAY_SPREAD_MILLISECONDS +
--- a/packages/kelpspar-scenarios/src/world/network/network_link.ts
+++ b/packages/kelpspar-scenarios/src/world/network/network_link.ts
@@ -1,6 +1,7 @@
 /**
- * The connections between two parties. A cut loses everything, on old and new
- * connections. A silent connection loses everything too, but a new one works.
+ * The connections between two parties. While the link is cut, messages on old
+ * and new connections are lost. Messages on a silent connection are lost too,
+ * but a new connection works.
  */
 export class NetworkLink {
   #isCut = false;
@@ -8,22 +9,22 @@
   #silentUpToGeneration = -1;
   #pooledGeneration = 0;
 
-  /** The generation of a connection opened now. */
+  /** The generation of a new connection. */
   get newestGeneration(): number {
     return this.#generation;
   }
 
-  /** The generation of the connection kept for reuse. */
+  /** The generation of the pooled connection. */
   get pooledGeneration(): number {
     return this.#pooledGeneration;
   }
 
-  /** Drops the kept connection: the next one is new. */
+  /** Replaces the pooled connection by a new one. */
   renewPooled(): void {
     this.#pooledGeneration = this.#generation;
   }
 
-  /** Open connections go silent for good; new ones work. */
+  /** Makes open connections lose all further messages; new ones work. */
   goSilent(): void {
     this.#silentUpToGeneration = this.#generation;
     this.#generation++;
@@ -37,12 +38,12 @@
     this.#isCut = false;
   }
 
-  /** True when a connection of this generation carries what is sent. */
+  /** True if a connection of this generation delivers messages. */
   canDeliver(generation: number): boolean {
     return !this.#isCut && generation > this.#silentUpToGeneration;
   }
 
-  /** False while no new connection can be made. */
+  /** False while the link is cut, so that no connection can be opened. */
   get canConnect(): boolean {
     return !this.#isCut;
   }
--- a/packages/kelpspar-scenarios/src/world/operators/operators.ts
+++ b/packages/kelpspar-scenarios/src/world/operators/operators.ts
@@ -3,22 +3,24 @@
 import { ConfigurationApplier } from "kelpspar-daemon";
 import { KelpsparError, toKelpsparError } from "kelpspar-shared";
 
-/** A change that an operator asked for, and what became of it. */
+/** A configuration change by an operator, and its outcome. */
 export interface OperatorChange {
   readonly changeId: string;
+  /** Monotonic milliseconds, as are the other times. */
   readonly submittedAt: number;
-  /** The revision that the operator was told; undefined if none. */
+  /** The revision confirmed to the operator; undefined if there is none. */
   revision?: number;
   confirmedAt?: number;
   error?: KelpsparError;
 }
 
-/** What an operator drains. */
+/** An endpoint or daemon to drain. */
 export interface DrainTarget {
   readonly kind: "endpoint" | "daemon";
   readonly id: string;
   /** The VM's incarnation. */
   readonly incarnation: string;
+  /** Called when the drain is stored. */
   readonly onAccepted: () => void;
 }
 
@@ -26,7 +28,7 @@
 const MAXIMUM_READ_BACKS = 50;
 const HISTORY_REVISIONS = 100;
 
-/** The operators of a world. */
+/** Simulates operators, who change the configuration and drain endpoints. */
 export class Operators {
   readonly changes: OperatorChange[] = [];
   readonly drainErrors: KelpsparError[] = [];
@@ -36,14 +38,14 @@
     this.#timer = options.timer;
   }
 
-  /** The highest revision that an operator was told was accepted. */
+  /** The highest revision that was confirmed to an operator. */
   get acceptedRevision(): number {
     return Math.max(0, ...this.changes.map(({ revision = 0 }) => revision));
   }
 
   /**
-   * Applies a configuration on top of the revision that the daemon has, as
-   * the command-line tool does: a lost answer is settled by reading back.
+   * Applies a configuration on top of the daemon's active revision, as the
+   * command-line tool does: if the answer is lost, the outcome is read back.
    */
   async apply(daemon: WorldDaemon, configuration: unknown): Promise<void> {
     const change: OperatorChange = {
@@ -54,7 +56,7 @@
     void this.#applyChange(daemon, { change, configuration });
   }
 
-  /** Drains an endpoint or daemon; `onAccepted` once it is stored. */
+  /** Drains an endpoint or daemon. */
   async drain(daemon: WorldDaemon, options: DrainTarget): Promise<void> {
     const { onAccepted, ...target } = options;
     void daemon.core.drains.drain(target).then((drains) => {
--- a/packages/kelpspar-scenarios/src/world/platform/world_table.ts
+++ b/packages/kelpspar-scenarios/src/world/platform/world_table.ts
@@ -11,7 +11,7 @@
 import { KelpsparError } from "kelpspar-shared";
 import { exchange } from "../network/exchange.ts";
 
-/** How a daemon reaches the table service. */
+/** Parameters of a `WorldTable`. */
 export type WorldTableOptions =
   & Pick<
     ExchangeOptions<unknown>,
@@ -19,7 +19,7 @@
   >
   & { readonly table: TableService };
 
-/** One daemon's way to the table service. */
+/** Accesses the table service over the simulated network. */
 export class WorldTable implements TableService {
   readonly #options: WorldTableOptions;
 
@@ -52,7 +52,7 @@
       to: "table",
       handleRequest: async () => structuredClone(await handleRequest(table)),
       createNoAnswerError: () =>
-        new KelpsparError(noAnswerResult, "The table gave no answer in time"),
+        new KelpsparError(noAnswerResult, "The table did not answer in time"),
     });
   }
 }
--- a/packages/kelpspar-scenarios/src/world/platform/world_vm_list.ts
+++ b/packages/kelpspar-scenarios/src/world/platform/world_vm_list.ts
@@ -3,7 +3,7 @@
 import { KelpsparError } from "kelpspar-shared";
 import { exchange } from "../network/exchange.ts";
 
-/** How a daemon reaches the VM list. */
+/** Parameters of a `WorldVmList`. */
 export type WorldVmListOptions =
   & Pick<
     ExchangeOptions<unknown>,
@@ -11,7 +11,7 @@
   >
   & { readonly vmList: VmList };
 
-/** One daemon's way to the platform's list of VMs. */
+/** Reads the platform's list of VMs over the simulated network. */
 export class WorldVmList implements VmList {
   readonly #options: WorldVmListOptions;
 
@@ -28,7 +28,7 @@
       createNoAnswerError: () =>
         new KelpsparError(
           "table_unavailable",
-          "The VM list gave no answer in time",
+          "The VM list did not answer in time",
         ),
     });
   }
--- a/packages/kelpspar-scenarios/src/world/site/create_daemon_settings.ts
+++ b/packages/kelpspar-scenarios/src/world/site/create_daemon_settings.ts
@@ -4,14 +4,14 @@
 
 const PLATFORM_ORIGIN = "http://10.0.0.1:80";
 
-/** The settings of a daemon; the others are its seeds. */
+/** Creates the settings of a daemon; its seeds are the other daemons. */
 export function createDaemonSettings(
   daemonId: string,
   vms: readonly ListedVm[],
 ): Settings {
   const daemons = vms.filter(({ kind }) => kind === "daemon");
   const own = daemons.find(({ id }) => id === daemonId);
-  if (own === undefined) throw new Error(`There is no VM "${daemonId}"`);
+  if (own === undefined) throw new Error(`No VM "${daemonId}"`);
   return settingsSchema.parse({
     daemonId,
     address: own.address,
--- a/packages/kelpspar-scenarios/src/world/site/create_vms.ts
+++ b/packages/kelpspar-scenarios/src/world/site/create_vms.ts
@@ -4,7 +4,7 @@
 const DAEMON_PORT = 7_000;
 const ENDPOINT_PORT = 8_000;
 
-/** The VM of a daemon, by its number from 1. */
+/** Creates the VM of a daemon, by its number from 1. */
 export function createDaemonVm(number: number): ListedVm {
   return {
     id: `daemon-${number}`,
@@ -19,12 +19,12 @@
   };
 }
 
-/** The VM of an endpoint, by its number in its service. */
+/** Creates the VM of an endpoint, by its number from 1 in its service. */
 export function createEndpointVm(
   service: string,
   options: {
     readonly number: number;
-    /** Its place among all endpoints, for its address. */
+    /** Its number from 1 among all endpoints, used for its address. */
     readonly place: number;
   },
 ): ListedVm {
--- a/packages/kelpspar-scenarios/src/world/site/vm_rows.ts
+++ b/packages/kelpspar-scenarios/src/world/site/vm_rows.ts
@@ -4,7 +4,7 @@
 
 const DEFAULT_LAG_MILLISECONDS = 1_000;
 
-/** The VMs as they are, and the platform's list of them, which lags. */
+/** The actual VMs and the platform's list of them, which lags behind. */
 export class VmRows {
   readonly #list: LaggingVmList;
   #rows: readonly ListedVm[] = [];
@@ -15,7 +15,7 @@
     this.#list = new LaggingVmList({ timer, lagMilliseconds: 0 });
   }
 
-  /** The list as daemons see it. */
+  /** The list as daemons read it. */
   get list(): VmList {
     return this.#list;
   }
@@ -24,7 +24,7 @@
     return this.#rows;
   }
 
-  /** How long a change stays hidden, milliseconds. */
+  /** Delay until a change appears in the list, milliseconds. */
   get lagMilliseconds(): number {
     return this.#lagMilliseconds;
   }
@@ -39,20 +39,20 @@
     this.#rows = [...this.#rows, vm];
   }
 
-  /** Shows the VMs at once; later changes show after the lag. */
+  /** Publishes the VMs without lag; later changes appear after the lag. */
   publish(): void {
     this.#list.replace(this.#rows);
     this.#list.setLag(this.#lagMilliseconds);
   }
 
-  /** A VM as it is; throws an Error for one that there is not. */
+  /** The actual row of a VM; throws an Error for an unknown id. */
   row(id: string): ListedVm {
     const found = this.#rows.find((vm) => vm.id === id);
-    if (found === undefined) throw new Error(`There is no VM "${id}"`);
+    if (found === undefined) throw new Error(`No VM "${id}"`);
     return found;
   }
 
-  /** Changes a VM's row; it shows after the lag. */
+  /** Changes a VM's row; the list shows the change after the lag. */
   change(id: string, change: Partial<ListedVm>): void {
     this.#rows = this.#rows.map((vm) =>
       vm.id === id ? { ...vm, ...change } : vm
@@ -60,7 +60,7 @@
     this.#list.replace(this.#rows);
   }
 
-  /** A new VM takes the place and the address of one. */
+  /** Replaces a VM by a new one with the same id and address. */
   replaceVm(id: string): void {
     this.#replacements++;
     const incarnation = `${id}-vm-${this.#replacements + 1}`;
--- a/packages/kelpspar-scenarios/src/world/world.ts
+++ b/packages/kelpspar-scenarios/src/world/world.ts
@@ -24,17 +24,17 @@
 import { VmRows } from "./site/vm_rows.ts";
 import { readScenarioConfiguration } from "./scenario_configuration.ts";
 
-/** How a world begins. */
+/** Parameters of a `World`. */
 export interface WorldOptions {
   readonly seed: number;
   readonly mutation: WorldMutation;
 }
 
-/** A site to build. */
+/** The size of a site. */
 export interface SitePlan {
   readonly daemons: number;
   readonly engines: number;
-  /** Endpoints of each plain service. */
+  /** Number of endpoints of each plain service. */
   readonly plain: number;
 }
 
@@ -43,8 +43,9 @@
 const PLATFORM_TIMEOUT_MILLISECONDS = 500;
 
 /**
- * Several real daemon cores in one process, over small fakes of all that
- * surrounds them, under manual time and seeded chance.
+ * Runs several real daemon cores in one process over in-memory fakes of their
+ * environment, with manual time and seeded randomness, so that a run is
+ * reproducible.
  */
 export class World {
   readonly timer = new WorldTimer({ startAt: 1_000 });
@@ -58,7 +59,7 @@
   readonly operators: Operators;
   readonly actionQueue: ActionQueue;
   readonly loads: LoadDefaults = createLoadDefaults();
-  /** Every incarnation of every daemon, in the order they started. */
+  /** Every incarnation of every daemon, in start order. */
   readonly incarnations: WorldDaemon[] = [];
   readonly configuration: Configuration = readScenarioConfiguration();
   readonly mutation: WorldMutation;
@@ -96,7 +97,7 @@
     return [...newest.values()];
   }
 
-  /** Builds a site, puts its configuration in force and lets it settle. */
+  /** Builds a site, applies its configuration and waits for it to settle. */
   async build(plan: SitePlan): Promise<void> {
     for (const { id, kind } of this.configuration.services) {
       const count = kind === "engine" ? plan.engines : plan.plain;
@@ -149,36 +150,39 @@
     return daemon;
   }
 
-  /** The newest incarnation of a daemon, by its number from 1. */
+  /**
+   * The newest incarnation of a daemon, by its number from 1. Throws an Error if
+   * there is no such daemon.
+   */
   daemon(number: number): WorldDaemon {
     const found = this.daemons.find(({ daemonId }) =>
       daemonId === `daemon-${number}`
     );
-    if (found === undefined) throw new Error(`There is no daemon ${number}`);
+    if (found === undefined) throw new Error(`Daemon ${number} not found`);
     return found;
   }
 
   endpoint(endpointId: string): WorldEndpoint {
     const found = this.endpoints.find(({ id }) => id === endpointId);
-    if (found === undefined) throw new Error(`There is no "${endpointId}"`);
+    if (found === undefined) throw new Error(`No endpoint "${endpointId}"`);
     return found;
   }
 
-  /** The endpoints of a service; throws when there are none. */
+  /** The endpoints of a service; throws an Error if there are none. */
   endpointsOf(service: string): readonly WorldEndpoint[] {
     const found = this.endpoints.filter(({ options }) =>
       options.address.service === service
     );
-    if (found.length === 0) throw new Error(`There is no service "${service}"`);
+    if (found.length === 0) throw new Error(`No service "${service}"`);
     return found;
   }
 
-  /** Lets time pass, and carries out what is on the agenda. */
+  /** Advances time and runs the scheduled actions that become due. */
   advance(milliseconds: number): Promise<void> {
     return this.actionQueue.advance(milliseconds);
   }
 
-  /** Ends every daemon. */
+  /** Stops every daemon process and frees its resources. */
   close(): void {
     for (const daemon of this.incarnations) daemon.close();
   }
--- a/packages/kelpspar-scenarios/src/world/world_timer.ts
+++ b/packages/kelpspar-scenarios/src/world/world_timer.ts
@@ -1,6 +1,6 @@
 import { ManualTimer } from "kelpspar-shared";
 
-/** A chain of nact messages takes a turn each. */
+/** Each message of a chain of nact messages takes one event loop turn. */
 const TURNS_TO_SETTLE = 3;
 
 interface PendingTimeout {
@@ -8,15 +8,16 @@
 }
 
 interface Instant {
-  /** In the order they were set. */
+  /** In registration order. */
   readonly timeouts: Set<PendingTimeout>;
   readonly stop: () => void;
 }
 
 /**
- * The manual timer, made quicker for worlds with hundreds of alarms a second:
- * alarms of one instant fire together, in the order they were set, and fewer
- * turns pass between two instants, since nothing here waits for a socket.
+ * A manual timer optimized for worlds with hundreds of timeouts per second:
+ * timeouts due at the same instant fire together, in registration order, and
+ * fewer event loop turns run between two instants, because nothing here waits
+ * for a socket.
  */
 export class WorldTimer extends ManualTimer {
   readonly #instants = new Map<number, Instant>();
@@ -29,7 +30,7 @@
     const timeout: PendingTimeout = { listener };
     const instant = this.#instants.get(dueAt) ?? this.#createInstant(dueAt);
     instant.timeouts.add(timeout);
-    return () => this.#cancel(dueAt, { instant, alarm: timeout });
+    return () => this.#cancel(dueAt, { instant, timeout });
   }
 
   override registerInterval(
@@ -65,9 +66,9 @@
 
   #cancel(dueAt: number, registration: {
     readonly instant: Instant;
-    readonly alarm: PendingTimeout;
+    readonly timeout: PendingTimeout;
   }): void {
-    const { instant, alarm: timeout } = registration;
+    const { instant, timeout } = registration;
     instant.timeouts.delete(timeout);
     if (instant.timeouts.size > 0) return;
     if (this.#instants.get(dueAt) !== instant) return;
