--- a/packages/kelpspar-standins/src/capacity/run_capacity.ts
+++ b/packages/kelpspar-standins/src/capacity/run_capacity.ts
@@ -6,7 +6,7 @@
 import { measureFairness } from "./measure_fairness.ts";
 import { measureMembership } from "./measure_membership.ts";
 import { measureOrders } from "./measure_orders.ts";
-import { measureReach } from "./measure_reach.ts";
+import { measureReach } from "./measure_digest_coverage.ts";
 
 const GROUPS: Readonly<Record<string, () => Iterable<Measurement>>> = {
   endpoints: measureEndpoints,
--- a/packages/kelpspar-standins/src/overhead/run_overhead.ts
+++ b/packages/kelpspar-standins/src/overhead/run_overhead.ts
@@ -1,8 +1,8 @@
 import type { TimerService } from "kelpspar-shared";
 import type { Site } from "../site/site.ts";
-import type { TimedRequest } from "./four_calls.ts";
+import type { TimedRequest } from "./timed_requests.ts";
 import { Client, Pool } from "undici";
-import { requestDirectly, requestThroughDaemon } from "./four_calls.ts";
+import { requestDirectly, requestThroughDaemon } from "./timed_requests.ts";
 import { ADMINISTRATOR_KEY, startOverheadSite } from "./overhead_site.ts";
 import { percentilesOf, round } from "./percentiles.ts";
 
