--- a/packages/kelpspar-standins/src/programs/endpoint_main.ts
+++ b/packages/kelpspar-standins/src/programs/endpoint_main.ts
@@ -3,18 +3,19 @@
 import { startEndpoint } from "../endpoint/start_endpoint.ts";
 import { printLine, printListening, readSettings } from "./read_settings.ts";
 
-const EXIT_DIED = 1;
+const EXIT_CRASHED = 1;
 
 const settings = readSettings() as EndpointSettings;
 const endpoint = await startEndpoint(settings, {
   timer: new SystemTimer(),
-  onDie: () => process.exit(EXIT_DIED),
+  onDie: () => process.exit(EXIT_CRASHED),
   onLeft: () => process.exit(0),
   ...(settings.printExecutions === true
     ? { onExecution: (execution) => printLine({ execution }) }
     : {}),
 });
-/** Stays registered: a second signal cuts nothing off. */
+// The handler stays registered, so that a second SIGTERM does not cut off
+// running calls.
 process.on("SIGTERM", () => void endpoint.leave());
 printListening({
   address: endpoint.address,
--- a/packages/kelpspar-standins/src/programs/experiment_main.ts
+++ b/packages/kelpspar-standins/src/programs/experiment_main.ts
@@ -22,9 +22,9 @@
   },
 });
 
-// What goes wrong: an interrupted run leaves its site's processes behind. They
-// show as load of a machine where nothing runs. Only an exit that the process
-// makes itself calls the hook that ends them.
+// Exits explicitly, because the hook that ends the site's child processes runs
+// only on `process.exit`. Without it, an interrupted run would leave processes
+// behind that load the machine.
 for (const signal of ["SIGINT", "SIGTERM"] as const) {
   process.once(signal, () => process.exit(INTERRUPTED_EXIT_CODE));
 }
@@ -35,16 +35,16 @@
 else await runAll(experiment, arms);
 
 async function runAll(
-  chosen: Experiment,
-  wanted: readonly ArmName[],
+  selected: Experiment,
+  selectedArms: readonly ArmName[],
 ): Promise<void> {
   const timer = new SystemTimer();
-  for (const run of chosen.runs) {
-    if (!wanted.includes(run.arm)) continue;
+  for (const run of selected.runs) {
+    if (!selectedArms.includes(run.arm)) continue;
     if (values.variant !== undefined && values.variant !== run.variant) {
       continue;
     }
-    const figures = await runExperiment(chosen, run, {
+    const figures = await runExperiment(selected, run, {
       seed: Number(values.seed),
       timer,
       ...(values.seconds === undefined
--- a/packages/kelpspar-standins/src/programs/naive_main.ts
+++ b/packages/kelpspar-standins/src/programs/naive_main.ts
@@ -27,7 +27,7 @@
   timer,
 });
 const port = await startNaiveDaemon({ settings, view, pipeline });
-// It has no handler of signals: SIGTERM ends it at once.
+// There is no signal handler, so SIGTERM ends the process at once.
 printLine({
   listening: { port },
   incarnation: `${settings.daemonId}-${new SystemRandom().nextHexadecimal(6)}`,
--- a/packages/kelpspar-standins/src/programs/read_settings.ts
+++ b/packages/kelpspar-standins/src/programs/read_settings.ts
@@ -3,7 +3,7 @@
 
 /**
  * Reads a program's settings from `--settings <file>` or from
- * `--settings-json <text>`. Throws when there are none or they are not JSON.
+ * `--settings-json <text>`. Throws if neither is given or the text is not JSON.
  */
 export function readSettings(): unknown {
   const { values } = parseArgs({
@@ -16,24 +16,24 @@
     ? values["settings-json"]
     : readFileSync(values.settings, "utf8");
   if (text === undefined) {
-    throw new Error("Settings are missing: give --settings or --settings-json");
+    throw new Error("No settings given: pass --settings or --settings-json");
   }
   return JSON.parse(text);
 }
 
-/** Tells the parent that the program listens. */
+/** Prints the listening address, which the parent process waits for. */
 export function printListening(
   listening: Readonly<Record<string, unknown>>,
 ): void {
   printLine({ listening });
 }
 
-/** Prints one line of JSON. */
+/** Writes an object to stdout as one line of JSON. */
 export function printLine(line: Readonly<Record<string, unknown>>): void {
   process.stdout.write(`${JSON.stringify(line)}\n`);
 }
 
-/** Prints a line for people. */
+/** Writes a human-readable line to stdout. */
 export function printText(text: string): void {
   process.stdout.write(`${text}\n`);
 }
--- a/packages/kelpspar-standins/src/programs/soak_main.ts
+++ b/packages/kelpspar-standins/src/programs/soak_main.ts
@@ -3,7 +3,7 @@
 import { runSoak } from "../soak/run_soak.ts";
 import { printText } from "./read_settings.ts";
 
-const EXIT_BROKEN = 1;
+const EXIT_CHECK_FAILED = 1;
 const EXIT_USAGE = 64;
 const USAGE =
   "npm run soak -- [--seed N] [--seeds COUNT] [--seconds S] [--daemons N] [--calm]";
@@ -11,7 +11,7 @@
   new URL("../../../../target/start_daemon.cjs", import.meta.url),
 );
 
-/** What the command line asks for. */
+/** The parsed command line. */
 interface SoakArguments {
   readonly seed: number;
   readonly seeds: number;
@@ -40,7 +40,8 @@
       daemons: readCount("daemons", values.daemons),
       isCalm: values.calm,
     });
-    // A connection that a proxy left behind must not keep the process.
+    // Exits explicitly: a connection left open by a proxy would otherwise keep
+    // the process alive.
     process.exit();
   }
 } catch (error) {
@@ -55,15 +56,15 @@
   throw new TypeError(`--${name} takes a whole number above 0, not "${text}"`);
 }
 
-async function run(asked: SoakArguments): Promise<void> {
-  for (let index = 0; index < asked.seeds; index++) {
-    const seed = asked.seed + index;
+async function run(options: SoakArguments): Promise<void> {
+  for (let index = 0; index < options.seeds; index++) {
+    const seed = options.seed + index;
     const verdict = await runSoak({
       seed,
-      seconds: asked.seconds,
-      daemons: asked.daemons,
+      seconds: options.seconds,
+      daemons: options.daemons,
       program: PROGRAM,
-      hasFaults: !asked.isCalm,
+      hasFaults: !options.isCalm,
       print: (line) => printText(`  ${line}`),
     });
     const { asked: requests, served, refused, broken } = verdict;
@@ -72,6 +73,6 @@
         `${refused} refused, ${broken.length} promises broken`,
     );
     for (const line of broken) printText(`  BROKEN ${line}`);
-    if (broken.length > 0) process.exitCode = EXIT_BROKEN;
+    if (broken.length > 0) process.exitCode = EXIT_CHECK_FAILED;
   }
 }
