--- a/packages/kelpspar-standins/src/demo/demo_request.ts
+++ b/packages/kelpspar-standins/src/demo/demo_request.ts
@@ -4,8 +4,8 @@
   readonly callerKey: string;
   readonly pipeline: string;
   readonly input: string;
-  /** True when it must run at most once. */
+  /** True if the request must run at most once. */
   readonly nonIdempotent: boolean;
-  /** The caller's own name for it; sent twice to show that it runs once. */
+  /** If set, the request is sent twice under this key to show that it runs once. */
   readonly idempotencyKey?: string;
 }
--- a/packages/kelpspar-standins/src/demo/demo_site.ts
+++ b/packages/kelpspar-standins/src/demo/demo_site.ts
@@ -1,12 +1,12 @@
 import type { DemoRequest } from "./demo_request.ts";
 
-/** A site of the demonstration: what runs, and what is asked of it. */
+/** A demonstration site: its processes and the requests sent to it. */
 export interface DemoSite {
   readonly overlay: string;
   readonly administratorKey: string;
   readonly availabilityZones: readonly string[];
   readonly engines: number;
-  /** Plain services and how many endpoints each has. */
+  /** Number of endpoints by plain service. */
   readonly services: Readonly<Record<string, number>>;
   readonly requests: readonly DemoRequest[];
 }
@@ -16,7 +16,7 @@
   "pH 5.4, buffer pH 6.2, organic matter 3.1 percent, target pH 6.5.",
 ].join(" ");
 
-/** The sites, by the name given on the command line. */
+/** Demonstration sites by their name on the command line. */
 export const DEMO_SITES: Readonly<Record<string, DemoSite>> = {
   tillbrook: {
     overlay: "tillbrook.json",
--- a/packages/kelpspar-standins/src/demo/read_example.ts
+++ b/packages/kelpspar-standins/src/demo/read_example.ts
@@ -4,18 +4,23 @@
 
 const EXAMPLES = new URL("../../../../examples/", import.meta.url);
 
-/** An example's configuration, as written and as checked. */
+/** An example's configuration, before and after validation. */
 export interface ExampleConfiguration {
   readonly written: unknown;
   readonly checked: Configuration;
 }
 
-/** Reads the base and an overlay of examples/. Throws when they are wrong. */
+/**
+ * Reads base.json of examples/, merged with an overlay. Throws if the result is
+ * invalid.
+ */
 export function readExample(overlay: string): ExampleConfiguration {
   const written = mergeOverlay(readJson("base.json"), readJson(overlay));
   const parsed = parseConfiguration(written);
   if (parsed.ok) return { written, checked: parsed.configuration };
-  throw new Error(`Example "${overlay}" is wrong: ${JSON.stringify(parsed)}`);
+  throw new Error(
+    `Example configuration "${overlay}" is invalid: ${JSON.stringify(parsed)}`,
+  );
 }
 
 function readJson(name: string): unknown {
--- a/packages/kelpspar-standins/src/demo/run_demo.ts
+++ b/packages/kelpspar-standins/src/demo/run_demo.ts
@@ -9,18 +9,19 @@
 import { Site } from "../site/site.ts";
 import { readExample } from "./read_example.ts";
 
-const DAEMONS = 3;
+const DAEMON_COUNT = 3;
 const DEADLINE_MILLISECONDS = 8_000;
 
-/** What a demonstration needs. */
+/** Options of `runDemo`. */
 export interface RunDemoOptions {
   readonly timer: TimerService;
   readonly print: (line: string) => void;
 }
 
 /**
- * Starts a site in separate processes, serves a few requests and stops it
- * gracefully. Throws when anything is not as promised.
+ * Starts a site in separate processes, sends a few requests and stops it
+ * gracefully. Throws if a request fails, if the two answers under one key
+ * differ, or if a process had to be killed.
  */
 export async function runDemo(
   demo: DemoSite,
@@ -29,7 +30,7 @@
   const { timer, print } = options;
   const example = readExample(demo.overlay);
   const site = new Site({
-    daemons: DAEMONS,
+    daemons: DAEMON_COUNT,
     availabilityZones: demo.availabilityZones,
     pools: createPools(demo, example.checked),
     configuration: example.written,
@@ -39,7 +40,7 @@
     await site.start();
     const processes = site.endpoints.length + site.daemons.length + 1;
     print(
-      `Started ${processes} processes: ${DAEMONS} daemons, ${demo.engines} engines and other endpoints, the platform`,
+      `Started ${processes} processes: ${DAEMON_COUNT} daemons, ${demo.engines} engines and other endpoints, the platform`,
     );
     const revision = await applyFirstConfiguration(site, {
       timer,
@@ -47,17 +48,23 @@
       configuration: example.written,
     });
     print(`Revision ${revision} is in force at every daemon`);
-    for (const request of demo.requests) await show(site, request, options);
+    for (const request of demo.requests) {
+      await runRequest(site, request, options);
+    }
   } catch (thrown) {
     await site.stop();
     throw thrown;
   }
   const killed = await site.stop();
-  if (killed.length > 0) throw new Error(`Had to kill ${killed.join(", ")}`);
+  if (killed.length > 0) {
+    throw new Error(
+      `Processes did not stop gracefully and were killed: ${killed.join(", ")}`,
+    );
+  }
   print("Every process ended gracefully");
 }
 
-async function show(
+async function runRequest(
   site: Site,
   request: DemoRequest,
   options: RunDemoOptions,
@@ -69,8 +76,8 @@
     timer,
     random: new SystemRandom(),
   });
-  const { title: _title, callerKey: _callerKey, ...sent } = request;
-  const submit = { ...sent, deadlineMilliseconds: DEADLINE_MILLISECONDS };
+  const { title: _title, callerKey: _callerKey, ...fields } = request;
+  const submit = { ...fields, deadlineMilliseconds: DEADLINE_MILLISECONDS };
   print(`\n${request.title} (${request.pipeline})`);
   const startedAt = timer.now();
   const answer = await client.submitWhole(submit);
@@ -78,8 +85,10 @@
   print(`  ${Math.round(timer.now() - startedAt)} ms; cost by stage:`);
   for (const cost of answer.cost) print(`    ${describeCost(cost)}`);
   if (request.idempotencyKey !== undefined) {
-    const again = await client.submitWhole(submit);
-    if (again.text !== answer.text) throw new Error("The answers differ");
+    const repeated = await client.submitWhole(submit);
+    if (repeated.text !== answer.text) {
+      throw new Error("The answers to one idempotency key differ");
+    }
     print("  sent again: the same answer");
   }
   await client.close();
