--- a/packages/kelpspar-standins/src/overhead/overhead_site.ts
+++ b/packages/kelpspar-standins/src/overhead/overhead_site.ts
@@ -3,17 +3,17 @@
 import { applyFirstConfiguration } from "../site/apply_first_configuration.ts";
 import { Site } from "../site/site.ts";
 
-/** The one caller key of the site. */
+/** The only caller key of the site. */
 export const CALLER_KEY = "overhead-caller-key";
-/** The administrator's key of the site. */
+/** The operator key of the site's administrator. */
 export const ADMINISTRATOR_KEY = "overhead-administrator-key";
-/** The plain stages, in their order; generation follows them. */
+/** The plain stages in order; the generation stage follows them. */
 export const PLAIN_STAGES = ["encoder", "retriever", "reranker"] as const;
 
 const MODEL = "writer";
-const MANY = 100_000;
+const UNRESTRICTIVE_LIMIT = 100_000;
 
-/** How the endpoints of the site behave. */
+/** Options of `startOverheadSite`. */
 export interface OverheadSiteOptions {
   readonly timer: TimerService;
   readonly engines: number;
@@ -21,7 +21,7 @@
   readonly daemonNodeArguments?: readonly string[];
 }
 
-/** Starts one daemon before endpoints that take almost no time. */
+/** Starts a site of one daemon and endpoints with almost no service time. */
 export async function startOverheadSite(
   options: OverheadSiteOptions,
 ): Promise<Site> {
@@ -39,8 +39,8 @@
         settings: {
           kind: "plain" as const,
           plain: {
-            concurrency: MANY,
-            maximumWaiting: MANY,
+            concurrency: UNRESTRICTIVE_LIMIT,
+            maximumWaiting: UNRESTRICTIVE_LIMIT,
             serviceMilliseconds: 0,
             spread: 0,
           },
@@ -53,8 +53,8 @@
           kind: "engine",
           engine: {
             models: { [MODEL]: "1" },
-            maximumBatch: MANY,
-            maximumWaiting: MANY,
+            maximumBatch: UNRESTRICTIVE_LIMIT,
+            maximumWaiting: UNRESTRICTIVE_LIMIT,
             stepMilliseconds: options.stepMilliseconds,
             stepPerCallMilliseconds: 0,
             prefillPerTokenMilliseconds: 0,
@@ -79,7 +79,7 @@
       id: "caller",
       share: 1,
       callerKeyHashes: [sha256(CALLER_KEY)],
-      maximumQueuedRequests: MANY,
+      maximumQueuedRequests: UNRESTRICTIVE_LIMIT,
     }],
     operators: [{
       id: "administrator",
--- a/packages/kelpspar-standins/src/overhead/run_overhead.ts
+++ b/packages/kelpspar-standins/src/overhead/run_overhead.ts
@@ -4,23 +4,26 @@
 import { Client, Pool } from "undici";
 import { requestDirectly, requestThroughDaemon } from "./timed_requests.ts";
 import { ADMINISTRATOR_KEY, startOverheadSite } from "./overhead_site.ts";
-import { percentilesOf, round } from "./percentiles.ts";
+import { computePercentiles, roundToHundredths } from "./percentiles.ts";
 
 const LATENCY_REQUESTS = 1_000;
 const WARM_UP_REQUESTS = 1_500;
 const THROUGHPUT_MILLISECONDS = 8_000;
-const STREAMS = [100, 1_000] as const;
+const STREAM_COUNTS = [100, 1_000] as const;
 
-/** What a daemon's process took so far. */
-interface ProcessUse {
+/** Processor time and memory of a daemon, from its operator status. */
+interface ProcessUsage {
   readonly processorMilliseconds: number;
   readonly memoryBytes: number;
 }
 
-/** One line of figures. */
+/** One line of measured figures. */
 export type OverheadLine = Readonly<Record<string, string | number>>;
 
-/** Measures what one daemon adds and carries; gives a line for each figure. */
+/**
+ * Measures the latency that one daemon adds, its throughput, and its memory
+ * under open streams. Prints a line for each measurement.
+ */
 export async function runOverhead(
   timer: TimerService,
   print: (line: OverheadLine) => void,
@@ -37,8 +40,8 @@
       requestThroughDaemon(daemon, "tokens=8 soil report");
     const directly = (): Promise<TimedRequest> =>
       requestDirectly(pools, "tokens=8 soil report");
-    await closedLoop(through, { callers: 8, requests: WARM_UP_REQUESTS });
-    await closedLoop(directly, { callers: 8, requests: WARM_UP_REQUESTS });
+    await runClosedLoop(through, { callers: 8, requests: WARM_UP_REQUESTS });
+    await runClosedLoop(directly, { callers: 8, requests: WARM_UP_REQUESTS });
     await compareLatency({
       name: "idle",
       callers: 1,
@@ -63,16 +66,18 @@
 }): Promise<void> {
   const { callers } = options;
   const load = { callers, requests: LATENCY_REQUESTS };
-  const direct = percentilesOf(await closedLoop(options.directly, load));
-  const daemon = percentilesOf(await closedLoop(options.through, load));
+  const direct = computePercentiles(
+    await runClosedLoop(options.directly, load),
+  );
+  const daemon = computePercentiles(await runClosedLoop(options.through, load));
   options.print({
     figure: `latency-${options.name}`,
     directP50: direct.p50,
     daemonP50: daemon.p50,
-    addedP50: round(daemon.p50 - direct.p50),
+    addedP50: roundToHundredths(daemon.p50 - direct.p50),
     directP99: direct.p99,
     daemonP99: daemon.p99,
-    addedP99: round(daemon.p99 - direct.p99),
+    addedP99: roundToHundredths(daemon.p99 - direct.p99),
   });
 }
 
@@ -84,22 +89,27 @@
   },
 ): Promise<void> {
   for (const callers of [4, 16, 64]) {
-    const before = await readUse(site);
+    const before = await readUsage(site);
     const startedAt = performance.now();
-    const times = await closedLoop(options.through, {
+    const times = await runClosedLoop(options.through, {
       callers,
       milliseconds: THROUGHPUT_MILLISECONDS,
     });
     const seconds = (performance.now() - startedAt) / 1_000;
-    const after = await readUse(site);
-    const busy = after.processorMilliseconds - before.processorMilliseconds;
+    const after = await readUsage(site);
+    const usedMilliseconds = after.processorMilliseconds -
+      before.processorMilliseconds;
     options.print({
       figure: `requests-${callers}-callers`,
-      requestsPerSecond: round(times.length / seconds),
-      coresUsed: round(busy / 1_000 / seconds),
-      processorMillisecondsPerRequest: round(busy / times.length),
-      requestsPerSecondOfOneCore: round(1_000 * times.length / busy),
-      ...percentilesOf(times),
+      requestsPerSecond: roundToHundredths(times.length / seconds),
+      coresUsed: roundToHundredths(usedMilliseconds / 1_000 / seconds),
+      processorMillisecondsPerRequest: roundToHundredths(
+        usedMilliseconds / times.length,
+      ),
+      requestsPerSecondOfOneCore: roundToHundredths(
+        1_000 * times.length / usedMilliseconds,
+      ),
+      ...computePercentiles(times),
     });
   }
 }
@@ -115,27 +125,30 @@
   });
   const daemon = new Pool(originOf(site.daemons[0]), { connections: 1_200 });
   try {
-    const idle = await readUse(site);
+    const idle = await readUsage(site);
     print({ figure: "memory-0-streams", megabytes: toMegabytes(idle) });
-    for (const streams of STREAMS) {
-      const before = await readUse(site);
+    for (const streams of STREAM_COUNTS) {
+      const before = await readUsage(site);
       const startedAt = performance.now();
       const running = Promise.all(Array.from(
         { length: streams },
         () => requestThroughDaemon(daemon, "tokens=200 soil report"),
       ));
       await wait(timer, 4_000);
-      const middle = await readUse(site);
+      const middle = await readUsage(site);
       const all = await running;
       const seconds = (performance.now() - startedAt) / 1_000;
-      const after = await readUse(site);
-      const chunks = all.reduce((sum, one) => sum + one.chunks, 0);
-      const busy = after.processorMilliseconds - before.processorMilliseconds;
+      const after = await readUsage(site);
+      const chunks = all.reduce((sum, request) => sum + request.chunks, 0);
+      const usedMilliseconds = after.processorMilliseconds -
+        before.processorMilliseconds;
       print({
         figure: `streams-${streams}`,
-        chunksPerSecond: round(chunks / seconds),
-        coresUsed: round(busy / 1_000 / seconds),
-        chunksPerSecondOfOneCore: round(1_000 * chunks / busy),
+        chunksPerSecond: roundToHundredths(chunks / seconds),
+        coresUsed: roundToHundredths(usedMilliseconds / 1_000 / seconds),
+        chunksPerSecondOfOneCore: roundToHundredths(
+          1_000 * chunks / usedMilliseconds,
+        ),
         megabytes: toMegabytes(middle),
       });
     }
@@ -145,8 +158,11 @@
   }
 }
 
-/** Runs requests back to back; returns how long each took, milliseconds. */
-async function closedLoop(
+/**
+ * Runs a closed loop: each caller sends its next request once the last one is
+ * answered. Returns the latency of each request, in milliseconds.
+ */
+async function runClosedLoop(
   request: () => Promise<TimedRequest>,
   load: {
     readonly callers: number;
@@ -166,7 +182,7 @@
   return times;
 }
 
-async function readUse(site: Site): Promise<ProcessUse> {
+async function readUsage(site: Site): Promise<ProcessUsage> {
   const client = new Client(originOf(site.daemons[0]));
   try {
     const answer = await client.request({
@@ -175,10 +191,10 @@
       headers: { authorization: `Bearer ${ADMINISTRATOR_KEY}` },
     });
     const body = await answer.body.json() as {
-      readonly daemons: readonly ProcessUse[];
+      readonly daemons: readonly ProcessUsage[];
     };
     const [self] = body.daemons;
-    if (self === undefined) throw new Error("No status");
+    if (self === undefined) throw new Error("Status lists no daemons");
     return self;
   } finally {
     await client.close();
@@ -198,13 +214,13 @@
   return pool.close();
 }
 
-function originOf(part: { readonly port: number } | undefined): string {
-  if (part === undefined) throw new Error("The site lacks a part");
-  return `http://127.0.0.1:${part.port}`;
+function originOf(target: { readonly port: number } | undefined): string {
+  if (target === undefined) throw new Error("Site has no daemon");
+  return `http://127.0.0.1:${target.port}`;
 }
 
-function toMegabytes(use: ProcessUse): number {
-  return Math.round(use.memoryBytes / 1024 / 1024);
+function toMegabytes(usage: ProcessUsage): number {
+  return Math.round(usage.memoryBytes / 1024 / 1024);
 }
 
 function wait(timer: TimerService, milliseconds: number): Promise<void> {
--- a/packages/kelpspar-standins/src/overhead/timed_requests.ts
+++ b/packages/kelpspar-standins/src/overhead/timed_requests.ts
@@ -3,13 +3,13 @@
 import { readJsonLines } from "kelpspar-shared";
 import { CALLER_KEY, PLAIN_STAGES } from "./overhead_site.ts";
 
-/** One request as its caller saw it. */
+/** Latency and chunk count of a request, measured at its caller. */
 export interface TimedRequest {
   readonly milliseconds: number;
   readonly chunks: number;
 }
 
-/** Sends a request through a daemon. Throws when it is not answered whole. */
+/** Sends a request through a daemon. Throws if the answer is incomplete. */
 export async function requestThroughDaemon(
   pool: Pool,
   input: string,
@@ -35,7 +35,7 @@
   return { milliseconds: performance.now() - startedAt, chunks };
 }
 
-/** Calls the same four stages directly, one after the other. */
+/** Calls the same four stages directly at their endpoints, in sequence. */
 export async function requestDirectly(
   pools: ReadonlyMap<string, Pool>,
   input: string,
