--- a/packages/kelpspar-standins/src/__tests__/unit/naive_pipeline_test.ts
+++ b/packages/kelpspar-standins/src/__tests__/unit/naive_pipeline_test.ts
@@ -10,7 +10,7 @@
 
 const SERVICES = ["encoder", "retriever", "reranker", "engine", "booking"];
 
-/** A list with two endpoints of each service. */
+/** A VM list with two endpoints of each service. */
 const VM_LIST: VmList = {
   list: async () => ({
     sequence: 1,
@@ -30,7 +30,7 @@
   }),
 };
 
-/** Runs every call; the answers of the first `lost` bookings are lost. */
+/** Runs every call, but drops the answers of the first `lost` bookings. */
 function createEndpoints(
   options: { readonly lost: number; readonly calls: string[] },
 ): EndpointClient {
@@ -78,26 +78,27 @@
   return { calls, text: answer?.text };
 }
 
-test("the naive arm takes endpoints in turn, stage after stage", async () => {
+test("the naive arm runs the stages in order, round robin over endpoints", async () => {
   const { calls, text } = await book(0);
   expect(calls.map((call) => call.split(":")[0])).toEqual(SERVICES);
   expect(text).toEqual("booking engine reranker retriever encoder x");
 });
 
-test("the naive arm doubles a booking whose answer was lost", async () => {
-  // Symptom: two trucks come to one quarter section. Sequence: the endpoint
-  // books, its connection drops before the answer. Cause: a blind retry.
+test("the naive arm repeats a booking whose answer was lost", async () => {
+  // The endpoint books, but the connection drops before its answer arrives. A
+  // retry without an idempotency check then books a second truck for the same
+  // quarter section.
   const { calls, text } = await book(1);
   expect(calls.filter((call) => call.startsWith("booking")).length)
     .toEqual(2);
   expect(text === undefined).toEqual(false);
-  const given = await book(9);
-  expect(given.calls.filter((call) => call.startsWith("booking")).length)
+  const exhausted = await book(9);
+  expect(exhausted.calls.filter((call) => call.startsWith("booking")).length)
     .toEqual(4);
-  expect(given.text).toEqual(undefined);
+  expect(exhausted.text).toEqual(undefined);
 });
 
-test("of two naive operators the last one wins", async () => {
+test("the last write wins between two operators of the naive arm", async () => {
   const table = new InMemoryTable({ timer: new ManualTimer() });
   const first = await createView(table);
   const second = await createView(table);
--- a/packages/kelpspar-standins/src/naive/naive_daemon.ts
+++ b/packages/kelpspar-standins/src/naive/naive_daemon.ts
@@ -15,16 +15,16 @@
 } from "kelpspar-shared";
 import { readJsonBody } from "../http/read_json_body.ts";
 
-const KEEP_MILLISECONDS = 5_000;
+const ADDRESS_KEEP_MILLISECONDS = 5_000;
 
-/** What a naive daemon answers from. */
+/** Options of `startNaiveDaemon`. */
 export interface NaiveDaemonOptions {
   readonly settings: Settings;
   readonly view: NaiveView;
   readonly pipeline: NaivePipeline;
 }
 
-/** An answer that is written whole. */
+/** A response of JSON lines that is written at once, without streaming. */
 interface NaiveReply {
   readonly status: number;
   readonly lines: readonly unknown[];
@@ -39,7 +39,7 @@
   "GET /v1/addresses": async (_request, { view }) =>
     reply({
       daemons: view.live("daemon").map(toAddress),
-      keepMilliseconds: KEEP_MILLISECONDS,
+      keepMilliseconds: ADDRESS_KEEP_MILLISECONDS,
     }),
   "GET /v1/operator/status": async (_request, { view }) =>
     reply({ revision: view.revision, daemons: view.live("daemon") }),
@@ -62,19 +62,22 @@
   "POST /v1/requests": runRequest,
 };
 
-/** Serves the callers' and operators' paths that experiments use. */
+/**
+ * Starts a naive daemon, which serves the caller and operator paths that the
+ * experiments use. Returns its port.
+ */
 export async function startNaiveDaemon(
   options: NaiveDaemonOptions,
 ): Promise<number> {
   const server: Server = createServer(
-    (request, response) => void answer(request, response, options),
+    (request, response) => void handleRequest(request, response, options),
   );
   const { address, port } = options.settings;
   await new Promise<void>((resolve) => server.listen(port, address, resolve));
   return (server.address() as AddressInfo).port;
 }
 
-async function answer(
+async function handleRequest(
   request: IncomingMessage,
   response: ServerResponse,
   options: NaiveDaemonOptions,
@@ -120,7 +123,10 @@
   };
 }
 
-/** Says `not_run` of every failure, as the 503 of a plain proxy is read. */
+/**
+ * Reports every failure as `not_run`, whether or not a stage ran, because that
+ * is how callers interpret a 503 of a plain proxy.
+ */
 function fail(result: FailureRecord["result"], message: string): NaiveReply {
   const { number, httpStatus } = RESULT_CODES[result];
   const failure: FailureRecord = {
--- a/packages/kelpspar-standins/src/naive/naive_pipeline.ts
+++ b/packages/kelpspar-standins/src/naive/naive_pipeline.ts
@@ -8,7 +8,7 @@
 const RETRIES = 3;
 const PREFIX_HASH_DIGITS = 16;
 
-/** A request on its way through the stages. */
+/** A request and the input of its next stage. */
 export interface NaiveRequest {
   readonly requestId: string;
   readonly accountId: string;
@@ -16,7 +16,7 @@
   readonly input: string;
 }
 
-/** A whole answer. */
+/** The complete answer to a request. */
 export interface NaiveAnswer {
   readonly text: string;
   readonly cost: readonly StageCost[];
@@ -28,15 +28,16 @@
 }
 
 /**
- * Runs stages one after the other, round robin over the listed endpoints, with
- * a timeout and three blind retries of anything. Takes whatever records come.
+ * Runs stages in sequence, round robin over the listed endpoints, with a
+ * timeout for each call and three retries of any failure, even for stages that
+ * are not idempotent. Does not validate the records of an answer.
  */
 export class NaivePipeline {
   readonly #endpoints: EndpointClient;
   readonly #view: NaiveView;
   readonly #timer: TimerService;
   readonly #random = new SystemRandom();
-  #next = 0;
+  #nextIndex = 0;
 
   constructor(options: {
     readonly endpoints: EndpointClient;
@@ -48,7 +49,7 @@
     this.#timer = options.timer;
   }
 
-  /** Throws when a stage failed four times. */
+  /** Throws if a stage fails four times. */
   async run(request: NaiveRequest): Promise<NaiveAnswer> {
     const pipeline = this.#view.configuration?.pipelines.find(({ id }) =>
       id === request.pipeline
@@ -70,7 +71,7 @@
   ): Promise<{ readonly text: string; readonly cost: StageCost }> {
     for (let attempts = 1;; attempts++) {
       try {
-        const { text, end } = await this.#call(stage, request);
+        const { text, end } = await this.#callEndpoint(stage, request);
         const { runnerMilliseconds, tokensIn, tokensOut } = end;
         const spent = { runnerMilliseconds, tokensIn, tokensOut };
         return { text, cost: { stageId: stage.id, ...spent, attempts } };
@@ -80,7 +81,7 @@
     }
   }
 
-  async #call(
+  async #callEndpoint(
     stage: StageConfiguration,
     request: NaiveRequest,
   ): Promise<StageResult> {
@@ -93,7 +94,7 @@
     let text = "";
     try {
       const records = this.#endpoints.call(
-        { ...this.#choose(stage.service), endpointId: stage.service },
+        { ...this.#chooseEndpoint(stage.service), endpointId: stage.service },
         {
           requestId: request.requestId,
           accountId: request.accountId,
@@ -102,7 +103,7 @@
           priority: 0,
           remainingMilliseconds: CALL_TIMEOUT_MILLISECONDS,
           input: request.input,
-          ...modelOf(stage, request.input),
+          ...selectModel(stage, request.input),
         },
         { signal: abort.signal, newConnection: false },
       );
@@ -117,17 +118,17 @@
     }
   }
 
-  #choose(service: string): ListedVm {
+  #chooseEndpoint(service: string): ListedVm {
     const pool = this.#view.live("endpoint").filter((vm) =>
       vm.service === service
     );
-    const chosen = pool[this.#next++ % pool.length];
+    const chosen = pool[this.#nextIndex++ % pool.length];
     if (chosen === undefined) throw new Error(`No endpoint of ${service}`);
     return chosen;
   }
 }
 
-function modelOf(
+function selectModel(
   stage: StageConfiguration,
   input: string,
 ): { readonly model?: string; readonly prefixHash?: string } {
--- a/packages/kelpspar-standins/src/naive/naive_view.ts
+++ b/packages/kelpspar-standins/src/naive/naive_view.ts
@@ -5,20 +5,23 @@
 
 const CONFIGURATION_POLL_MILLISECONDS = 2_000;
 const VM_LIST_POLL_MILLISECONDS = 1_000;
-const CURRENT = { table: "configuration", key: "current" } as const;
+const CONFIGURATION_ROW_KEY = {
+  table: "configuration",
+  key: "current",
+} as const;
 
-/** A configuration as the table has it. */
-export interface NaiveRow {
+/** The configuration row of the table. */
+export interface ConfigurationRow {
   readonly revision: number;
   readonly changeId: string;
   readonly configuration: unknown;
 }
 
-/** What a naive daemon knows: the last it read of the table and the list. */
+/** A naive daemon's last reads of the configuration row and the VM list. */
 export class NaiveView {
   readonly #table: TableService;
   readonly #vmList: VmList;
-  #row: NaiveRow | undefined;
+  #row: ConfigurationRow | undefined;
   #configuration: Configuration | undefined;
   #vms: readonly ListedVm[] = [];
 
@@ -30,7 +33,7 @@
     this.#vmList = options.vmList;
   }
 
-  /** Reads now and again; returns the teardown. */
+  /** Starts polling; returns the teardown. */
   start(timer: TimerService): () => void {
     void this.#readConfiguration();
     void this.#readVms();
@@ -51,8 +54,8 @@
     return this.#configuration;
   }
 
-  /** The row as last read. */
-  get row(): NaiveRow | undefined {
+  /** The last valid row that was read or written. */
+  get row(): ConfigurationRow | undefined {
     return this.#row;
   }
 
@@ -60,29 +63,34 @@
     return this.#row?.revision ?? 0;
   }
 
-  /** Listed as live. */
+  /** VMs of a kind that are listed as live. */
   live(kind: ListedVm["kind"]): readonly ListedVm[] {
     return this.#vms.filter((vm) => vm.kind === kind && vm.state === "live");
   }
 
-  /** Writes a change on top of whatever is there; the last one wins. */
-  async apply(change: Omit<NaiveRow, "revision">): Promise<number> {
-    const [found] = await this.#table.read([CURRENT]);
-    const before = found?.value as NaiveRow | undefined;
+  /**
+   * Writes a change without a condition on the current revision, so that the
+   * last write wins. Returns the new revision.
+   */
+  async apply(change: Omit<ConfigurationRow, "revision">): Promise<number> {
+    const [found] = await this.#table.read([CONFIGURATION_ROW_KEY]);
+    const before = found?.value as ConfigurationRow | undefined;
     const row = { ...change, revision: (before?.revision ?? 0) + 1 };
-    await this.#table.commit({ writes: [{ ...CURRENT, value: row }] });
-    this.#take(row);
+    await this.#table.commit({
+      writes: [{ ...CONFIGURATION_ROW_KEY, value: row }],
+    });
+    this.#acceptRow(row);
     return row.revision;
   }
 
   async #readConfiguration(): Promise<void> {
     try {
-      const [found] = await this.#table.read([CURRENT]);
+      const [found] = await this.#table.read([CONFIGURATION_ROW_KEY]);
       if (found !== null && found !== undefined) {
-        this.#take(found.value as NaiveRow);
+        this.#acceptRow(found.value as ConfigurationRow);
       }
     } catch {
-      // The next reading may succeed.
+      // Keeps the last state; the next poll may succeed.
     }
   }
 
@@ -90,11 +98,11 @@
     try {
       this.#vms = (await this.#vmList.list()).vms;
     } catch {
-      // The next reading may succeed.
+      // Keeps the last state; the next poll may succeed.
     }
   }
 
-  #take(row: NaiveRow): void {
+  #acceptRow(row: ConfigurationRow): void {
     const parsed = parseConfiguration(row.configuration);
     if (!parsed.ok) return;
     this.#row = row;
