--- a/packages/kelpspar-standins/src/capacity/measure.ts
+++ b/packages/kelpspar-standins/src/capacity/measure.ts
@@ -1,36 +1,36 @@
 import type { Measurement, Subject } from "./measurement.ts";
 
-const BATCHES = 9;
+const BATCH_COUNT = 9;
 const BATCH_MICROSECONDS = 10_000;
-const MICROSECONDS_PER_WARM_UP = 30_000;
-const STATE_TRIALS = 5;
-const DECIMALS = 100;
+const WARM_UP_MICROSECONDS = 30_000;
+const STATE_TRIAL_COUNT = 5;
+const ROUNDING_FACTOR = 100;
 
-/** An operation; `index` grows with each call. */
+/** A measured operation; `index` increases by one with each call. */
 export type Operation = (index: number) => unknown;
 
 /**
- * The median over batches of an operation's processor time, after a warm-up.
- * Processor time of the whole process is read, the collector's threads
- * included, since the limit counts these and since other programs on the
- * machine then lengthen nothing but the wait.
+ * Measures the processor time of an operation: the median over batches, after
+ * a warm-up. It reads the processor time of the whole process, including the
+ * garbage collector's threads, because a CPU limit counts these too. Unlike
+ * wall-clock time, it does not grow while other programs use the machine.
  */
 export function measureOperation(
   subject: Subject,
   operation: Operation,
 ): Measurement {
-  const clock = new BatchClock(operation);
-  const calls = clock.warmUp();
+  const timer = new BatchTimer(operation);
+  const calls = timer.warmUp();
   const times = Array.from(
-    { length: BATCHES },
-    () => clock.run(calls) / calls,
+    { length: BATCH_COUNT },
+    () => timer.runBatch(calls) / calls,
   ).sort((left, right) => left - right);
-  return { ...subject, microseconds: round(times[BATCHES >> 1] ?? 0) };
+  return { ...subject, microseconds: round(times[BATCH_COUNT >> 1] ?? 0) };
 }
 
 /**
- * How much the heap grows by a state, the median of several trials; nothing
- * without `--expose-gc`.
+ * Measures how much a state grows the heap, in bytes: the median of several
+ * trials. Measures nothing without `--expose-gc`.
  */
 export function measureState(
   subject: Subject,
@@ -38,28 +38,32 @@
 ): Measurement {
   if (gc === undefined) return subject;
   create();
-  const trials = Array.from({ length: STATE_TRIALS }, () => growHeap(create))
+  const trials = Array.from(
+    { length: STATE_TRIAL_COUNT },
+    () => measureHeapGrowth(create),
+  )
     .sort((left, right) => left - right);
-  return { ...subject, stateBytes: trials[STATE_TRIALS >> 1] ?? 0 };
+  return { ...subject, stateBytes: trials[STATE_TRIAL_COUNT >> 1] ?? 0 };
 }
 
-function growHeap(create: () => unknown): number {
+function measureHeapGrowth(create: () => unknown): number {
   gc?.();
   const before = process.memoryUsage().heapUsed;
-  // Held until the second reading, or the collector takes it first.
-  const held = [create()];
+  // Keeps the state reachable, so that it is not collected before the second
+  // reading.
+  const retained = [create()];
   gc?.();
   const after = process.memoryUsage().heapUsed;
-  held.length = 0;
+  retained.length = 0;
   return after - before;
 }
 
-/** Bytes of a message as JSON. */
+/** Size of a message as JSON, in bytes. */
 export function countBytes(message: unknown): number {
   return Buffer.byteLength(JSON.stringify(message));
 }
 
-class BatchClock {
+class BatchTimer {
   readonly #operation: Operation;
   #index = 0;
 
@@ -67,20 +71,23 @@
     this.#operation = operation;
   }
 
-  /** Runs until it is warm; returns the calls of a batch. */
+  /**
+   * Doubles the batch until it takes long enough to measure, and runs it until
+   * the warm-up time is spent. Returns the number of calls in a batch.
+   */
   warmUp(): number {
     let calls = 1;
     let total = 0;
     for (;;) {
-      const taken = this.run(calls);
-      total += taken;
-      if (taken >= BATCH_MICROSECONDS) {
-        if (total >= MICROSECONDS_PER_WARM_UP) return calls;
+      const elapsed = this.runBatch(calls);
+      total += elapsed;
+      if (elapsed >= BATCH_MICROSECONDS) {
+        if (total >= WARM_UP_MICROSECONDS) return calls;
       } else calls *= 2;
     }
   }
 
-  run(calls: number): number {
+  runBatch(calls: number): number {
     const before = process.cpuUsage();
     for (let call = 0; call < calls; call++) this.#operation(this.#index++);
     const { user, system } = process.cpuUsage(before);
@@ -89,5 +96,5 @@
 }
 
 function round(value: number): number {
-  return Math.round(value * DECIMALS) / DECIMALS;
+  return Math.round(value * ROUNDING_FACTOR) / ROUNDING_FACTOR;
 }
--- a/packages/kelpspar-standins/src/capacity/measure_claims.ts
+++ b/packages/kelpspar-standins/src/capacity/measure_claims.ts
@@ -4,25 +4,26 @@
 import { nameOf } from "./samples.ts";
 import { simulateClaims } from "./simulate_claims.ts";
 
-const KEYS = [100, 1_000, 10_000] as const;
+const KEY_COUNTS = [100, 1_000, 10_000] as const;
 const BODY_HASH = "a".repeat(64);
 const RESULT_TEXT = "b".repeat(1_000);
 
 /**
- * Daemons and their requests a second that need claims: a tenth and all of
- * 1,300, over the 340 of the target and the 8 of today's sites.
+ * Fleet sizes and their requests per second that need claims: a tenth and all
+ * of 1,300, at the target of 340 daemons and at 8 daemons, the size of present
+ * sites.
  */
-const LOADS = [
+const CLAIM_LOADS = [
   { daemons: 340, claimsPerSecond: 130 },
   { daemons: 340, claimsPerSecond: 1_300 },
   { daemons: 8, claimsPerSecond: 130 },
   { daemons: 8, claimsPerSecond: 1_300 },
 ] as const;
 
-/** The costs of claims by keys and by rate. */
+/** Measures the cost of claims by number of keys and by claim rate. */
 export function* measureClaims(): Generator<Measurement> {
-  for (const size of KEYS) yield* measureLedger(size);
-  for (const load of LOADS) yield* measureBatches(load);
+  for (const size of KEY_COUNTS) yield* measureLedger(size);
+  for (const load of CLAIM_LOADS) yield* measureBatches(load);
 }
 
 function* measureLedger(size: number): Generator<Measurement> {
@@ -34,24 +35,24 @@
   });
   yield measureState(
     subject("KeyLedger, 1,000-character results"),
-    () => fillLedger(size),
+    () => createFilledLedger(size),
   );
   yield {
     ...subject("KeyLedger, its own estimate of bytes"),
-    count: fillLedger(size).bytes,
+    count: createFilledLedger(size).bytes,
   };
-  const ledger = fillLedger(size);
+  const ledger = createFilledLedger(size);
   yield measureOperation(subject("ledger begin and complete"), (index) => {
-    run(ledger, size + index);
+    completeRequest(ledger, size + index);
   });
 }
 
 function* measureBatches(
-  load: typeof LOADS[number],
+  load: typeof CLAIM_LOADS[number],
 ): Generator<Measurement> {
   const perDaemon = simulateClaims({
     requestsPerSecond: load.claimsPerSecond / load.daemons,
-    claimMilliseconds: 4,
+    lingerMilliseconds: 4,
   });
   const subject = (name: string): Subject => ({
     role: "claims",
@@ -70,13 +71,13 @@
   };
 }
 
-function fillLedger(size: number): KeyLedger {
+function createFilledLedger(size: number): KeyLedger {
   const ledger = new KeyLedger({ incarnation: "daemon-0001-1", startedAt: 0 });
-  for (let index = 0; index < size; index++) run(ledger, index);
+  for (let index = 0; index < size; index++) completeRequest(ledger, index);
   return ledger;
 }
 
-function run(ledger: KeyLedger, index: number): void {
+function completeRequest(ledger: KeyLedger, index: number): void {
   const request = {
     account: nameOf("account", index % 380),
     key: `booking-${index}`,
@@ -85,7 +86,7 @@
   };
   ledger.begin(request, 0);
   const result = {
-    // Made anew, or every entry would share one text.
+    // A separate string for each entry: a shared one would be counted once.
     text: `${index}${RESULT_TEXT}`.slice(0, RESULT_TEXT.length),
     checksum: "0a0b0c0d",
     length: RESULT_TEXT.length,
--- a/packages/kelpspar-standins/src/capacity/measure_configuration.ts
+++ b/packages/kelpspar-standins/src/capacity/measure_configuration.ts
@@ -5,13 +5,16 @@
   parseConfiguration,
 } from "kelpspar-configuration";
 import { countBytes, measureOperation, measureState } from "./measure.ts";
-import { MODELS, nameAll, nameOf } from "./samples.ts";
+import { listNames, MODEL_COUNT, nameOf } from "./samples.ts";
 
 const ACCOUNT_COUNTS = [5, 50, 380] as const;
-const PIPELINES = 5;
-const STAGES = 5;
+const PIPELINE_COUNT = 5;
+const STAGE_COUNT = 5;
 
-/** The configuration's costs by accounts, with 29 models and 5 pipelines. */
+/**
+ * Measures the cost of the configuration by number of accounts, with 29 models
+ * and 5 pipelines.
+ */
 export function* measureConfiguration(): Generator<Measurement> {
   for (const size of ACCOUNT_COUNTS) {
     const subject = (name: string): Subject => ({
@@ -44,8 +47,8 @@
 }
 
 function sampleConfiguration(accounts: number): unknown {
-  const accountIds = nameAll("account", accounts);
-  const models = nameAll("model", MODELS);
+  const accountIds = listNames("account", accounts);
+  const models = listNames("model", MODEL_COUNT);
   return {
     site: "capacity",
     accounts: accountIds.map((id, index) => ({
@@ -61,16 +64,16 @@
     models: models.map((id) => ({ id, version: "2025.3" })),
     services: [
       { id: "engine", kind: "engine", models, concurrency: 16 },
-      ...nameAll("plain", PIPELINES).map((id) => ({
+      ...listNames("plain", PIPELINE_COUNT).map((id) => ({
         id,
         kind: "plain",
         concurrency: 16,
       })),
     ],
-    pipelines: nameAll("pipeline", PIPELINES).map((id, pipeline) => ({
+    pipelines: listNames("pipeline", PIPELINE_COUNT).map((id, pipeline) => ({
       id,
-      stages: nameAll("stage", STAGES).map((stage, index) =>
-        index === STAGES - 1
+      stages: listNames("stage", STAGE_COUNT).map((stage, index) =>
+        index === STAGE_COUNT - 1
           ? { id: stage, service: "engine", model: models[pipeline] }
           : { id: stage, service: nameOf("plain", index) }
       ),
--- a/packages/kelpspar-standins/src/capacity/measure_digest_coverage.ts
+++ b/packages/kelpspar-standins/src/capacity/measure_digest_coverage.ts
@@ -3,65 +3,70 @@
 import { assignWatches } from "kelpspar-decisions/routing";
 import { sampleDaemons, sampleEndpoints } from "./samples.ts";
 
-const FLEETS = [
+const FLEET_SIZES = [
   { daemons: 8, runners: 59 },
   { daemons: 34, runners: 250 },
   { daemons: 340, runners: 2_500 },
 ] as const;
 
-/** How much of the fleet one daemon hears of by digests, on average. */
-export function* measureReach(): Generator<Measurement> {
-  for (const fleet of FLEETS) yield* measureFleet(fleet);
+/** Measures how much of the fleet a daemon learns of by digests, on average. */
+export function* measureDigestCoverage(): Generator<Measurement> {
+  for (const fleet of FLEET_SIZES) yield* measureFleet(fleet);
 }
 
-function* measureFleet(fleet: typeof FLEETS[number]): Generator<Measurement> {
+function* measureFleet(
+  fleet: typeof FLEET_SIZES[number],
+): Generator<Measurement> {
   const subject = (name: string): Subject => ({
     role: "digest exchange",
     name,
     unit: "daemons",
     size: fleet.daemons,
   });
-  const heard = listHeard(fleet.daemons);
-  const known = listKnown(fleet);
+  const peers = listDigestPeers(fleet.daemons);
+  const watched = listWatchedRunners(fleet);
   let daemons = 0;
   let runners = 0;
-  for (const [self, others] of heard) {
+  for (const [self, others] of peers) {
     daemons += others.size;
-    runners += countRunners(self, { others, known });
+    runners += countKnownRunners(self, { others, watched });
   }
   yield {
     ...subject("daemons heard by one, mean"),
-    count: Math.round(daemons / heard.size),
+    count: Math.round(daemons / peers.size),
   };
   yield {
     ...subject("runners whose load one knows, mean"),
-    count: Math.round(runners / heard.size),
+    count: Math.round(runners / peers.size),
   };
 }
 
-/** Whom each daemon hears: an exchange tells both sides of each other. */
-function listHeard(count: number): ReadonlyMap<string, Set<string>> {
+/**
+ * The peers whose digests each daemon receives. An exchange passes digests in
+ * both directions.
+ */
+function listDigestPeers(count: number): ReadonlyMap<string, Set<string>> {
   const rows = sampleDaemons(count);
-  const heard = new Map(rows.map((row) => [row.daemonId, new Set<string>()]));
+  const peers = new Map(rows.map((row) => [row.daemonId, new Set<string>()]));
   for (const { daemonId, availabilityZone } of rows) {
     const membership = new DaemonMembership({ daemonId, availabilityZone });
     membership.replaceList(rows, 0);
     for (const target of membership.digestTargets()) {
-      heard.get(daemonId)?.add(target.daemonId);
-      heard.get(target.daemonId)?.add(daemonId);
+      peers.get(daemonId)?.add(target.daemonId);
+      peers.get(target.daemonId)?.add(daemonId);
     }
   }
-  return heard;
+  return peers;
 }
 
-interface KnownRunners {
-  readonly asked: readonly string[];
+interface WatchedRunners {
+  readonly watched: readonly string[];
   readonly published: readonly string[];
 }
 
-function listKnown(
-  fleet: typeof FLEETS[number],
-): ReadonlyMap<string, KnownRunners> {
+function listWatchedRunners(
+  fleet: typeof FLEET_SIZES[number],
+): ReadonlyMap<string, WatchedRunners> {
   const daemons = sampleDaemons(fleet.daemons).map((row) => ({
     id: row.daemonId,
     availabilityZone: row.availabilityZone,
@@ -71,10 +76,10 @@
     availabilityZone: address.availabilityZone,
   }));
   return new Map(daemons.map((self) => {
-    const others = daemons.filter((one) => one !== self);
+    const others = daemons.filter((daemon) => daemon !== self);
     const watches = assignWatches({ self, others, endpoints });
     return [self.id, {
-      asked: watches.map((watch) => watch.endpointId),
+      watched: watches.map((watch) => watch.endpointId),
       published: watches.filter((watch) => watch.publishes).map((watch) =>
         watch.endpointId
       ),
@@ -82,13 +87,15 @@
   }));
 }
 
-function countRunners(self: string, of: {
+function countKnownRunners(self: string, options: {
   readonly others: ReadonlySet<string>;
-  readonly known: ReadonlyMap<string, KnownRunners>;
+  readonly watched: ReadonlyMap<string, WatchedRunners>;
 }): number {
-  const runners = new Set(of.known.get(self)?.asked);
-  for (const other of of.others) {
-    for (const id of of.known.get(other)?.published ?? []) runners.add(id);
+  const runners = new Set(options.watched.get(self)?.watched);
+  for (const other of options.others) {
+    for (const id of options.watched.get(other)?.published ?? []) {
+      runners.add(id);
+    }
   }
   return runners.size;
 }
--- a/packages/kelpspar-standins/src/capacity/measure_digests.ts
+++ b/packages/kelpspar-standins/src/capacity/measure_digests.ts
@@ -7,21 +7,21 @@
 import { countBytes, measureOperation } from "./measure.ts";
 import { sampleDigest } from "./samples.ts";
 
-const ROWS = [0, 12, 50, 380, 3_800] as const;
-/** Runners that each of 340 daemons publishes of 2,500. */
-const PUBLISHED = [0, 8, 250] as const;
-const TARGETS = 51;
+const DEMAND_ROW_COUNTS = [0, 12, 50, 380, 3_800] as const;
+/** Numbers of runners that each of 340 daemons publishes, out of 2,500. */
+const PUBLISHED_RUNNER_COUNTS = [0, 8, 250] as const;
+const TARGET_COUNT = 51;
 const SENT_BYTES_PER_SECOND = 7_500;
 
-/** The digest exchange's costs by rows of demand and endpoints told. */
+/** Measures digest exchange by demand rows and by published runners. */
 export function* measureDigests(): Generator<Measurement> {
-  for (const size of ROWS) {
+  for (const size of DEMAND_ROW_COUNTS) {
     yield* measureDigest("rows of demand, 8 runners", {
       size,
       fill: { rows: size, endpoints: 8 },
     });
   }
-  for (const size of PUBLISHED) {
+  for (const size of PUBLISHED_RUNNER_COUNTS) {
     yield* measureDigest("runners told, no rows", {
       size,
       fill: { rows: 0, endpoints: size },
@@ -29,13 +29,17 @@
   }
   const counts = { loads: 8, changedReports: 0, suspects: 0, accounts: 0 };
   yield {
-    ...subjectOf("estimateDigestBytes", "runners told, no rows", 8),
+    ...createSubject("estimateDigestBytes", "runners told, no rows", 8),
     messageBytes: estimateDigestBytes(counts),
   };
   yield {
-    ...subjectOf("digestInterval for 7,500 B/s sent, ms", "targets", TARGETS),
+    ...createSubject(
+      "digestInterval for 7,500 B/s sent, ms",
+      "targets",
+      TARGET_COUNT,
+    ),
     count: digestInterval(counts, {
-      targets: TARGETS,
+      targets: TARGET_COUNT,
       bytesPerSecond: SENT_BYTES_PER_SECOND,
     }),
   };
@@ -50,17 +54,17 @@
   const text = JSON.stringify(digest);
   yield {
     ...measureOperation(
-      subjectOf("encode", unit, size),
+      createSubject("encode", unit, size),
       () => JSON.stringify(digest),
     ),
     messageBytes: countBytes(digest),
   };
   yield measureOperation(
-    subjectOf("parse by peerDigestSchema", unit, size),
+    createSubject("parse by peerDigestSchema", unit, size),
     () => peerDigestSchema.parse(JSON.parse(text)),
   );
 }
 
-function subjectOf(name: string, unit: string, size: number): Subject {
+function createSubject(name: string, unit: string, size: number): Subject {
   return { role: "digest exchange", name, unit, size };
 }
--- a/packages/kelpspar-standins/src/capacity/measure_endpoints.ts
+++ b/packages/kelpspar-standins/src/capacity/measure_endpoints.ts
@@ -4,12 +4,12 @@
 import { countBytes, measureOperation, measureState } from "./measure.ts";
 import { nameOf, sampleEndpoints, sampleReport, zoneOf } from "./samples.ts";
 
-const RUNNERS = [10, 100, 500, 2_500] as const;
+const RUNNER_COUNTS = [10, 100, 500, 2_500] as const;
 const SEED = 1;
 
-/** The runner watcher's and the router's costs by runners. */
+/** Measures the runner watcher and the router by number of runners. */
 export function* measureEndpoints(): Generator<Measurement> {
-  for (const size of RUNNERS) yield* measureSize(size);
+  for (const size of RUNNER_COUNTS) yield* measureSize(size);
 }
 
 function* measureSize(size: number): Generator<Measurement> {
@@ -80,7 +80,7 @@
   );
 }
 
-/** What the fair scheduler adds up for each service each time. */
+/** The sum that the fair scheduler computes for a service at each dispatch. */
 function sumCapacity(registry: EndpointRegistry, now: number): number {
   let capacity = 0;
   for (
--- a/packages/kelpspar-standins/src/capacity/measure_fairness.ts
+++ b/packages/kelpspar-standins/src/capacity/measure_fairness.ts
@@ -6,31 +6,34 @@
 } from "kelpspar-decisions/fairness";
 import { SeededRandom } from "kelpspar-shared";
 import { measureOperation, measureState } from "./measure.ts";
-import { nameAll, nameOf, sampleDemand, zoneOf } from "./samples.ts";
+import { listNames, nameOf, sampleDemand, zoneOf } from "./samples.ts";
 
 const ACCOUNT_COUNTS = [5, 50, 380] as const;
-/** Daemons whose digests are held; 69 is what one of 340 hears. */
+/**
+ * Numbers of daemons whose digests are stored. A daemon in a fleet of 340
+ * receives digests of 69.
+ */
 const PEER_COUNTS = [1, 7, 33, 69, 339] as const;
-const ROWS_OF_A_PEER = 12;
+const DEMAND_ROWS_PER_PEER = 12;
 const SEED = 1;
 
-/** The scheduler's costs by accounts and by daemons heard. */
+/** Measures the scheduler by number of accounts and of peer digests. */
 export function* measureFairness(): Generator<Measurement> {
   for (const size of ACCOUNT_COUNTS) {
     yield measureQueue(size);
     yield measureShares(size);
     yield measureState(
       { role: "scheduler", name: "queue", unit: "calls waiting", size },
-      () => fillQueue(size),
+      () => createFilledQueue(size),
     );
   }
   for (const size of PEER_COUNTS) yield* measureView(size);
 }
 
 function measureQueue(size: number): Measurement {
-  const queue = fillQueue(size);
+  const queue = createFilledQueue(size);
   return measureOperation(
-    subjectOf("enqueue and dequeue", { unit: "accounts", size }),
+    createSubject("enqueue and dequeue", { unit: "accounts", size }),
     (index) => {
       queue.enqueue(callOf(nameOf("account", index % size)), index);
       queue.dequeue(index);
@@ -39,7 +42,7 @@
 }
 
 function measureShares(size: number): Measurement {
-  const ids = nameAll("account", size);
+  const ids = listNames("account", size);
   const rows = ids.map((accountId) => ({
     accountId,
     demand: 3,
@@ -53,25 +56,25 @@
     shares: new Map(ids.map((id) => [id, 1 / size])),
   };
   return measureOperation(
-    subjectOf("computeFleetShares, a service", { unit: "accounts", size }),
+    createSubject("computeFleetShares, a service", { unit: "accounts", size }),
     () => computeFleetShares(input),
   );
 }
 
 function* measureView(size: number): Generator<Measurement> {
   const subject = (name: string): Subject =>
-    subjectOf(name, { unit: "daemons heard", size });
-  const view = fillView(size);
+    createSubject(name, { unit: "daemons heard", size });
+  const view = createFilledView(size);
   yield measureOperation(
     subject("FleetView.peers (mergeDemand over all)"),
     () => view.peers(1),
   );
-  yield measureState(subject("FleetView"), () => fillView(size));
+  yield measureState(subject("FleetView"), () => createFilledView(size));
 }
 
-function fillQueue(accounts: number): FairQueue<number> {
+function createFilledQueue(accounts: number): FairQueue<number> {
   const queue = new FairQueue<number>({ random: new SeededRandom(SEED) });
-  for (const id of nameAll("account", accounts)) queue.enqueue(callOf(id), 0);
+  for (const id of listNames("account", accounts)) queue.enqueue(callOf(id), 0);
   return queue;
 }
 
@@ -88,19 +91,24 @@
   };
 }
 
-function fillView(peers: number): FleetView {
+function createFilledView(peers: number): FleetView {
   const view = new FleetView({
     incarnation: "self-1",
     availabilityZone: zoneOf(0),
   });
   for (let daemon = 0; daemon < peers; daemon++) {
-    const fill = { daemon, sequence: 1, rows: ROWS_OF_A_PEER, endpoints: 0 };
-    view.accept(sampleDemand(fill), 0);
+    const options = {
+      daemon,
+      sequence: 1,
+      rows: DEMAND_ROWS_PER_PEER,
+      endpoints: 0,
+    };
+    view.accept(sampleDemand(options), 0);
   }
   return view;
 }
 
-function subjectOf(
+function createSubject(
   name: string,
   of: { readonly unit: string; readonly size: number },
 ): Subject {
--- a/packages/kelpspar-standins/src/capacity/measure_membership.ts
+++ b/packages/kelpspar-standins/src/capacity/measure_membership.ts
@@ -12,13 +12,13 @@
   zoneOf,
 } from "./samples.ts";
 
-const DAEMONS = [2, 8, 34, 340] as const;
+const DAEMON_COUNTS = [2, 8, 34, 340] as const;
 const RUNNERS_PER_DAEMON = 7.35;
 const SEED = 1;
 
-/** The costs of membership, watch assignment and directory by daemons. */
+/** Measures membership, watch assignment and directory by number of daemons. */
 export function* measureMembership(): Generator<Measurement> {
-  for (const size of DAEMONS) yield* measureSize(size);
+  for (const size of DAEMON_COUNTS) yield* measureSize(size);
 }
 
 function* measureSize(size: number): Generator<Measurement> {
@@ -29,7 +29,9 @@
     size,
   });
   const membership = createMembership(size);
-  const digests = sampleDaemons(size).map((_, daemon) => memberOf(daemon, 1));
+  const digests = sampleDaemons(size).map((_, daemon) =>
+    createMember(daemon, 1)
+  );
   yield measureState(
     subject("membership", "members with digests"),
     () => createMembership(size),
@@ -108,12 +110,12 @@
   });
   membership.replaceList(sampleDaemons(size), 0);
   for (let daemon = 1; daemon < size; daemon++) {
-    membership.receiveDigest(memberOf(daemon, 1), 0);
+    membership.receiveDigest(createMember(daemon, 1), 0);
   }
   return membership;
 }
 
-function memberOf(
+function createMember(
   daemon: number,
   sequence: number,
 ): ReturnType<typeof sampleDigest>["member"] {
--- a/packages/kelpspar-standins/src/capacity/measure_orders.ts
+++ b/packages/kelpspar-standins/src/capacity/measure_orders.ts
@@ -2,13 +2,19 @@
 import type { Measurement, Subject } from "./measurement.ts";
 import { planEngineTargets, planOrders } from "kelpspar-decisions/leases";
 import { measureOperation, measureState } from "./measure.ts";
-import { MODELS, nameAll, nameOf, sampleReport, zoneOf } from "./samples.ts";
+import {
+  listNames,
+  MODEL_COUNT,
+  nameOf,
+  sampleReport,
+  zoneOf,
+} from "./samples.ts";
 
-const RUNNERS = [10, 100, 500, 2_500] as const;
+const RUNNER_COUNTS = [10, 100, 500, 2_500] as const;
 
-/** The cost of planning orders by engines that are as desired. */
+/** Measures order planning by number of engines, all in the desired state. */
 export function* measureOrders(): Generator<Measurement> {
-  for (const size of RUNNERS) {
+  for (const size of RUNNER_COUNTS) {
     const subject = (name: string): Subject => ({
       role: "engine orders",
       name,
@@ -27,7 +33,7 @@
       endpointId,
       role: "any" as const,
     }));
-    const models = nameAll("model", MODELS).map((id) => ({
+    const models = listNames("model", MODEL_COUNT).map((id) => ({
       id,
       version: "2025.3",
       adapters: [],
--- a/packages/kelpspar-standins/src/capacity/measurement.ts
+++ b/packages/kelpspar-standins/src/capacity/measurement.ts
@@ -1,21 +1,21 @@
-/** One measured point: what an operation costs at one size. */
+/** One measured point: the cost of an operation at one size. */
 export interface Measurement {
-  /** The role of the daemon that pays it. */
+  /** The part of the daemon that has the cost. */
   readonly role: string;
-  /** What was done. */
+  /** The measured operation or state. */
   readonly name: string;
-  /** What the size counts. */
+  /** Unit of `size`. */
   readonly unit: string;
   readonly size: number;
-  /** Processor time of one operation, the median of several batches. */
+  /** Processor time of one operation: the median of several batches. */
   readonly microseconds?: number;
-  /** Growth of the heap by the whole state; needs `--expose-gc`. */
+  /** Heap growth by the whole state, in bytes; needs `--expose-gc`. */
   readonly stateBytes?: number;
-  /** Bytes of one message as JSON. */
+  /** Size of one message as JSON, in bytes. */
   readonly messageBytes?: number;
-  /** Any other counted figure; `unit` and `name` say what of. */
+  /** Any other count, described by `name`. */
   readonly count?: number;
 }
 
-/** What a measurement is of. */
+/** The fields that identify a measurement. */
 export type Subject = Pick<Measurement, "role" | "name" | "unit" | "size">;
--- a/packages/kelpspar-standins/src/capacity/render_measurements.ts
+++ b/packages/kelpspar-standins/src/capacity/render_measurements.ts
@@ -10,7 +10,7 @@
   "Count",
 ];
 
-/** Measurements as a Markdown table. */
+/** Renders measurements as a Markdown table. */
 export function renderMeasurements(
   measurements: readonly Measurement[],
 ): string {
@@ -28,13 +28,13 @@
     role,
     name,
     `${size} ${unit}`,
-    showNumber(measurement.microseconds),
-    showNumber(measurement.stateBytes),
-    showNumber(measurement.messageBytes),
-    showNumber(measurement.count),
+    formatNumber(measurement.microseconds),
+    formatNumber(measurement.stateBytes),
+    formatNumber(measurement.messageBytes),
+    formatNumber(measurement.count),
   ];
 }
 
-function showNumber(value: number | undefined): string {
+function formatNumber(value: number | undefined): string {
   return value === undefined ? "" : value.toLocaleString("en-US");
 }
--- a/packages/kelpspar-standins/src/capacity/run_capacity.ts
+++ b/packages/kelpspar-standins/src/capacity/run_capacity.ts
@@ -6,9 +6,11 @@
 import { measureFairness } from "./measure_fairness.ts";
 import { measureMembership } from "./measure_membership.ts";
 import { measureOrders } from "./measure_orders.ts";
-import { measureReach } from "./measure_digest_coverage.ts";
+import { measureDigestCoverage } from "./measure_digest_coverage.ts";
 
-const GROUPS: Readonly<Record<string, () => Iterable<Measurement>>> = {
+const MEASUREMENT_GROUPS: Readonly<
+  Record<string, () => Iterable<Measurement>>
+> = {
   endpoints: measureEndpoints,
   fairness: measureFairness,
   digests: measureDigests,
@@ -16,15 +18,15 @@
   claims: measureClaims,
   configuration: measureConfiguration,
   orders: measureOrders,
-  reach: measureReach,
+  reach: measureDigestCoverage,
 };
 
-/** Runs every measurement; tells each as it comes and returns them all. */
+/** Runs every measurement; calls `onMeasured` for each and returns all. */
 export function runCapacity(
   onMeasured: (measurement: Measurement) => void,
 ): readonly Measurement[] {
   const all: Measurement[] = [];
-  for (const measureGroup of Object.values(GROUPS)) {
+  for (const measureGroup of Object.values(MEASUREMENT_GROUPS)) {
     for (const measurement of measureGroup()) {
       onMeasured(measurement);
       all.push(measurement);
--- a/packages/kelpspar-standins/src/capacity/samples.ts
+++ b/packages/kelpspar-standins/src/capacity/samples.ts
@@ -4,30 +4,30 @@
 import type { ListedEndpoint } from "kelpspar-decisions/routing";
 import type { LoadReport } from "kelpspar-shared";
 
-/** The target's zones, models, services and accounts. */
-export const ZONES = 10;
-export const MODELS = 29;
-export const SERVICES = 30;
-export const ACCOUNTS = 380;
+/** Numbers of zones, models, services and accounts at the target size. */
+export const ZONE_COUNT = 10;
+export const MODEL_COUNT = 29;
+export const SERVICE_COUNT = 30;
+export const ACCOUNT_COUNT = 380;
 
-/** Names `count` things of a kind. */
-export function nameAll(kind: string, count: number): string[] {
+/** Ids of the first `count` objects of a kind. */
+export function listNames(kind: string, count: number): string[] {
   return Array.from({ length: count }, (_, index) => nameOf(kind, index));
 }
 
-/** Names one thing of a kind. */
+/** Id of an object of a kind, e.g. `runner-0001`. */
 export function nameOf(kind: string, index: number): string {
   return `${kind}-${String(index).padStart(4, "0")}`;
 }
 
-/** The zone of the n-th thing. */
+/** Zone of the object at an index; zones are assigned round robin. */
 export function zoneOf(index: number): string {
-  return nameOf("zone", index % ZONES);
+  return nameOf("zone", index % ZONE_COUNT);
 }
 
-/** The rows of the VM list that are runners of one service. */
+/** VM list rows for runners of one service. */
 export function sampleEndpoints(count: number): ListedEndpoint[] {
-  return nameAll("runner", count).map((endpointId, index) => ({
+  return listNames("runner", count).map((endpointId, index) => ({
     state: "live",
     address: {
       endpointId,
@@ -41,7 +41,7 @@
   }));
 }
 
-/** A runner's load report; each runner has two of the 29 models. */
+/** A runner's load report; each runner has two of the 29 models loaded. */
 export function sampleReport(index: number, sequence: number): LoadReport {
   return {
     incarnation: `${nameOf("runner", index)}-1`,
@@ -53,17 +53,17 @@
     accepted: 1_000 + sequence,
     queuedTokens: 2_000,
     models: {
-      [nameOf("model", index % MODELS)]: "2025.3",
-      [nameOf("model", (index + 1) % MODELS)]: "2025.3",
+      [nameOf("model", index % MODEL_COUNT)]: "2025.3",
+      [nameOf("model", (index + 1) % MODEL_COUNT)]: "2025.3",
     },
     adapters: ["adapter-0001"],
     role: "any",
   };
 }
 
-/** The rows of the VM list that are daemons. */
+/** VM list rows for daemons. */
 export function sampleDaemons(count: number): ListedDaemon[] {
-  return nameAll("daemon", count).map((daemonId, index) => ({
+  return listNames("daemon", count).map((daemonId, index) => ({
     daemonId,
     incarnation: `${daemonId}-1`,
     address: "127.0.0.1",
@@ -73,47 +73,50 @@
   }));
 }
 
-/** What a digest is filled with. */
-export interface DigestFill {
+/** Sizes and identity of a sample digest. */
+export interface SampleDigestOptions {
   readonly daemon: number;
   readonly sequence: number;
-  /** Rows of demand, an account at a service each. */
+  /** Number of demand rows; each is for one account at one service. */
   readonly rows: number;
-  /** Endpoints that it publishes. */
+  /** Number of endpoints whose load the digest contains. */
   readonly endpoints: number;
 }
 
-/** A daemon's demand: rows spread over the services. */
-export function sampleDemand(fill: DigestFill): DemandDigest {
-  const services = Math.min(SERVICES, Math.max(1, fill.rows));
+/** A daemon's demand digest, with its rows spread over the services. */
+export function sampleDemand(options: SampleDigestOptions): DemandDigest {
+  const services = Math.min(SERVICE_COUNT, Math.max(1, options.rows));
   return {
     scope: "daemon",
-    incarnation: `${nameOf("daemon", fill.daemon)}-1`,
-    sequence: fill.sequence,
-    availabilityZone: zoneOf(fill.daemon),
+    incarnation: `${nameOf("daemon", options.daemon)}-1`,
+    sequence: options.sequence,
+    availabilityZone: zoneOf(options.daemon),
     daemons: 1,
-    services: nameAll("service", services).map((serviceId, service) => ({
+    services: listNames("service", services).map((serviceId, service) => ({
       serviceId,
       capacitySeen: 4_000,
-      accounts: accountRows(fill, Math.ceil((fill.rows - service) / services)),
+      accounts: sampleAccountRows(
+        options,
+        Math.ceil((options.rows - service) / services),
+      ),
     })),
   };
 }
 
-/** A digest as daemons send it. */
-export function sampleDigest(fill: DigestFill): PeerDigest {
-  const daemonId = nameOf("daemon", fill.daemon);
-  const endpoints = nameAll("runner", fill.endpoints);
-  const demand = sampleDemand(fill);
+/** A peer digest in the format that daemons send. */
+export function sampleDigest(options: SampleDigestOptions): PeerDigest {
+  const daemonId = nameOf("daemon", options.daemon);
+  const endpoints = listNames("runner", options.endpoints);
+  const demand = sampleDemand(options);
   return {
     member: {
       daemonId,
       incarnation: `${daemonId}-1`,
-      sequence: fill.sequence,
+      sequence: options.sequence,
       address: "127.0.0.1",
-      port: 10_000 + fill.daemon,
-      peerPort: 10_000 + fill.daemon,
-      availabilityZone: zoneOf(fill.daemon),
+      port: 10_000 + options.daemon,
+      peerPort: 10_000 + options.daemon,
+      availabilityZone: zoneOf(options.daemon),
       state: "serving",
       keyEpoch: 3,
       revision: 4_400,
@@ -142,12 +145,12 @@
   };
 }
 
-function accountRows(
-  fill: DigestFill,
+function sampleAccountRows(
+  options: SampleDigestOptions,
   count: number,
 ): DemandDigest["services"][number]["accounts"] {
-  return Array.from({ length: Math.min(count, ACCOUNTS) }, (_, index) => ({
-    accountId: nameOf("account", (fill.daemon * 7 + index) % ACCOUNTS),
+  return Array.from({ length: Math.min(count, ACCOUNT_COUNT) }, (_, index) => ({
+    accountId: nameOf("account", (options.daemon * 7 + index) % ACCOUNT_COUNT),
     demand: 2,
     usageRate: 731.25,
   })).sort((left, right) => left.accountId < right.accountId ? -1 : 1);
--- a/packages/kelpspar-standins/src/capacity/simulate_claims.ts
+++ b/packages/kelpspar-standins/src/capacity/simulate_claims.ts
@@ -4,40 +4,41 @@
 import { SeededRandom } from "kelpspar-shared";
 
 const SIMULATED_MILLISECONDS = 60_000;
-const REQUEST_MILLISECONDS = 600;
-const TABLE_MILLISECONDS = 5;
+const REQUEST_DURATION_MILLISECONDS = 600;
+const TABLE_LATENCY_MILLISECONDS = 5;
 const SEED = 1;
 
-/** One daemon's claims. */
+/** The claim load of one daemon. */
 export interface ClaimLoad {
   readonly requestsPerSecond: number;
-  /** How long a claim waits for others, milliseconds. */
-  readonly claimMilliseconds: number;
+  /** How long a batch waits for further claims, in milliseconds. */
+  readonly lingerMilliseconds: number;
 }
 
-/** What became of them. */
+/** The table traffic that the claims cause. */
 export interface ClaimTraffic {
   readonly transactionsPerSecond: number;
   readonly rowsPerTransaction: number;
-  /** One of the transactions. */
+  /** The last transaction, as an example. */
   readonly sample: unknown;
 }
 
-interface Event {
+interface SimulatedEvent {
   readonly at: number;
   readonly run: () => void;
 }
 
 /**
- * Drives a `ClaimBatcher` by simulated time, a millisecond a step: claims come
- * at random moments, are answered by the table after 5 ms and done after 600.
+ * Drives a `ClaimBatcher` in simulated time, in steps of one millisecond. Claims
+ * arrive at random; the table answers after 5 ms, and requests complete after
+ * 600 ms.
  */
 export function simulateClaims(load: ClaimLoad): ClaimTraffic {
   const random = new SeededRandom(SEED);
   const batcher = new ClaimBatcher({
-    lingerMilliseconds: load.claimMilliseconds,
+    lingerMilliseconds: load.lingerMilliseconds,
   });
-  let later: Event[] = [];
+  let pendingEvents: SimulatedEvent[] = [];
   let rows = 0;
   let transactions = 0;
   let operations = 0;
@@ -45,12 +46,12 @@
   const add = (name: string, options: {
     readonly kind: "claim" | "done";
     readonly now: number;
-  }): void => batcher.add(writeOf(name, options.kind), options.now);
+  }): void => batcher.add(createClaimWrite(name, options.kind), options.now);
   const begin = (now: number): void => {
     const name = String(operations++);
     add(name, { kind: "claim", now });
-    const at = now + REQUEST_MILLISECONDS;
-    later.push({ at, run: () => add(name, { kind: "done", now: at }) });
+    const at = now + REQUEST_DURATION_MILLISECONDS;
+    pendingEvents.push({ at, run: () => add(name, { kind: "done", now: at }) });
   };
   const send = (batch: ClaimBatch, now: number): void => {
     const { writes } = batch.transaction;
@@ -58,17 +59,19 @@
     transactions++;
     sample = batch.transaction;
     const versions = writes.map(() => 1);
-    later.push({
-      at: now + TABLE_MILLISECONDS,
+    pendingEvents.push({
+      at: now + TABLE_LATENCY_MILLISECONDS,
       run: () => {
         batcher.completeBatch(batch.batchId, { committed: true, versions });
       },
     });
   };
   for (let now = 0; now < SIMULATED_MILLISECONDS; now++) {
-    for (let left = arrivals(load, random); left > 0; left--) begin(now);
-    const due = later.filter((event) => event.at <= now);
-    if (due.length > 0) later = later.filter((event) => event.at > now);
+    for (let left = countArrivals(load, random); left > 0; left--) begin(now);
+    const due = pendingEvents.filter((event) => event.at <= now);
+    if (due.length > 0) {
+      pendingEvents = pendingEvents.filter((event) => event.at > now);
+    }
     for (const event of due) event.run();
     for (;;) {
       const batch = batcher.takeBatch(now, { wallClock: now });
@@ -83,12 +86,12 @@
   };
 }
 
-function arrivals(load: ClaimLoad, random: RandomSource): number {
+function countArrivals(load: ClaimLoad, random: RandomSource): number {
   const mean = load.requestsPerSecond / 1_000;
   return Math.floor(mean) + (random.next() < mean % 1 ? 1 : 0);
 }
 
-function writeOf(
+function createClaimWrite(
   name: string,
   kind: "claim" | "done",
 ): Parameters<ClaimBatcher["add"]>[0] {
