--- a/packages/kelpspar-standins/src/capacity/measure_digest_coverage.ts
+++ b/packages/kelpspar-standins/src/capacity/measure_digest_coverage.ts
@@ -87,15 +87,13 @@
   }));
 }
 
-function countKnownRunners(self: string, options: {
+function countKnownRunners(self: string, fleet: {
   readonly others: ReadonlySet<string>;
   readonly watched: ReadonlyMap<string, WatchedRunners>;
 }): number {
-  const runners = new Set(options.watched.get(self)?.watched);
-  for (const other of options.others) {
-    for (const id of options.watched.get(other)?.published ?? []) {
-      runners.add(id);
-    }
+  const runners = new Set(fleet.watched.get(self)?.watched);
+  for (const other of fleet.others) {
+    for (const id of fleet.watched.get(other)?.published ?? []) runners.add(id);
   }
   return runners.size;
 }
--- a/packages/kelpspar-standins/src/demo/run_demo.ts
+++ b/packages/kelpspar-standins/src/demo/run_demo.ts
@@ -48,9 +48,7 @@
       configuration: example.written,
     });
     print(`Revision ${revision} is in force at every daemon`);
-    for (const request of demo.requests) {
-      await runRequest(site, request, options);
-    }
+    for (const request of demo.requests) await send(site, request, options);
   } catch (thrown) {
     await site.stop();
     throw thrown;
@@ -64,7 +62,7 @@
   print("Every process ended gracefully");
 }
 
-async function runRequest(
+async function send(
   site: Site,
   request: DemoRequest,
   options: RunDemoOptions,
--- a/packages/kelpspar-standins/src/overhead/run_overhead.ts
+++ b/packages/kelpspar-standins/src/overhead/run_overhead.ts
@@ -97,17 +97,17 @@
     });
     const seconds = (performance.now() - startedAt) / 1_000;
     const after = await readUsage(site);
-    const usedMilliseconds = after.processorMilliseconds -
+    const busy = after.processorMilliseconds -
       before.processorMilliseconds;
     options.print({
       figure: `requests-${callers}-callers`,
       requestsPerSecond: roundToHundredths(times.length / seconds),
-      coresUsed: roundToHundredths(usedMilliseconds / 1_000 / seconds),
+      coresUsed: roundToHundredths(busy / 1_000 / seconds),
       processorMillisecondsPerRequest: roundToHundredths(
-        usedMilliseconds / times.length,
+        busy / times.length,
       ),
       requestsPerSecondOfOneCore: roundToHundredths(
-        1_000 * times.length / usedMilliseconds,
+        1_000 * times.length / busy,
       ),
       ...computePercentiles(times),
     });
@@ -140,14 +140,14 @@
       const seconds = (performance.now() - startedAt) / 1_000;
       const after = await readUsage(site);
       const chunks = all.reduce((sum, request) => sum + request.chunks, 0);
-      const usedMilliseconds = after.processorMilliseconds -
+      const busy = after.processorMilliseconds -
         before.processorMilliseconds;
       print({
         figure: `streams-${streams}`,
         chunksPerSecond: roundToHundredths(chunks / seconds),
-        coresUsed: roundToHundredths(usedMilliseconds / 1_000 / seconds),
+        coresUsed: roundToHundredths(busy / 1_000 / seconds),
         chunksPerSecondOfOneCore: roundToHundredths(
-          1_000 * chunks / usedMilliseconds,
+          1_000 * chunks / busy,
         ),
         megabytes: toMegabytes(middle),
       });
@@ -214,9 +214,9 @@
   return pool.close();
 }
 
-function originOf(target: { readonly port: number } | undefined): string {
-  if (target === undefined) throw new Error("Site has no daemon");
-  return `http://127.0.0.1:${target.port}`;
+function originOf(part: { readonly port: number } | undefined): string {
+  if (part === undefined) throw new Error("Site has no daemon");
+  return `http://127.0.0.1:${part.port}`;
 }
 
 function toMegabytes(usage: ProcessUsage): number {
