--- a/packages/kelpspar-standins/src/__tests__/unit/experiment_caller_test.ts
+++ b/packages/kelpspar-standins/src/__tests__/unit/experiment_caller_test.ts
@@ -13,7 +13,7 @@
 } from "kelpspar-shared";
 import { createServer } from "node:http";
 import { test } from "node:test";
-import { AddressBook } from "../../experiments/caller/address_book.ts";
+import { AddressBook } from "../../experiments/caller/daemon_address_cache.ts";
 import { Caller } from "../../experiments/caller/caller.ts";
 import { DaemonPools } from "../../experiments/caller/daemon_pools.ts";
 import { readJsonBody } from "../../http/read_json_body.ts";
--- a/packages/kelpspar-standins/src/__tests__/unit/experiment_judge_test.ts
+++ b/packages/kelpspar-standins/src/__tests__/unit/experiment_judge_test.ts
@@ -6,8 +6,8 @@
 import { expect } from "earl";
 import { ManualTimer } from "kelpspar-shared";
 import { test } from "node:test";
-import { ExecutionBook } from "../../experiments/measure/execution_book.ts";
-import { RunnerTimeBook } from "../../experiments/measure/runner_time_book.ts";
+import { ExecutionBook } from "../../experiments/measure/execution_recorder.ts";
+import { RunnerTimeBook } from "../../experiments/measure/runner_time_recorder.ts";
 import { summarize } from "../../experiments/measure/summarize.ts";
 
 const TEXT = "booking(1) token=large.1 tokens=8";
--- a/packages/kelpspar-standins/src/experiments/caller/caller.ts
+++ b/packages/kelpspar-standins/src/experiments/caller/caller.ts
@@ -1,13 +1,13 @@
 import type { DaemonAddress, TimerService } from "kelpspar-shared";
 import type { PlannedRequest } from "../load/planned_request.ts";
-import type { AddressBook } from "./address_book.ts";
+import type { AddressBook } from "./daemon_address_cache.ts";
 import type { CallResult } from "./call_result.ts";
 import type { CallerPolicy } from "./caller_policy.ts";
 import type { DaemonPools } from "./daemon_pools.ts";
 import type { SubmissionEnd } from "./submission.ts";
 import { formatEpochKey } from "kelpspar-decisions/claims";
 import { callerKey } from "../site/experiment_configuration.ts";
-import { nameOf, toAddress } from "./address_book.ts";
+import { nameOf, toAddress } from "./daemon_address_cache.ts";
 import { submit } from "./submit.ts";
 
 const MOST_SUBMISSIONS = 6;
--- a/packages/kelpspar-standins/src/experiments/configuration/operator_race.ts
+++ b/packages/kelpspar-standins/src/experiments/configuration/operator_race.ts
@@ -1,7 +1,7 @@
 import type { TimerService } from "kelpspar-shared";
 import type { Figures } from "../experiment.ts";
 import type { ExperimentSite } from "../site/experiment_site.ts";
-import type { RevisionWatch } from "./revision_watch.ts";
+import type { RevisionWatch } from "./revision_monitor.ts";
 import { ACCOUNTS } from "../load/load_plan.ts";
 import { askAsOperator } from "./operator_client.ts";
 
--- a/packages/kelpspar-standins/src/experiments/configuration/revision_watch.ts
+++ b/packages/kelpspar-standins/src/experiments/configuration/revision_monitor.ts
@@ -1,7 +1,7 @@
 import type { TimerService } from "kelpspar-shared";
 import type { Figures } from "../experiment.ts";
 import type { ExperimentSite } from "../site/experiment_site.ts";
-import { round } from "../measure/round.ts";
+import { round } from "../measure/statistics.ts";
 import { askAsOperator } from "./operator_client.ts";
 
 const LOOK_MILLISECONDS = 100;
--- a/packages/kelpspar-standins/src/experiments/definitions/configuration_race.ts
+++ b/packages/kelpspar-standins/src/experiments/definitions/configuration_race.ts
@@ -1,7 +1,7 @@
 import type { Experiment } from "../experiment.ts";
 import { bothArms } from "../both_arms.ts";
 import { OperatorRace } from "../configuration/operator_race.ts";
-import { RevisionWatch } from "../configuration/revision_watch.ts";
+import { RevisionWatch } from "../configuration/revision_monitor.ts";
 
 const OPERATORS = 4;
 const RACE_ENDS_SECONDS = 5;
--- a/packages/kelpspar-standins/src/experiments/definitions/store_outage.ts
+++ b/packages/kelpspar-standins/src/experiments/definitions/store_outage.ts
@@ -1,6 +1,6 @@
 import type { Experiment, ExperimentRun } from "../experiment.ts";
 import type { ArmName } from "../arm.ts";
-import { shareOf } from "../measure/round.ts";
+import { shareOf } from "../measure/statistics.ts";
 import { isAttained } from "../measure/judge_result.ts";
 
 const BEGINS_SECONDS = 2;
--- a/packages/kelpspar-standins/src/experiments/measure/check_kept.ts
+++ b/packages/kelpspar-standins/src/experiments/measure/check_kept_results.ts
@@ -3,7 +3,7 @@
 import type { DaemonPools } from "../caller/daemon_pools.ts";
 import type { SubmissionEnd } from "../caller/submission.ts";
 import type { ExperimentSite } from "../site/experiment_site.ts";
-import { toAddress } from "../caller/address_book.ts";
+import { toAddress } from "../caller/daemon_address_cache.ts";
 import { submit } from "../caller/submit.ts";
 import { callerKey } from "../site/experiment_configuration.ts";
 import { isAnswered } from "./judge_result.ts";
--- a/packages/kelpspar-standins/src/experiments/measure/cost_figures.ts
+++ b/packages/kelpspar-standins/src/experiments/measure/cost_figures.ts
@@ -3,7 +3,7 @@
 import type { MeasuredRun } from "./measured_run.ts";
 import { PIPELINE_SERVICES, SERVICES } from "../site/experiment_services.ts";
 import { isAnswered } from "./judge_result.ts";
-import { round } from "./round.ts";
+import { round } from "./statistics.ts";
 
 /** What the answers of a run cost. */
 export interface CostFigures {
--- a/packages/kelpspar-standins/src/experiments/measure/judge_result.ts
+++ b/packages/kelpspar-standins/src/experiments/measure/judge_result.ts
@@ -1,5 +1,5 @@
 import type { CallResult } from "../caller/call_result.ts";
-import type { ExecutionBook } from "./execution_book.ts";
+import type { ExecutionBook } from "./execution_recorder.ts";
 
 const TOKEN_PATTERN = /(?<!\S)token=([^\s]+)/g;
 
--- a/packages/kelpspar-standins/src/experiments/measure/measured_run.ts
+++ b/packages/kelpspar-standins/src/experiments/measure/measured_run.ts
@@ -1,7 +1,7 @@
 import type { CallResult } from "../caller/call_result.ts";
 import type { LoadRun } from "../load/run_load.ts";
-import type { ExecutionBook } from "./execution_book.ts";
-import type { RunnerTimeBook } from "./runner_time_book.ts";
+import type { ExecutionBook } from "./execution_recorder.ts";
+import type { RunnerTimeBook } from "./runner_time_recorder.ts";
 
 /** What a run left behind for the figures. */
 export interface MeasuredRun extends LoadRun {
--- a/packages/kelpspar-standins/src/experiments/measure/summarize.ts
+++ b/packages/kelpspar-standins/src/experiments/measure/summarize.ts
@@ -11,7 +11,7 @@
   isForeign,
   isLost,
 } from "./judge_result.ts";
-import { quantile, round, shareOf } from "./round.ts";
+import { quantile, round, shareOf } from "./statistics.ts";
 
 const MOST_MESSAGES = 3;
 
--- a/packages/kelpspar-standins/src/experiments/site/experiment_site.ts
+++ b/packages/kelpspar-standins/src/experiments/site/experiment_site.ts
@@ -5,9 +5,9 @@
 import type { SiteChanges } from "./site_changes.ts";
 import { applyFirstConfiguration } from "../../site/apply_first_configuration.ts";
 import { Site } from "../../site/site.ts";
-import { ExecutionBook } from "../measure/execution_book.ts";
-import { LogBook } from "../measure/log_book.ts";
-import { RunnerTimeBook } from "../measure/runner_time_book.ts";
+import { ExecutionBook } from "../measure/execution_recorder.ts";
+import { LogBook } from "../measure/daemon_log_recorder.ts";
+import { RunnerTimeBook } from "../measure/runner_time_recorder.ts";
 import {
   createConfiguration,
   OPERATOR_KEY,
