--- a/packages/kelpspar-standins/src/capacity/simulate_claims.ts
+++ b/packages/kelpspar-standins/src/capacity/simulate_claims.ts
@@ -38,7 +38,7 @@
   const batcher = new ClaimBatcher({
     lingerMilliseconds: load.lingerMilliseconds,
   });
-  let pending: SimulatedEvent[] = [];
+  let later: SimulatedEvent[] = [];
   let rows = 0;
   let transactions = 0;
   let operations = 0;
@@ -51,7 +51,7 @@
     const name = String(operations++);
     add(name, { kind: "claim", now });
     const at = now + REQUEST_DURATION_MILLISECONDS;
-    pending.push({ at, run: () => add(name, { kind: "done", now: at }) });
+    later.push({ at, run: () => add(name, { kind: "done", now: at }) });
   };
   const send = (batch: ClaimBatch, now: number): void => {
     const { writes } = batch.transaction;
@@ -59,7 +59,7 @@
     transactions++;
     sample = batch.transaction;
     const versions = writes.map(() => 1);
-    pending.push({
+    later.push({
       at: now + TABLE_LATENCY_MILLISECONDS,
       run: () => {
         batcher.completeBatch(batch.batchId, { committed: true, versions });
@@ -68,8 +68,8 @@
   };
   for (let now = 0; now < SIMULATED_MILLISECONDS; now++) {
     for (let left = countArrivals(load, random); left > 0; left--) begin(now);
-    const due = pending.filter((event) => event.at <= now);
-    if (due.length > 0) pending = pending.filter((event) => event.at > now);
+    const due = later.filter((event) => event.at <= now);
+    if (due.length > 0) later = later.filter((event) => event.at > now);
     for (const event of due) event.run();
     for (;;) {
       const batch = batcher.takeBatch(now, { wallClock: now });
--- a/packages/kelpspar-standins/src/demo/run_demo.ts
+++ b/packages/kelpspar-standins/src/demo/run_demo.ts
@@ -54,11 +54,7 @@
     throw thrown;
   }
   const killed = await site.stop();
-  if (killed.length > 0) {
-    throw new Error(
-      `Processes did not stop gracefully and were killed: ${killed.join(", ")}`,
-    );
-  }
+  if (killed.length > 0) throw new Error(`Had to kill ${killed.join(", ")}`);
   print("Every process ended gracefully");
 }
 
