--- a/packages/kelpspar-standins/src/__tests__/unit/experiment_caller_test.ts
+++ b/packages/kelpspar-standins/src/__tests__/unit/experiment_caller_test.ts
@@ -13,7 +13,7 @@
 } from "kelpspar-shared";
 import { createServer } from "node:http";
 import { test } from "node:test";
-import { AddressBook } from "../../experiments/caller/daemon_address_cache.ts";
+import { DaemonAddressCache } from "../../experiments/caller/daemon_address_cache.ts";
 import { Caller } from "../../experiments/caller/caller.ts";
 import { DaemonPools } from "../../experiments/caller/daemon_pools.ts";
 import { readJsonBody } from "../../http/read_json_body.ts";
@@ -43,7 +43,9 @@
       { type: "chunk", offset: 0, text: TEXT },
       { type: "end", length: TEXT.length, checksum, cost: [] },
     ];
-    response.end(records.map((one) => `${JSON.stringify(one)}\n`).join(""));
+    response.end(
+      records.map((record) => `${JSON.stringify(record)}\n`).join(""),
+    );
   },
   cut: (response: ServerResponse): void => {
     response.write(`{"type":"accepted","requestId":"r","daemon":"d"}\n`, () => {
@@ -64,7 +66,7 @@
   },
 } as const;
 
-/** Two daemons that give one answer after the other, whichever is asked. */
+/** Calls two daemons that share a sequence of answers. */
 async function callTwoDaemons(
   answers: readonly Answer[],
   policy: CallerPolicy,
@@ -91,7 +93,7 @@
   }
   const pools = new DaemonPools();
   const timer = new ManualTimer();
-  const book = new AddressBook({
+  const addressCache = new DaemonAddressCache({
     availabilityZone: "a",
     ports,
     callerKey: "key",
@@ -100,9 +102,9 @@
     random: new SeededRandom(1),
     keepMilliseconds: 1_000,
   });
-  const books = new Map([["a", book]]);
+  const addressCaches = new Map([["a", addressCache]]);
   try {
-    const caller = new Caller({ books, pools, policy, timer });
+    const caller = new Caller({ addressCaches, pools, policy, timer });
     return { result: await caller.call(REQUEST, 0), bodies };
   } finally {
     await pools.close();
@@ -110,14 +112,13 @@
   }
 }
 
-test("a broken answer is asked for again under its key, if callers do so", async () => {
-  // Symptom: a booking is made twice after a daemon died. Sequence: a caller's
-  // answer breaks off, and it sends the request again under another name.
-  // Cause: without the same key and the word that it is a resubmission, the
-  // second daemon cannot tell it from a new request.
+test("a caller with resubmitsCut resubmits a broken answer under its key", async () => {
+  // A caller's answer breaks off because a daemon died, and the caller sends the
+  // request again. Without the same key and the `resubmission` flag, the second
+  // daemon cannot distinguish it from a new request and makes the booking twice.
   const { result, bodies } = await callTwoDaemons(
     [ANSWERS.cut, ANSWERS.whole],
-    { resubmitsBroken: true },
+    { resubmitsCut: true },
   );
   expect(result.end.type).toEqual("whole");
   expect(result.submissions).toEqual(2);
@@ -129,13 +130,13 @@
   ]);
 });
 
-test("a broken answer is the last word where callers don't retry", async () => {
+test("a broken answer is final for a caller without resubmitsCut", async () => {
   const { result } = await callTwoDaemons([ANSWERS.cut, ANSWERS.whole], {});
   expect(result.end.type).toEqual("cut");
   expect(result.submissions).toEqual(1);
 });
 
-test("a refusal is followed elsewhere only where callers do so", async () => {
+test("only a caller with followsElsewhere retries a refusal elsewhere", async () => {
   const answers = [ANSWERS.draining, ANSWERS.whole];
   const followed = await callTwoDaemons(answers, { followsElsewhere: true });
   expect(followed.result.end.type).toEqual("whole");
--- a/packages/kelpspar-standins/src/__tests__/unit/experiment_judge_test.ts
+++ b/packages/kelpspar-standins/src/__tests__/unit/experiment_judge_test.ts
@@ -6,22 +6,22 @@
 import { expect } from "earl";
 import { ManualTimer } from "kelpspar-shared";
 import { test } from "node:test";
-import { ExecutionBook } from "../../experiments/measure/execution_recorder.ts";
-import { RunnerTimeBook } from "../../experiments/measure/runner_time_recorder.ts";
+import { ExecutionRecorder } from "../../experiments/measure/execution_recorder.ts";
+import { RunnerTimeRecorder } from "../../experiments/measure/runner_time_recorder.ts";
 import { summarize } from "../../experiments/measure/summarize.ts";
 
 const TEXT = "booking(1) token=large.1 tokens=8";
 
-/** An endpoint whose printed lines a test writes. */
+/** A fake endpoint that prints lines on request of a test. */
 class PrintingEndpoint {
   readonly #listeners: ((line: string) => void)[] = [];
 
-  follow(book: ExecutionBook, service: string): void {
+  follow(recorder: ExecutionRecorder, service: string): void {
     const registerLine = (listener: (line: string) => void): () => void => {
       this.#listeners.push(listener);
       return () => {};
     };
-    book.follow(
+    recorder.follow(
       { id: service, service, process: { registerLine } } as SiteEndpoint,
     );
   }
@@ -81,7 +81,7 @@
     readonly gone?: number;
   },
 ): Readonly<Record<string, unknown>> {
-  const executions = new ExecutionBook(new ManualTimer());
+  const executions = new ExecutionRecorder(new ManualTimer());
   const endpoint = new PrintingEndpoint();
   endpoint.follow(executions, "booking");
   for (const token of options.ran) endpoint.run(token);
@@ -89,7 +89,7 @@
     results,
     measured: results,
     executions,
-    runnerTime: new RunnerTimeBook(async () => ({})),
+    runnerTime: new RunnerTimeRecorder(async () => ({})),
     resultsGone: options.gone ?? 0,
     deadDaemonPorts: new Set(options.dead === undefined ? [] : [options.dead]),
     seconds: 1,
@@ -98,7 +98,7 @@
   });
 }
 
-test("an answer counts only whole, its own and in time", () => {
+test("only complete, correct and timely answers count as attained", () => {
   const figures = figuresOf([
     createResult("large.1", whole(TEXT)),
     createResult("large.1", whole(TEXT), { milliseconds: 3_001 }),
@@ -110,10 +110,10 @@
   expect(figures["lost"]).toEqual(0);
 });
 
-test("broken promises are counted, kept ones are not", () => {
-  // Symptom: a booking is made twice, never, or for somebody else. Sequence: a
-  // daemon retries blindly, answers without running, or mixes answers up.
-  // Cause: each count joins what callers saw with what endpoints printed.
+test("violations of guarantees are counted, correct results are not", () => {
+  // A booking is made twice, never or for another caller, because a daemon
+  // retries without a check, answers without a run, or mixes answers up. Each
+  // count joins the callers' results with the executions that endpoints printed.
   const figures = figuresOf([
     createResult("large.1", whole(TEXT)),
     createResult("large.2", whole(TEXT.replace("large.1", "large.2"))),
@@ -130,7 +130,7 @@
   expect(figures["unknownThatRan"]).toEqual(1);
 });
 
-test("a part of another's answer is foreign, a cut token is not", () => {
+test("a part of another request's answer is foreign, a cut token is not", () => {
   const figures = figuresOf([
     createResult("large.1", {
       type: "cut",
@@ -156,7 +156,7 @@
   expect(figures["foreign"]).toEqual(3);
 });
 
-test("answers cut by a death are told from those cut by a planned stop", () => {
+test("answers cut by a killed daemon count apart from those of a planned stop", () => {
   const cut: SubmissionEnd = { type: "cut", text: "", wasAccepted: true };
   const figures = figuresOf([
     createResult("large.1", cut, { cutAt: [81] }),
--- a/packages/kelpspar-standins/src/__tests__/unit/experiment_load_test.ts
+++ b/packages/kelpspar-standins/src/__tests__/unit/experiment_load_test.ts
@@ -20,7 +20,7 @@
   return Math.abs(value - wanted) <= wanted * share;
 }
 
-test("a seed gives the same requests, another seed gives others", () => {
+test("a seed gives the same requests, another seed different ones", () => {
   const first = planRequests(PLAN, OPTIONS);
   expect(planRequests(PLAN, OPTIONS)).toEqual(first);
   expect(planRequests(PLAN, { ...OPTIONS, seed: 8 })[0]?.at).not.toEqual(
@@ -31,7 +31,7 @@
   expect(new Set(first.map(({ token }) => token)).size).toEqual(first.length);
 });
 
-test("rates follow the shares, and a factor holds only in its time", () => {
+test("rates follow the shares, and a factor applies only in its interval", () => {
   const factor = (account: string, seconds: number): number =>
     account === "large" && seconds >= 10 && seconds < 20 ? 8 : 1;
   const requests = planRequests({ ...PLAN, factor }, OPTIONS);
@@ -47,7 +47,7 @@
   expect(measured.every(({ at }) => at >= 10_000)).toEqual(true);
 });
 
-test("the expected answer is what the stand-ins make, stage by stage", () => {
+test("the expected answer applies the stand-ins stage by stage", () => {
   const input = "When? token=small-1.3 tokens=9";
   const ranked = plainAnswer(
     "reranker",
--- a/packages/kelpspar-standins/src/experiments/arm.ts
+++ b/packages/kelpspar-standins/src/experiments/arm.ts
@@ -1,5 +1,5 @@
-/** Which program takes the daemons' place. */
+/** The program that runs as the site's daemons. */
 export type ArmName = "naive" | "kelpspar";
 
-/** Every arm, in the order they run. */
+/** All arms, in the order in which they run. */
 export const ARMS: readonly ArmName[] = ["naive", "kelpspar"];
--- a/packages/kelpspar-standins/src/experiments/both_arms.ts
+++ b/packages/kelpspar-standins/src/experiments/both_arms.ts
@@ -1,7 +1,7 @@
 import type { ExperimentRun } from "./experiment.ts";
 import { ARMS } from "./arm.ts";
 
-/** The same run for each arm. */
+/** Creates the same run for each arm. */
 export function bothArms(
   run: Omit<ExperimentRun, "arm">,
 ): readonly ExperimentRun[] {
--- a/packages/kelpspar-standins/src/experiments/caller/call_result.ts
+++ b/packages/kelpspar-standins/src/experiments/caller/call_result.ts
@@ -1,18 +1,18 @@
 import type { PlannedRequest } from "../load/planned_request.ts";
 import type { SubmissionEnd } from "./submission.ts";
 
-/** What became of a planned request. */
+/** Result of a planned request, after all its submissions. */
 export interface CallResult {
   readonly request: PlannedRequest;
-  /** How its last submission ended. */
+  /** End of the last submission. */
   readonly end: SubmissionEnd;
-  /** The port of the last daemon that was used. */
+  /** Port of the daemon that received the last submission. */
   readonly port: number;
-  /** The key of its last submission, if it had one. */
+  /** Idempotency key of the last submission, if it had one. */
   readonly idempotencyKey?: string;
-  /** From the planned time to the final record, milliseconds. */
+  /** Time from the planned send to the final record, in milliseconds. */
   readonly milliseconds: number;
   readonly submissions: number;
-  /** Ports of daemons at which a submission was cut off. */
+  /** Ports of the daemons whose answer broke off without a final record. */
   readonly cutAt: readonly number[];
 }
--- a/packages/kelpspar-standins/src/experiments/caller/caller.ts
+++ b/packages/kelpspar-standins/src/experiments/caller/caller.ts
@@ -1,22 +1,23 @@
 import type { DaemonAddress, TimerService } from "kelpspar-shared";
 import type { PlannedRequest } from "../load/planned_request.ts";
-import type { AddressBook } from "./daemon_address_cache.ts";
+import type { DaemonAddressCache } from "./daemon_address_cache.ts";
 import type { CallResult } from "./call_result.ts";
 import type { CallerPolicy } from "./caller_policy.ts";
 import type { DaemonPools } from "./daemon_pools.ts";
 import type { SubmissionEnd } from "./submission.ts";
 import { formatEpochKey } from "kelpspar-decisions/claims";
 import { callerKey } from "../site/experiment_configuration.ts";
-import { nameOf, toAddress } from "./daemon_address_cache.ts";
+import { formatAddress, toAddress } from "./daemon_address_cache.ts";
 import { submit } from "./submit.ts";
 
-const MOST_SUBMISSIONS = 6;
-/** How long after its deadline a caller still waits for a final record. */
-const PATIENCE_MILLISECONDS = 500;
+const MAXIMUM_SUBMISSIONS = 6;
+/** How long a caller waits for a final record after the deadline. */
+const ANSWER_GRACE_MILLISECONDS = 500;
 
-/** What callers work with. */
+/** Options of `Caller`. */
 export interface CallerOptions {
-  readonly books: ReadonlyMap<string, AddressBook>;
+  /** Address caches by availability zone. */
+  readonly addressCaches: ReadonlyMap<string, DaemonAddressCache>;
   readonly pools: DaemonPools;
   readonly policy: CallerPolicy;
   readonly timer: TimerService;
@@ -31,11 +32,11 @@
   daemon: DaemonAddress | undefined;
   key: string | undefined;
   submissions: number;
-  /** An earlier submission got no final answer. */
+  /** True if an earlier submission got no final record. */
   isResubmission: boolean;
 }
 
-/** The callers of an experiment; both arms have the same. */
+/** The callers of an experiment; both arms use the same ones. */
 export class Caller {
   readonly #options: CallerOptions;
 
@@ -43,12 +44,12 @@
     this.#options = options;
   }
 
-  /** Sends a request, and again as the policy says. Never throws. */
+  /** Sends a request and retries it according to the policy. Never throws. */
   async call(request: PlannedRequest, plannedAt: number): Promise<CallResult> {
     const { timer } = this.#options;
     const abort = new AbortController();
     const wait = plannedAt + request.deadlineMilliseconds +
-      PATIENCE_MILLISECONDS - timer.now();
+      ANSWER_GRACE_MILLISECONDS - timer.now();
     const stopTimer = timer.registerTimeout(() => abort.abort(), wait);
     const state: CallState = {
       request,
@@ -79,25 +80,27 @@
       state.daemon = this.#choose(state);
       if (state.daemon === undefined) return { type: "unreachable" };
       const end = await this.#submit(state, state.daemon);
-      if (state.submissions >= MOST_SUBMISSIONS || state.signal.aborted) {
+      if (state.submissions >= MAXIMUM_SUBMISSIONS || state.signal.aborted) {
         return end;
       }
-      if (!await this.#prepareAgain(state, end)) return end;
+      if (!await this.#prepareResubmission(state, end)) return end;
     }
   }
 
-  /** An answer's `elsewhere` was put into `state.daemon` already. */
+  /** Prefers `state.daemon`, which a failure's `elsewhere` may have set. */
   #choose(state: CallState): DaemonAddress | undefined {
     if (state.daemon !== undefined) return state.daemon;
-    const { books } = this.#options;
-    return books.get(state.request.availabilityZone)?.choose(state.tried);
+    const { addressCaches } = this.#options;
+    return addressCaches.get(state.request.availabilityZone)?.choose(
+      state.tried,
+    );
   }
 
   #submit(state: CallState, daemon: DaemonAddress): Promise<SubmissionEnd> {
     const { pools, timer } = this.#options;
     const { request } = state;
     state.submissions++;
-    state.tried.add(nameOf(daemon));
+    state.tried.add(formatAddress(daemon));
     state.key = this.#keyFor(state, daemon);
     const elapsed = timer.now() - state.plannedAt;
     return submit({
@@ -134,21 +137,21 @@
     });
   }
 
-  /** True when the request is to be sent again. */
-  async #prepareAgain(
+  /** Updates the state after a submission; true if another one must follow. */
+  async #prepareResubmission(
     state: CallState,
     end: SubmissionEnd,
   ): Promise<boolean> {
-    const { policy, books } = this.#options;
+    const { policy, addressCaches } = this.#options;
     const { daemon } = state;
     state.daemon = undefined;
     if (end.type === "unreachable" && daemon !== undefined) {
-      books.get(state.request.availabilityZone)?.avoid(daemon);
+      addressCaches.get(state.request.availabilityZone)?.avoid(daemon);
       return true;
     }
     if (end.type === "cut" && daemon !== undefined) {
       state.cutAt.push(daemon.port);
-      if (policy.resubmitsBroken !== true) {
+      if (policy.resubmitsCut !== true) {
         state.daemon = daemon;
         return false;
       }
@@ -167,7 +170,7 @@
     const { policy } = this.#options;
     const { outcome, retry, elsewhere, retryAfterMilliseconds } = end.failure;
     const next = elsewhere?.map(readAddress).find((address) =>
-      !state.tried.has(nameOf(address))
+      !state.tried.has(formatAddress(address))
     );
     const goesElsewhere = policy.followsElsewhere === true &&
       outcome === "not_run" && retry === "elsewhere";
@@ -175,7 +178,9 @@
       state.daemon = next;
       return true;
     }
-    if (outcome !== "not_run" || policy.comesBack !== true) return false;
+    if (outcome !== "not_run" || policy.retriesAfterDelay !== true) {
+      return false;
+    }
     if (retryAfterMilliseconds === undefined) return false;
     const { timer } = this.#options;
     const left = state.plannedAt + state.request.deadlineMilliseconds -
--- a/packages/kelpspar-standins/src/experiments/caller/caller_policy.ts
+++ b/packages/kelpspar-standins/src/experiments/caller/caller_policy.ts
@@ -1,14 +1,14 @@
 /**
- * When a caller sends a request again. All callers move on to the next address
- * when a connection is refused, since nothing has arrived then.
+ * When a caller submits a request again. All callers try the next address after
+ * a refused connection, because the daemon has received nothing.
  */
 export interface CallerPolicy {
-  /** After a refusal that names other daemons and says `not_run`. */
+  /** Retries at a daemon of `elsewhere`, after a refusal with `not_run`. */
   readonly followsElsewhere?: boolean;
-  /** After a refusal that says `not_run` and when to come back. */
-  readonly comesBack?: boolean;
-  /** After a broken answer, under the same idempotency key. */
-  readonly resubmitsBroken?: boolean;
-  /** Names once-requests by keys that are bound to a daemon. */
+  /** Retries after the refusal's delay, if its outcome is `not_run`. */
+  readonly retriesAfterDelay?: boolean;
+  /** Resubmits under the same idempotency key after a broken answer. */
+  readonly resubmitsCut?: boolean;
+  /** Binds the idempotency keys of once-requests to a daemon. */
   readonly bindsKeys?: boolean;
 }
--- a/packages/kelpspar-standins/src/experiments/caller/daemon_address_cache.ts
+++ b/packages/kelpspar-standins/src/experiments/caller/daemon_address_cache.ts
@@ -7,50 +7,61 @@
 import type { DaemonPools } from "./daemon_pools.ts";
 
 const STATUS_OK = 200;
-const ASK_TIMEOUT_MILLISECONDS = 1_000;
+const REFRESH_TIMEOUT_MILLISECONDS = 1_000;
 const AVOID_MILLISECONDS = 2_000;
-const FAILED_KEEP_MILLISECONDS = 500;
+const FAILED_REFRESH_KEEP_MILLISECONDS = 500;
 
-/** What an address book is made of. */
-export interface AddressBookOptions {
+/** Options of `DaemonAddressCache`. */
+export interface DaemonAddressCacheOptions {
   readonly availabilityZone: string;
-  /** Ports known from the beginning. */
+  /** Ports of the seed daemons on this host. */
   readonly ports: readonly number[];
   readonly callerKey: string;
   readonly pools: DaemonPools;
   readonly timer: TimerService;
   readonly random: RandomSource;
-  /** How long the first ports are kept; default 0, so that it asks at once. */
+  /**
+   * How long the seed addresses are used before a refresh, in milliseconds.
+   * Default 0: refreshes at once.
+   */
   readonly keepMilliseconds?: number;
 }
 
-/** The addresses that the callers of a zone use, kept as long as told. */
-export class AddressBook {
-  readonly #options: AddressBookOptions;
+/**
+ * Daemon addresses for the callers of a zone. Each answer is kept for its
+ * `keepMilliseconds`, then refreshed.
+ */
+export class DaemonAddressCache {
+  readonly #options: DaemonAddressCacheOptions;
   readonly #avoided = new Map<string, number>();
   #daemons: readonly DaemonAddress[];
   #keepUntil: number;
-  #asking: Promise<void> | undefined;
+  #refreshing: Promise<void> | undefined;
 
-  constructor(options: AddressBookOptions) {
+  constructor(options: DaemonAddressCacheOptions) {
     this.#options = options;
     this.#daemons = options.ports.map(toAddress);
     this.#keepUntil = options.timer.now() +
       (options.keepMilliseconds ?? 0);
   }
 
-  /** Asks for addresses for the first time. */
+  /** Fetches addresses for the first time. */
   async open(): Promise<void> {
-    await this.#ask();
+    await this.#refresh();
   }
 
-  /** Draws a daemon by weight, but for those in `tried` and avoided ones. */
+  /**
+   * Draws a daemon at random by weight, without those in `tried`. Avoided
+   * daemons are drawn only if no other is left.
+   */
   choose(tried: ReadonlySet<string>): DaemonAddress | undefined {
     const { timer, random } = this.#options;
-    if (timer.now() >= this.#keepUntil) void this.#ask();
-    const untried = this.#daemons.filter((one) => !tried.has(nameOf(one)));
-    const good = untried.filter((one) => !this.#isAvoided(one));
-    const candidates = good.length > 0 ? good : untried;
+    if (timer.now() >= this.#keepUntil) void this.#refresh();
+    const untried = this.#daemons.filter((daemon) =>
+      !tried.has(formatAddress(daemon))
+    );
+    const preferred = untried.filter((daemon) => !this.#isAvoided(daemon));
+    const candidates = preferred.length > 0 ? preferred : untried;
     const sum = candidates.reduce((total, { weight }) => total + weight, 0);
     let left = random.next() * sum;
     for (const daemon of candidates) {
@@ -60,47 +71,49 @@
     return candidates.at(-1);
   }
 
-  /** Keeps off a daemon that refused the connection, for a while. */
+  /** Avoids a daemon for some time after it refused a connection. */
   avoid(daemon: DaemonAddress): void {
     const { timer } = this.#options;
-    this.#avoided.set(nameOf(daemon), timer.now() + AVOID_MILLISECONDS);
-    void this.#ask();
+    this.#avoided.set(formatAddress(daemon), timer.now() + AVOID_MILLISECONDS);
+    void this.#refresh();
   }
 
   #isAvoided(daemon: DaemonAddress): boolean {
-    const until = this.#avoided.get(nameOf(daemon)) ?? 0;
+    const until = this.#avoided.get(formatAddress(daemon)) ?? 0;
     return this.#options.timer.now() < until;
   }
 
-  /** One question at a time; the old answer serves meanwhile. */
-  #ask(): Promise<void> {
-    this.#asking ??= this.#askAny().finally(() => {
-      this.#asking = undefined;
+  /** Runs one refresh at a time; the last answer stays in use meanwhile. */
+  #refresh(): Promise<void> {
+    this.#refreshing ??= this.#refreshFromAny().finally(() => {
+      this.#refreshing = undefined;
     });
-    return this.#asking;
+    return this.#refreshing;
   }
 
-  async #askAny(): Promise<void> {
+  async #refreshFromAny(): Promise<void> {
     const { timer, random } = this.#options;
     const order = [...this.#daemons, ...this.#options.ports.map(toAddress)]
       .map((daemon) => ({ daemon, rank: random.next() }))
       .sort((left, right) => left.rank - right.rank);
     for (const { daemon } of order) {
-      const answer = await this.#askOne(daemon);
+      const answer = await this.#fetchAddresses(daemon);
       if (answer === undefined || answer.daemons.length === 0) continue;
       this.#daemons = answer.daemons;
       this.#keepUntil = timer.now() + answer.keepMilliseconds;
       return;
     }
-    this.#keepUntil = timer.now() + FAILED_KEEP_MILLISECONDS;
+    this.#keepUntil = timer.now() + FAILED_REFRESH_KEEP_MILLISECONDS;
   }
 
-  async #askOne(daemon: DaemonAddress): Promise<AddressAnswer | undefined> {
+  async #fetchAddresses(
+    daemon: DaemonAddress,
+  ): Promise<AddressAnswer | undefined> {
     const { pools, callerKey, availabilityZone, timer } = this.#options;
     const abort = new AbortController();
     const stopTimer = timer.registerTimeout(
       () => abort.abort(),
-      ASK_TIMEOUT_MILLISECONDS,
+      REFRESH_TIMEOUT_MILLISECONDS,
     );
     try {
       const answer = await pools.of(daemon).request({
@@ -121,14 +134,14 @@
   }
 }
 
-/** Names a daemon as `address:port`. */
-export function nameOf(
+/** Formats a daemon's address as `address:port`. */
+export function formatAddress(
   daemon: Pick<DaemonAddress, "address" | "port">,
 ): string {
   return `${daemon.address}:${daemon.port}`;
 }
 
-/** An address of which nothing but the port is known. */
+/** A daemon on this host of which only the port is known. */
 export function toAddress(port: number): DaemonAddress {
   return {
     address: "127.0.0.1",
--- a/packages/kelpspar-standins/src/experiments/caller/daemon_pools.ts
+++ b/packages/kelpspar-standins/src/experiments/caller/daemon_pools.ts
@@ -3,15 +3,15 @@
 const CONNECTIONS = 1_024;
 const CONNECT_TIMEOUT_MILLISECONDS = 1_000;
 
-/** Connections of the callers to each daemon. */
+/** Connection pools of the callers, one for each daemon. */
 export class DaemonPools {
   readonly #pools = new Map<string, Pool>();
 
-  /** The pool of a daemon. */
+  /** Returns the pool of a daemon; creates it at first use. */
   of(daemon: { readonly address: string; readonly port: number }): Pool {
     const origin = `http://${daemon.address}:${daemon.port}`;
-    const known = this.#pools.get(origin);
-    if (known !== undefined) return known;
+    const existing = this.#pools.get(origin);
+    if (existing !== undefined) return existing;
     const pool = new Pool(origin, {
       connections: CONNECTIONS,
       connect: { timeout: CONNECT_TIMEOUT_MILLISECONDS },
--- a/packages/kelpspar-standins/src/experiments/caller/submission.ts
+++ b/packages/kelpspar-standins/src/experiments/caller/submission.ts
@@ -1,23 +1,23 @@
 import type { EndRecord, FailureRecord } from "kelpspar-shared";
 
-/** How one submission of a request ended, as its caller saw it. */
+/** How one submission of a request ended, from the caller's view. */
 export type SubmissionEnd =
   | { readonly type: "whole"; readonly text: string; readonly end: EndRecord }
-  /** An end record that does not fit the text. */
+  /** The end record's length or checksum does not match the text. */
   | { readonly type: "corrupt"; readonly text: string }
   | {
     readonly type: "failure";
     readonly failure: FailureRecord;
-    /** What came of the answer before it failed. */
+    /** The text received before the failure. */
     readonly text: string;
   }
-  /** No connection was made. */
+  /** No connection was established. */
   | { readonly type: "unreachable" }
   /** The connection ended without a final record. */
   | {
     readonly type: "cut";
     readonly text: string;
-    /** True when the daemon had begun to answer. */
+    /** True if the daemon had begun to answer. */
     readonly wasAccepted: boolean;
   }
   /** The caller gave up after its deadline. */
--- a/packages/kelpspar-standins/src/experiments/caller/submit.ts
+++ b/packages/kelpspar-standins/src/experiments/caller/submit.ts
@@ -6,18 +6,18 @@
 
 const STATUS_OK = 200;
 
-/** One submission. */
+/** Options of `submit`. */
 export interface Submission {
   readonly dispatcher: Dispatcher;
   readonly method: "GET" | "POST";
   readonly path: string;
   readonly callerKey: string;
   readonly body?: unknown;
-  /** Aborted when the caller gives up. */
+  /** Aborted when the caller stops waiting. */
   readonly signal: AbortSignal;
 }
 
-/** Sends a request and follows its answer to the end. Never throws. */
+/** Sends a request and reads its whole answer. Never throws. */
 export async function submit(submission: Submission): Promise<SubmissionEnd> {
   const assembler = new AnswerAssembler();
   let wasAccepted = false;
@@ -39,7 +39,7 @@
       return { type: "failure", failure, text: "" };
     }
     wasAccepted = true;
-    return await follow(answer.body, assembler);
+    return await readAnswer(answer.body, assembler);
   } catch (thrown) {
     if (submission.signal.aborted) {
       return { type: "timed_out", text: assembler.text };
@@ -49,7 +49,7 @@
   }
 }
 
-async function follow(
+async function readAnswer(
   body: AsyncIterable<Uint8Array>,
   assembler: AnswerAssembler,
 ): Promise<SubmissionEnd> {
@@ -60,14 +60,14 @@
     rest = lines.pop() ?? "";
     for (const line of lines) {
       const record = JSON.parse(line) as AnswerRecord;
-      const end = take(record, assembler);
+      const end = processRecord(record, assembler);
       if (end !== undefined) return end;
     }
   }
   return { type: "cut", text: assembler.text, wasAccepted: true };
 }
 
-function take(
+function processRecord(
   record: AnswerRecord,
   assembler: AnswerAssembler,
 ): SubmissionEnd | undefined {
--- a/packages/kelpspar-standins/src/experiments/configuration/operator_client.ts
+++ b/packages/kelpspar-standins/src/experiments/configuration/operator_client.ts
@@ -4,17 +4,17 @@
 
 const TIMEOUT_MILLISECONDS = 3_000;
 
-/** An exchange with a daemon's operator interface. */
-export interface OperatorExchange {
+/** A request to a daemon's operator interface. */
+export interface OperatorRequest {
   readonly method: "GET" | "POST";
   readonly path: string;
   readonly body?: unknown;
 }
 
-/** Undefined when no answer came in time. */
-export async function askAsOperator(
+/** Sends an operator request; undefined if no answer arrives in time. */
+export async function requestAsOperator(
   port: number,
-  exchange: OperatorExchange,
+  request: OperatorRequest,
   options: { readonly timer: TimerService },
 ): Promise<{ readonly status: number; readonly body: unknown } | undefined> {
   const client = new Client(`http://127.0.0.1:${port}`);
@@ -25,10 +25,10 @@
   );
   try {
     const answer = await client.request({
-      method: exchange.method,
-      path: exchange.path,
+      method: request.method,
+      path: request.path,
       headers: { authorization: `Bearer ${OPERATOR_KEY}` },
-      body: exchange.body === undefined ? null : JSON.stringify(exchange.body),
+      body: request.body === undefined ? null : JSON.stringify(request.body),
       signal: abort.signal,
     });
     const body = await answer.body.json();
--- a/packages/kelpspar-standins/src/experiments/configuration/operator_race.ts
+++ b/packages/kelpspar-standins/src/experiments/configuration/operator_race.ts
@@ -1,11 +1,11 @@
 import type { TimerService } from "kelpspar-shared";
 import type { Figures } from "../experiment.ts";
 import type { ExperimentSite } from "../site/experiment_site.ts";
-import type { RevisionWatch } from "./revision_monitor.ts";
+import type { RevisionMonitor } from "./revision_monitor.ts";
 import { ACCOUNTS } from "../load/load_plan.ts";
-import { askAsOperator } from "./operator_client.ts";
+import { requestAsOperator } from "./operator_client.ts";
 
-const PAUSE_MILLISECONDS = 60;
+const CHANGE_INTERVAL_MILLISECONDS = 60;
 const FIRST_VALUE = 300;
 const STATUS_OK = 200;
 const STATUS_CONFLICT = 409;
@@ -23,16 +23,16 @@
 }
 
 /**
- * Operators that each change a value of their own, on top of the configuration
- * that their daemon has in force. A value that was accepted and is another one
- * in a later revision was reverted.
+ * Concurrent operators that each change a value of their own, based on the
+ * configuration that their daemon has in force. A change counts as reverted if a
+ * later revision has another value than the accepted one.
  */
 export class OperatorRace {
   readonly #site: ExperimentSite;
   readonly #timer: TimerService;
-  readonly #watch: RevisionWatch;
-  /** What each operator was last told is accepted. */
-  readonly #accepted = new Map<number, RacedValue>();
+  readonly #monitor: RevisionMonitor;
+  /** Last accepted value by operator. */
+  readonly #accepted = new Map<number, AcceptedValue>();
   readonly #counts = { conflicts: 0, unanswered: 0, refusedChanges: 0 };
   #reverted = 0;
   #isStopped = false;
@@ -41,27 +41,27 @@
   constructor(options: {
     readonly site: ExperimentSite;
     readonly timer: TimerService;
-    readonly watch: RevisionWatch;
+    readonly monitor: RevisionMonitor;
   }) {
     this.#site = options.site;
     this.#timer = options.timer;
-    this.#watch = options.watch;
+    this.#monitor = options.monitor;
   }
 
-  /** Applies one change after the other until the race is stopped. */
-  async operate(index: number): Promise<void> {
+  /** Applies changes in sequence until the race is stopped. */
+  async applyRepeatedly(index: number): Promise<void> {
     while (!this.#isStopped) {
-      await this.#change(index);
+      await this.#applyChange(index);
       await new Promise<void>((resolve) => {
-        this.#timer.registerTimeout(resolve, PAUSE_MILLISECONDS);
+        this.#timer.registerTimeout(resolve, CHANGE_INTERVAL_MILLISECONDS);
       });
     }
   }
 
-  /** Applies one change, however often it takes; returns its revision. */
+  /** Retries a change until it is accepted; returns its revision. */
   async applyOnce(index: number): Promise<number> {
     for (;;) {
-      const revision = await this.#change(index);
+      const revision = await this.#applyChange(index);
       if (revision !== undefined) return revision;
     }
   }
@@ -74,12 +74,12 @@
     return { revertedChanges: this.#reverted, ...this.#counts };
   }
 
-  async #change(index: number): Promise<number | undefined> {
+  async #applyChange(index: number): Promise<number | undefined> {
     const row = await this.#read(index);
     if (row === undefined) return undefined;
-    this.#checkKept(index, row);
+    this.#checkReverted(index, row);
     const value = FIRST_VALUE + ++this.#changes;
-    const answer = await this.#ask(index, {
+    const answer = await this.#request(index, {
       method: "POST",
       path: "/v1/operator/configuration",
       body: {
@@ -94,7 +94,7 @@
     }
     const { revision } = answer.body as { readonly revision: number };
     this.#accepted.set(index, { value, revision });
-    this.#watch.accepted(revision);
+    this.#monitor.accepted(revision);
     return revision;
   }
 
@@ -105,15 +105,15 @@
   }
 
   async #read(index: number): Promise<RacedRow | undefined> {
-    const answer = await this.#ask(index, {
+    const answer = await this.#request(index, {
       method: "GET",
       path: "/v1/operator/configuration",
     });
     return answer?.status === STATUS_OK ? answer.body as RacedRow : undefined;
   }
 
-  /** A daemon that has not heard of the change yet says nothing of it. */
-  #checkKept(index: number, row: RacedRow): void {
+  /** Counts a reverted change. Ignores revisions older than the change. */
+  #checkReverted(index: number, row: RacedRow): void {
     const accepted = this.#accepted.get(index);
     if (accepted === undefined || row.revision < accepted.revision) return;
     const account = row.configuration.accounts[index];
@@ -122,17 +122,17 @@
     this.#accepted.delete(index);
   }
 
-  #ask(
+  #request(
     index: number,
-    exchange: Parameters<typeof askAsOperator>[1],
-  ): ReturnType<typeof askAsOperator> {
+    request: Parameters<typeof requestAsOperator>[1],
+  ): ReturnType<typeof requestAsOperator> {
     const { daemons } = this.#site;
     const port = daemons[index % daemons.length]?.port ?? 0;
-    return askAsOperator(port, exchange, { timer: this.#timer });
+    return requestAsOperator(port, request, { timer: this.#timer });
   }
 }
 
-interface RacedValue {
+interface AcceptedValue {
   readonly value: number;
   readonly revision: number;
 }
--- a/packages/kelpspar-standins/src/experiments/definitions/claim_batching.ts
+++ b/packages/kelpspar-standins/src/experiments/definitions/claim_batching.ts
@@ -4,9 +4,9 @@
 const TRANSACTIONS_PER_SECOND = 300;
 
 /**
- * 250 once-requests a second of one stage each, before a table that takes 300
- * transactions a second. A write each for the claim and for its result would
- * take as many transactions as `rowsWritten` says.
+ * 250 once-requests per second of one stage each, with a table that accepts 300
+ * transactions per second. Without batching, each claim and each result would
+ * be a transaction of its own: `rowsWritten` transactions in total.
  */
 export const CLAIM_BATCHING: Experiment = {
   name: "claim-batching",
--- a/packages/kelpspar-standins/src/experiments/definitions/configuration_race.ts
+++ b/packages/kelpspar-standins/src/experiments/definitions/configuration_race.ts
@@ -1,16 +1,16 @@
 import type { Experiment } from "../experiment.ts";
 import { bothArms } from "../both_arms.ts";
 import { OperatorRace } from "../configuration/operator_race.ts";
-import { RevisionWatch } from "../configuration/revision_monitor.ts";
+import { RevisionMonitor } from "../configuration/revision_monitor.ts";
 
-const OPERATORS = 4;
+const OPERATOR_COUNT = 4;
 const RACE_ENDS_SECONDS = 5;
 const LAST_CHANGE_SECONDS = 6;
 const OUTAGE_ENDS_SECONDS = 16;
 
 /**
- * Four operators apply changes at once, each at another daemon. Then one more
- * change is accepted, and the table goes down for ten seconds right after.
+ * Four operators apply changes concurrently, at the daemons in turn. Then one
+ * more change is accepted, and the table hangs for ten seconds right after.
  */
 export const CONFIGURATION_RACE: Experiment = {
   name: "configuration-race",
@@ -18,13 +18,13 @@
   runs: bothArms({
     load: { requestsPerSecond: 30, seconds: 18 },
     script: async ({ site, at, timer, note }) => {
-      const watch = new RevisionWatch({ site, timer });
-      const race = new OperatorRace({ site, timer, watch });
-      const stopWatch = watch.start();
+      const monitor = new RevisionMonitor({ site, timer });
+      const race = new OperatorRace({ site, timer, monitor });
+      const stopMonitor = monitor.start();
       await at(0);
       const operators = Array.from(
-        { length: OPERATORS },
-        (_, index) => race.operate(index),
+        { length: OPERATOR_COUNT },
+        (_, index) => race.applyRepeatedly(index),
       );
       await at(RACE_ENDS_SECONDS);
       race.stop();
@@ -35,11 +35,11 @@
       await at(OUTAGE_ENDS_SECONDS);
       await site.faults.setTable({ outage: "none" });
       await at(OUTAGE_ENDS_SECONDS + 1);
-      stopWatch();
+      stopMonitor();
       note({
         ...race.figures(),
-        ...watch.figures(),
-        secondsInOutage: watch.secondsToEverywhere(last) ?? null,
+        ...monitor.figures(),
+        secondsInOutage: monitor.secondsToEverywhere(last) ?? null,
       });
     },
   }),
--- a/packages/kelpspar-standins/src/experiments/definitions/daemon_deaths.ts
+++ b/packages/kelpspar-standins/src/experiments/definitions/daemon_deaths.ts
@@ -1,12 +1,13 @@
 import type { Experiment } from "../experiment.ts";
 import { bothArms } from "../both_arms.ts";
 
-/** Long enough that some deaths fall into a once-stage. */
+/** Long enough that daemons are killed during some once-stages. */
 const ONCE_MILLISECONDS = 120;
 
 /**
- * Two of three daemons die without warning, one after the other, and are
- * replaced. Callers whose answer broke send the request again under its key.
+ * Two of three daemons are killed without warning, one after the other, and
+ * replaced. Callers resubmit a request whose answer broke off, under the same
+ * key.
  */
 export const DAEMON_DEATHS: Experiment = {
   name: "daemon-deaths",
@@ -14,7 +15,7 @@
   runs: bothArms({
     site: { onceMilliseconds: ONCE_MILLISECONDS },
     load: { seconds: 12, onceShare: 0.5 },
-    callers: { resubmitsBroken: true, followsElsewhere: true },
+    callers: { resubmitsCut: true, followsElsewhere: true },
     script: async ({ site, at }) => {
       for (const seconds of [2, 7]) {
         await at(seconds);
--- a/packages/kelpspar-standins/src/experiments/definitions/endpoint_deaths.ts
+++ b/packages/kelpspar-standins/src/experiments/definitions/endpoint_deaths.ts
@@ -5,8 +5,9 @@
 const VM_LIST_LAG_MILLISECONDS = 2_000;
 
 /**
- * Two engines and one endpoint of each other service die without warning, one
- * after the other; the list tells two seconds later, and each is replaced.
+ * Two engines and one endpoint of each other service are killed without
+ * warning, one after the other. The VM list shows it two seconds later, and each
+ * endpoint is replaced.
  */
 export const ENDPOINT_DEATHS: Experiment = {
   name: "endpoint-deaths",
--- a/packages/kelpspar-standins/src/experiments/definitions/everything.ts
+++ b/packages/kelpspar-standins/src/experiments/definitions/everything.ts
@@ -4,9 +4,9 @@
 const SLOW_FACTOR = 10;
 
 /**
- * Five faults together: a slow engine, lost write answers, the death of an
+ * Five faults in one run: a slow engine, lost write answers, the death of an
  * engine and a retriever, silent connections with an outage of the table, and
- * the death of a daemon. Callers whose answer broke send the request again.
+ * the death of a daemon. Callers resubmit a request whose answer broke off.
  */
 export const EVERYTHING: Experiment = {
   name: "everything",
@@ -14,7 +14,7 @@
   runs: bothArms({
     site: { onceMilliseconds: 120 },
     load: { requestsPerSecond: 80, seconds: 14, onceShare: 0.4 },
-    callers: { resubmitsBroken: true, followsElsewhere: true },
+    callers: { resubmitsCut: true, followsElsewhere: true },
     script: async ({ site, at }) => {
       await at(1);
       for (const slow of site.endpointsOf("engine").slice(0, 1)) {
--- a/packages/kelpspar-standins/src/experiments/definitions/leaving_endpoint.ts
+++ b/packages/kelpspar-standins/src/experiments/definitions/leaving_endpoint.ts
@@ -2,12 +2,12 @@
 import { bothArms } from "../both_arms.ts";
 
 const LISTED_ONLY_SECONDS = 4;
-const MILLISECONDS_A_SECOND = 1_000;
+const MILLISECONDS_PER_SECOND = 1_000;
 
 /**
- * Two engines and a retriever are listed as leaving but go on taking calls;
- * some seconds later they leave themselves: they finish what they have, refuse
- * the rest and exit.
+ * Two engines and a retriever are listed as leaving but still accept calls. Four
+ * seconds later they drain: they finish their running calls, refuse new ones
+ * and exit.
  */
 export const LEAVING_ENDPOINT: Experiment = {
   name: "leaving-endpoint",
@@ -27,7 +27,7 @@
       const last = Math.max(...lastRuns.map((time) => time ?? 0));
       note({
         newWorkUntilSeconds: Math.round(last - listedAt) /
-          MILLISECONDS_A_SECOND,
+          MILLISECONDS_PER_SECOND,
       });
       await site.leave(leaving);
       await Promise.all(leaving.map(({ process }) => process.exited));
--- a/packages/kelpspar-standins/src/experiments/definitions/lost_write_answers.ts
+++ b/packages/kelpspar-standins/src/experiments/definitions/lost_write_answers.ts
@@ -2,7 +2,7 @@
 import { bothArms } from "../both_arms.ts";
 
 /**
- * A fifth of the table's writes take effect and their answer is lost; another
+ * A fifth of the table's writes take effect but their answer is lost; another
  * twentieth take effect half a second late.
  */
 export const LOST_WRITE_ANSWERS: Experiment = {
--- a/packages/kelpspar-standins/src/experiments/definitions/prefix_affinity.ts
+++ b/packages/kelpspar-standins/src/experiments/definitions/prefix_affinity.ts
@@ -2,13 +2,13 @@
 import { bothArms } from "../both_arms.ts";
 
 const PREFIX_CHARACTERS = 4_000;
-const PREFIXES = 20;
-/** Room for eight prefixes of 812 tokens. */
+const PREFIX_COUNT = 20;
+/** Fits eight prefixes of 812 tokens. */
 const CACHE_TOKENS = 6_500;
 
 /**
- * Inputs share twenty long prefixes. An engine's cache holds eight of them, and
- * reading one that is not cached takes 160 ms.
+ * Inputs share twenty long prefixes. An engine's cache holds eight of them;
+ * prefill of a prefix that is not cached takes 160 ms.
  */
 export const PREFIX_AFFINITY: Experiment = {
   name: "prefix-affinity",
@@ -22,7 +22,7 @@
       requestsPerSecond: 65,
       onceShare: 0,
       pipeline: "chat",
-      prefixes: { count: PREFIXES, characters: PREFIX_CHARACTERS },
+      prefixes: { count: PREFIX_COUNT, characters: PREFIX_CHARACTERS },
     },
   }),
 };
--- a/packages/kelpspar-standins/src/experiments/definitions/rolling_stop.ts
+++ b/packages/kelpspar-standins/src/experiments/definitions/rolling_stop.ts
@@ -1,11 +1,11 @@
 import type { Experiment } from "../experiment.ts";
 import { bothArms } from "../both_arms.ts";
 
-const PAUSE_SECONDS = 3;
+const STOP_INTERVAL_SECONDS = 3;
 
 /**
- * Every daemon is replaced as planned: a new one is started, then the old one
- * gets SIGTERM. Callers go where a refusal sends them.
+ * A planned replacement of every daemon: a new one is started, then the old one
+ * receives SIGTERM. Callers retry at the daemons that a refusal names.
  */
 export const ROLLING_STOP: Experiment = {
   name: "rolling-stop",
@@ -16,7 +16,7 @@
     script: async ({ site, at, note }) => {
       const exitCodes: (number | null)[] = [];
       for (const [index, daemon] of site.daemons.entries()) {
-        await at(1 + index * PAUSE_SECONDS);
+        await at(1 + index * STOP_INTERVAL_SECONDS);
         await site.addDaemon();
         exitCodes.push(await site.stopDaemon(daemon));
       }
--- a/packages/kelpspar-standins/src/experiments/definitions/silent_connections.ts
+++ b/packages/kelpspar-standins/src/experiments/definitions/silent_connections.ts
@@ -5,7 +5,7 @@
 
 /**
  * Open connections to half of the endpoints, then to the other half, then to
- * the table and the VM list go silent for good, while new ones work.
+ * the table and the VM list become permanently silent. New connections work.
  */
 export const SILENT_CONNECTIONS: Experiment = {
   name: "silent-connections",
@@ -19,7 +19,7 @@
       await site.faults.silence(site.endpoints.filter(isFirst));
       await at(5);
       await site.faults.silence(
-        site.endpoints.filter((one, index) => !isFirst(one, index)),
+        site.endpoints.filter((endpoint, index) => !isFirst(endpoint, index)),
       );
       await at(8);
       await site.faults.silencePlatform();
--- a/packages/kelpspar-standins/src/experiments/definitions/slow_endpoint.ts
+++ b/packages/kelpspar-standins/src/experiments/definitions/slow_endpoint.ts
@@ -3,7 +3,7 @@
 
 const SLOW_FACTOR = 10;
 
-/** One engine and one retriever take ten times as long; later they recover. */
+/** One engine and one retriever are slowed down tenfold; later they recover. */
 export const SLOW_ENDPOINT: Experiment = {
   name: "slow-endpoint",
   question: "How soon are slow endpoints avoided, and used again?",
--- a/packages/kelpspar-standins/src/experiments/definitions/zone_loss.ts
+++ b/packages/kelpspar-standins/src/experiments/definitions/zone_loss.ts
@@ -5,9 +5,9 @@
 const VM_LIST_LAG_MILLISECONDS = 2_000;
 
 /**
- * A zone goes with all that runs in it: a daemon, two engines of eight and one
- * endpoint of three of each service. The list tells two seconds later. Callers
- * whose answer broke send the request again.
+ * A zone fails with everything in it: a daemon, two of eight engines and one of
+ * three endpoints of each other service. The VM list shows it two seconds later.
+ * Callers resubmit a request whose answer broke off.
  */
 export const ZONE_LOSS: Experiment = {
   name: "zone-loss",
@@ -15,11 +15,11 @@
   runs: bothArms({
     site: { vmListLagMilliseconds: VM_LIST_LAG_MILLISECONDS },
     load: { requestsPerSecond: 80, seconds: 12 },
-    callers: { resubmitsBroken: true, followsElsewhere: true },
+    callers: { resubmitsCut: true, followsElsewhere: true },
     script: async ({ site, at }) => {
       const lost = ZONES.at(-1);
-      const isLost = (one: { readonly availabilityZone: string }): boolean =>
-        one.availabilityZone === lost;
+      const isLost = (vm: { readonly availabilityZone: string }): boolean =>
+        vm.availabilityZone === lost;
       await at(3);
       await Promise.all([
         site.killDaemons(site.daemons.filter(isLost)),
--- a/packages/kelpspar-standins/src/experiments/experiment.ts
+++ b/packages/kelpspar-standins/src/experiments/experiment.ts
@@ -6,30 +6,30 @@
 import type { ExperimentSite } from "./site/experiment_site.ts";
 import type { SiteChanges } from "./site/site_changes.ts";
 
-/** Further figures of a line. */
+/** Named figures of an output line. */
 export type Figures = Readonly<Record<string, unknown>>;
 
-/** What an experiment's script works on, while the load runs. */
-export interface ExperimentStage {
+/** Passed to an experiment's script, which runs beside the load. */
+export interface ScriptContext {
   readonly site: ExperimentSite;
   readonly timer: TimerService;
   readonly seconds: number;
-  /** Resolves so many seconds after the measured load began. */
+  /** Resolves when this many seconds of measured load have passed. */
   readonly at: (seconds: number) => Promise<void>;
-  /** Adds figures to the line. */
+  /** Adds figures to the output line. */
   readonly note: (figures: Figures) => void;
 }
 
 /** One run of an experiment: an arm, or a variant of it. */
 export interface ExperimentRun {
   readonly arm: ArmName;
-  /** Tells runs of one arm apart. */
+  /** Distinguishes runs of the same arm. */
   readonly variant?: string;
   readonly site?: SiteChanges;
   readonly load?: Partial<LoadPlan>;
   readonly callers?: CallerPolicy;
-  /** Puts faults to the site while the load runs. */
-  readonly script?: (stage: ExperimentStage) => Promise<void>;
+  /** Injects faults into the site while the load runs. */
+  readonly script?: (stage: ScriptContext) => Promise<void>;
   /** Adds figures after the load. */
   readonly inspect?: (
     run: MeasuredRun,
@@ -37,7 +37,7 @@
   ) => Figures | Promise<Figures>;
 }
 
-/** An experiment: what it asks, and its runs. */
+/** An experiment: the question it answers, and its runs. */
 export interface Experiment {
   readonly name: string;
   readonly question: string;
--- a/packages/kelpspar-standins/src/experiments/experiments.ts
+++ b/packages/kelpspar-standins/src/experiments/experiments.ts
@@ -39,7 +39,7 @@
   EVERYTHING,
 ];
 
-/** Every experiment, by its name. */
+/** All experiments by name. */
 export const EXPERIMENTS: ReadonlyMap<string, Experiment> = new Map(
   ALL.map((experiment) => [experiment.name, experiment]),
 );
--- a/packages/kelpspar-standins/src/experiments/load/expect_answer.ts
+++ b/packages/kelpspar-standins/src/experiments/load/expect_answer.ts
@@ -4,8 +4,8 @@
 import { MODEL, PIPELINE_SERVICES } from "../site/experiment_services.ts";
 
 /**
- * The whole text that a request is answered with, worked out from what the
- * stand-ins make of each stage's input.
+ * Computes the complete answer text of a request, by applying each stage's
+ * stand-in function to the output of the stage before.
  */
 export function expectAnswer(
   pipeline: ExperimentPipeline,
--- a/packages/kelpspar-standins/src/experiments/load/load_plan.ts
+++ b/packages/kelpspar-standins/src/experiments/load/load_plan.ts
@@ -1,7 +1,7 @@
-/** The account that outweighs all others. */
+/** The account with the largest share. */
 export const LARGE_ACCOUNT = "large";
 
-/** Every account of an experiment, the large one first. */
+/** All accounts of an experiment, the large one first. */
 export const ACCOUNTS: readonly string[] = [
   LARGE_ACCOUNT,
   "small-0",
@@ -10,7 +10,7 @@
   "small-3",
 ];
 
-/** Share of the fleet of each account in the configuration. */
+/** Configured share of the fleet by account. */
 export const ACCOUNT_SHARES: Readonly<Record<string, number>> = {
   [LARGE_ACCOUNT]: 0.6,
   "small-0": 0.1,
@@ -22,25 +22,28 @@
 /** A pipeline of the experiments' configuration. */
 export type ExperimentPipeline = "plan" | "booking" | "chat" | "order";
 
-/** What is sent, and when. */
+/** Parameters from which the requests of a run are drawn. */
 export interface LoadPlan {
-  /** Requests a second of all accounts, when each keeps to its share. */
+  /** Requests per second of all accounts, if each stays within its share. */
   readonly requestsPerSecond: number;
-  /** Multiplies the rate of an account at a time (seconds); default 1. */
+  /** Rate multiplier of an account at a time in seconds; default 1. */
   readonly factor?: (account: string, seconds: number) => number;
-  /** How long the load lasts, seconds, after the warm-up. */
+  /** Duration of the measured load after the warm-up, in seconds. */
   readonly seconds: number;
-  /** Load before that, which counts only for what must never happen. */
+  /**
+   * Duration of the warm-up load, in seconds. Among the figures of answers, only
+   * those of correctness and cost include it.
+   */
   readonly warmUpSeconds: number;
-  /** Share of requests that go through the pipeline with a once-stage. */
+  /** Share of requests to the pipeline with a once-stage, 0 to 1. */
   readonly onceShare: number;
-  /** That pipeline; default `booking`. */
+  /** Pipeline of these requests; default `booking`. */
   readonly oncePipeline?: Extract<ExperimentPipeline, "booking" | "order">;
-  /** The pipeline of all others; default `plan`. */
+  /** Pipeline of all other requests; default `plan`. */
   readonly pipeline?: Extract<ExperimentPipeline, "plan" | "chat">;
-  /** Tokens a generation makes, uniform between the two. */
+  /** Bounds of the uniformly drawn number of tokens to generate. */
   readonly tokens: readonly [least: number, most: number];
-  /** Prefixes that inputs share, and how long each is, characters. */
+  /** Number of shared input prefixes, and their length in characters. */
   readonly prefixes?: { readonly count: number; readonly characters: number };
   readonly deadlineMilliseconds: number;
 }
--- a/packages/kelpspar-standins/src/experiments/load/plan_requests.ts
+++ b/packages/kelpspar-standins/src/experiments/load/plan_requests.ts
@@ -5,19 +5,19 @@
 import { expectAnswer } from "./expect_answer.ts";
 import { ACCOUNT_SHARES, ACCOUNTS } from "./load_plan.ts";
 
-const MILLISECONDS_A_SECOND = 1_000;
-/** Finds the highest factor of an account; bursts last longer than this. */
+const MILLISECONDS_PER_SECOND = 1_000;
+/** Sampling step of the highest factor; shorter than any burst. */
 const FACTOR_STEP_SECONDS = 0.1;
 
-/** How requests are drawn. */
+/** Options of `planRequests`. */
 export interface PlanRequestsOptions {
   readonly seed: number;
   readonly availabilityZones: readonly string[];
 }
 
 /**
- * Draws the requests of a load: a Poisson process for each account, thinned
- * to its rate at each time. Both arms get the same requests for a seed.
+ * Draws the requests of a load: a Poisson process for each account, thinned to
+ * the rate at each time. Both arms get the same requests for the same seed.
  */
 export function planRequests(
   plan: LoadPlan,
@@ -92,7 +92,7 @@
     `tokens=${tokens}`;
   const zone = availabilityZones[random.nextInteger(availabilityZones.length)];
   return {
-    at: seconds * MILLISECONDS_A_SECOND,
+    at: seconds * MILLISECONDS_PER_SECOND,
     isMeasured: seconds >= plan.warmUpSeconds,
     token,
     account,
--- a/packages/kelpspar-standins/src/experiments/load/planned_request.ts
+++ b/packages/kelpspar-standins/src/experiments/load/planned_request.ts
@@ -1,19 +1,19 @@
 import type { ExperimentPipeline } from "./load_plan.ts";
 
-/** A request that the loader will send. */
+/** A request that the load generator will send. */
 export interface PlannedRequest {
-  /** When it is sent, milliseconds from the begin of the load. */
+  /** Send time in milliseconds since the start of the load. */
   readonly at: number;
-  /** False for a request of the warm-up. */
+  /** False during the warm-up. */
   readonly isMeasured: boolean;
-  /** The `token=…` that is its own. */
+  /** Unique `token=…` of this request. */
   readonly token: string;
   readonly account: string;
   readonly availabilityZone: string;
   readonly pipeline: ExperimentPipeline;
   readonly input: string;
   readonly deadlineMilliseconds: number;
-  /** The whole text that answers it. */
+  /** The complete text of a correct answer. */
   readonly expectedText: string;
   readonly hasOnceStage: boolean;
 }
--- a/packages/kelpspar-standins/src/experiments/load/run_load.ts
+++ b/packages/kelpspar-standins/src/experiments/load/run_load.ts
@@ -4,22 +4,22 @@
 import type { PlannedRequest } from "./planned_request.ts";
 import { performance } from "node:perf_hooks";
 
-/** What was sent, and whether the loader itself kept up. */
+/** Results of a load, and whether the load generator kept up with its plan. */
 export interface LoadRun {
   readonly results: readonly CallResult[];
-  /** Share of the time the loader's event loop was busy, 0 to 1. */
+  /** Event loop utilization of the load generator, 0 to 1. */
   readonly utilization: number;
-  /** How late requests were sent, milliseconds, sorted. */
+  /** Delay of each send after its planned time, in milliseconds, sorted. */
   readonly lags: readonly number[];
 }
 
-/** An open loop: each request is sent at its time, whatever the others do. */
+/** Runs an open loop: sends each request at its planned time, in any case. */
 export async function runLoad(
   requests: readonly PlannedRequest[],
   options: {
     readonly caller: Caller;
     readonly timer: TimerService;
-    /** When the load begins, by the timer. */
+    /** Start time of the load, by the timer. */
     readonly startAt: number;
   },
 ): Promise<LoadRun> {
--- a/packages/kelpspar-standins/src/experiments/measure/check_kept_results.ts
+++ b/packages/kelpspar-standins/src/experiments/measure/check_kept_results.ts
@@ -8,33 +8,33 @@
 import { callerKey } from "../site/experiment_configuration.ts";
 import { isAnswered } from "./judge_result.ts";
 
-const MOST_LOOK_UPS = 100;
-const LOOK_UP_MILLISECONDS = 2_000;
+const MAXIMUM_LOOKUPS = 100;
+const LOOKUP_TIMEOUT_MILLISECONDS = 2_000;
 
-/** What came of the look-ups. */
+/** Outcomes of the lookups. */
 export interface KeptFigures {
   readonly kept: number;
   readonly keptGone: number;
-  /** Found, but its outcome is not known any more. */
+  /** Results that were found, but whose outcome is no longer known. */
   readonly keptUnknown: number;
   readonly keptWrong: number;
 }
 
-/** What look-ups are made with. */
-export interface CheckKeptOptions {
+/** Options of `checkKeptResults`. */
+export interface CheckKeptResultsOptions {
   readonly site: ExperimentSite;
   readonly pools: DaemonPools;
   readonly timer: TimerService;
 }
 
 /**
- * Looks once-requests that were answered up by their key at another daemon
- * than the one that answered, as a caller does that lost its copy. What is not
- * found there was promised and is gone.
+ * Looks up answered once-requests by key, as a caller does that lost its copy,
+ * at another daemon than the one that answered. A result that is not found there
+ * counts as lost, because the daemons guarantee to keep it.
  */
-export async function checkKept(
+export async function checkKeptResults(
   results: readonly CallResult[],
-  options: CheckKeptOptions,
+  options: CheckKeptResultsOptions,
 ): Promise<KeptFigures> {
   const found = { kept: 0, keptGone: 0, keptUnknown: 0, keptWrong: 0 };
   if (options.site.arm === "naive") return found;
@@ -42,7 +42,7 @@
     result.request.hasOnceStage && isAnswered(result) &&
     result.idempotencyKey?.startsWith("@") === false
   );
-  const step = Math.max(1, Math.floor(answered.length / MOST_LOOK_UPS));
+  const step = Math.max(1, Math.floor(answered.length / MAXIMUM_LOOKUPS));
   const checked = answered.filter((_, index) => index % step === 0);
   for (const result of checked) {
     found[judge(await lookUp(result, options), result)]++;
@@ -52,14 +52,15 @@
 
 async function lookUp(
   result: CallResult,
-  { site, pools, timer }: CheckKeptOptions,
+  { site, pools, timer }: CheckKeptResultsOptions,
 ): Promise<SubmissionEnd> {
   const ports = site.daemons.map(({ port }) => port);
-  const port = ports.find((one) => one !== result.port) ?? ports[0] ?? 0;
+  const port = ports.find((candidate) => candidate !== result.port) ??
+    ports[0] ?? 0;
   const abort = new AbortController();
   const stopTimer = timer.registerTimeout(
     () => abort.abort(),
-    LOOK_UP_MILLISECONDS,
+    LOOKUP_TIMEOUT_MILLISECONDS,
   );
   const key = encodeURIComponent(result.idempotencyKey ?? "");
   const end = await submit({
--- a/packages/kelpspar-standins/src/experiments/measure/cost_figures.ts
+++ b/packages/kelpspar-standins/src/experiments/measure/cost_figures.ts
@@ -5,23 +5,26 @@
 import { isAnswered } from "./judge_result.ts";
 import { round } from "./statistics.ts";
 
-/** What the answers of a run cost. */
+/** Runner time and stage runs per answer of a run. */
 export interface CostFigures {
   /** Runner milliseconds of a stage per completed answer that needs it. */
   readonly costByStage: Readonly<Record<string, number>>;
   /**
-   * Runner time spent over the time that the completed answers needed, at the
-   * mean time of stages that were called once.
+   * Runner time spent, divided by the time that the completed answers needed
+   * at the mean time of stages with a single attempt.
    */
   readonly costRatio: number;
-  /** Runs of stages over the stages of the completed answers. */
+  /** Stage runs, divided by the stages of the completed answers. */
   readonly runRatio: number;
 }
 
-/** Works out costs, warm-up included, since endpoints count from their start. */
+/**
+ * Computes the costs of a run. Includes the warm-up, because endpoints count
+ * from their start.
+ */
 export function costFigures(run: MeasuredRun): CostFigures {
   const answered = run.results.filter(isAnswered);
-  const clean = meanCleanTimes(answered);
+  const meanTimes = meanSingleAttemptTimes(answered);
   const costByStage: Record<string, number> = {};
   let spent = 0;
   let needed = 0;
@@ -36,7 +39,7 @@
       costByStage[service] = round(milliseconds / count, 2);
     }
     spent += milliseconds;
-    needed += count * (clean.get(service) ?? 0);
+    needed += count * (meanTimes.get(service) ?? 0);
     runs += run.executions.runsOf(service);
     stages += count;
   }
@@ -47,8 +50,8 @@
   };
 }
 
-/** The mean runner time of stages that took one call, by service. */
-function meanCleanTimes(
+/** Mean runner time of stages with a single attempt, by service. */
+function meanSingleAttemptTimes(
   answered: readonly CallResult[],
 ): ReadonlyMap<string, number> {
   const sums = new Map<string, { milliseconds: number; count: number }>();
--- a/packages/kelpspar-standins/src/experiments/measure/daemon_log_recorder.ts
+++ b/packages/kelpspar-standins/src/experiments/measure/daemon_log_recorder.ts
@@ -1,17 +1,17 @@
 import type { SiteDaemon } from "../../site/site_daemon.ts";
 
-/** What a daemon logged, and how often. */
+/** A log message of the daemons and its count. */
 export interface LoggedMessage {
   count: number;
-  /** The first line of it. */
+  /** The first log line with this message. */
   readonly example: string;
 }
 
-/** Warnings and errors of the daemons, by message. */
-export class LogBook {
+/** Counts the warnings and errors that daemons log, by message. */
+export class DaemonLogRecorder {
   readonly #messages = new Map<string, LoggedMessage>();
 
-  /** Reads what a daemon logs from now on. */
+  /** Records the lines that a daemon logs from now on. */
   follow(daemon: SiteDaemon): void {
     daemon.process.registerLine((line) => {
       const name = nameOf(line);
@@ -21,7 +21,7 @@
     });
   }
 
-  /** Each message, with its count and its first line. */
+  /** Count and first line by message. */
   get messages(): Readonly<Record<string, LoggedMessage>> {
     return Object.fromEntries(this.#messages);
   }
--- a/packages/kelpspar-standins/src/experiments/measure/execution_recorder.ts
+++ b/packages/kelpspar-standins/src/experiments/measure/execution_recorder.ts
@@ -6,12 +6,12 @@
 const LINE_START = '{"execution":';
 
 /**
- * Every run of a call at every endpoint, from the lines the endpoints print.
- * Lines outlive an endpoint that dies, so that no run is missed.
+ * Records every call execution from the lines that endpoints print. Printed
+ * lines survive the death of an endpoint, so that no execution is missed.
  */
-export class ExecutionBook {
+export class ExecutionRecorder {
   readonly #timer: TimerService;
-  /** Runs of each token at each service. */
+  /** Execution counts by token, then by service. */
   readonly #byToken = new Map<string, Map<string, number>>();
   readonly #byService = new Map<string, number>();
   readonly #lastAt = new Map<string, number>();
@@ -20,7 +20,7 @@
     this.#timer = timer;
   }
 
-  /** Reads what an endpoint prints from now on. */
+  /** Records the executions that an endpoint prints from now on. */
   follow(endpoint: SiteEndpoint): void {
     endpoint.process.registerLine((line) => {
       if (!line.startsWith(LINE_START)) return;
@@ -31,24 +31,24 @@
     });
   }
 
-  /** Runs of a request's once-stage. */
+  /** Number of executions of a request's once-stage. */
   onceRuns(token: string): number {
     return this.#byToken.get(token)?.get(ONCE_SERVICE) ?? 0;
   }
 
-  /** Runs of any stage of a request. */
+  /** Number of executions of all stages of a request. */
   runs(token: string): number {
     const services = this.#byToken.get(token);
     if (services === undefined) return 0;
     return [...services.values()].reduce((sum, count) => sum + count, 0);
   }
 
-  /** Runs at a service. */
+  /** Number of executions at a service. */
   runsOf(service: string): number {
     return this.#byService.get(service) ?? 0;
   }
 
-  /** When an endpoint last began a run, by the timer; undefined if never. */
+  /** Last execution of an endpoint, by the timer; undefined if none. */
   lastRunAt(endpointId: string): number | undefined {
     return this.#lastAt.get(endpointId);
   }
--- a/packages/kelpspar-standins/src/experiments/measure/processor_time.ts
+++ b/packages/kelpspar-standins/src/experiments/measure/processor_time.ts
@@ -1,13 +1,13 @@
 import type { SiteDaemon } from "../../site/site_daemon.ts";
 import { readFileSync } from "node:fs";
 
-const TICKS_A_SECOND = 100;
+const TICKS_PER_SECOND = 100;
 const USER_FIELD = 11;
 const SYSTEM_FIELD = 12;
 
 /**
- * Processor time of daemons, seconds, by their process id. Tells whether a
- * daemon's one thread was what limited a run.
+ * Reads the processor time of daemons in seconds, by process id. It shows
+ * whether a daemon's single thread limited a run.
  */
 export function readProcessorTimes(
   daemons: readonly SiteDaemon[],
@@ -20,13 +20,13 @@
   return times;
 }
 
-/** Undefined for a process that is gone, and where there is no `/proc`. */
+/** Undefined if the process has exited or the system has no `/proc`. */
 function readProcessorTime(processId: number): number | undefined {
   try {
     const text = readFileSync(`/proc/${processId}/stat`, "utf8");
     const fields = text.slice(text.lastIndexOf(")") + 2).split(" ");
     const ticks = Number(fields[USER_FIELD]) + Number(fields[SYSTEM_FIELD]);
-    return ticks / TICKS_A_SECOND;
+    return ticks / TICKS_PER_SECOND;
   } catch {
     return undefined;
   }
--- a/packages/kelpspar-standins/src/experiments/measure/runner_time_recorder.ts
+++ b/packages/kelpspar-standins/src/experiments/measure/runner_time_recorder.ts
@@ -2,30 +2,30 @@
 import type { SiteEndpoint } from "../../site/site_endpoint.ts";
 
 /**
- * The runner time of each endpoint as last read. One that dies between two
- * readings takes what it did since with it.
+ * Records the last reported runner time of each endpoint. If an endpoint dies,
+ * its runner time since the last report is not counted.
  */
-export class RunnerTimeBook {
-  readonly #ask: (endpoint: SiteEndpoint) => Promise<unknown>;
+export class RunnerTimeRecorder {
+  readonly #readReport: (endpoint: SiteEndpoint) => Promise<unknown>;
   readonly #milliseconds = new Map<string, number>();
   readonly #services = new Map<string, string>();
 
   constructor(ask: (endpoint: SiteEndpoint) => Promise<unknown>) {
-    this.#ask = ask;
+    this.#readReport = ask;
   }
 
-  /** Reads an endpoint; keeps the last reading of one that is gone. */
+  /** Reads an endpoint's report; keeps the last one if the endpoint is gone. */
   async read(endpoint: SiteEndpoint): Promise<void> {
     try {
-      const report = await this.#ask(endpoint) as ExecutionReport;
+      const report = await this.#readReport(endpoint) as ExecutionReport;
       this.#milliseconds.set(endpoint.id, report.runnerMilliseconds);
       this.#services.set(endpoint.id, endpoint.service);
     } catch {
-      // It is gone.
+      // The endpoint is gone.
     }
   }
 
-  /** Runner time of a service's endpoints, milliseconds. */
+  /** Runner time of a service's endpoints, in milliseconds. */
   ofService(service: string): number {
     let sum = 0;
     for (const [id, milliseconds] of this.#milliseconds) {
--- a/packages/kelpspar-standins/src/experiments/measure/statistics.ts
+++ b/packages/kelpspar-standins/src/experiments/measure/statistics.ts
@@ -1,10 +1,10 @@
-/** Rounds to so many decimals; null when there is no such number. */
+/** Rounds to a number of decimals; NaN stays NaN, which JSON shows as null. */
 export function round(value: number, decimals: number): number {
   const factor = 10 ** decimals;
   return Math.round(value * factor) / factor;
 }
 
-/** The value below which a share of the sorted values lies; NaN if empty. */
+/** The quantile of sorted values, with `share` from 0 to 1; NaN if empty. */
 export function quantile(sorted: readonly number[], share: number): number {
   const index = Math.min(
     sorted.length - 1,
@@ -13,7 +13,7 @@
   return sorted[index] ?? NaN;
 }
 
-/** The share of items that a condition holds for; NaN if there are none. */
+/** Share of items that meet a condition; NaN if there are no items. */
 export function shareOf<Item>(
   items: readonly Item[],
   condition: (item: Item) => boolean,
--- a/packages/kelpspar-standins/src/experiments/measure/summarize.ts
+++ b/packages/kelpspar-standins/src/experiments/measure/summarize.ts
@@ -13,14 +13,14 @@
 } from "./judge_result.ts";
 import { quantile, round, shareOf } from "./statistics.ts";
 
-const MOST_MESSAGES = 3;
+const MAXIMUM_MESSAGES = 3;
 
-/** The figures that every experiment gives. */
+/** Computes the figures that all experiments have. */
 export function summarize(run: MeasuredRun): Figures {
   return {
     sent: run.measured.length,
     ...attainmentFigures(run),
-    ...promiseFigures(run),
+    ...correctnessFigures(run),
     ...costFigures(run),
     ...latencyFigures(run),
     refused: run.measured.filter(isRefused).length,
@@ -46,8 +46,8 @@
   };
 }
 
-/** What must never happen is counted over the warm-up too. */
-function promiseFigures(run: MeasuredRun): Figures {
+/** Violations of guarantees; these include the warm-up. */
+function correctnessFigures(run: MeasuredRun): Figures {
   const { results, executions, deadDaemonPorts } = run;
   const count = (condition: (result: CallResult) => boolean): number =>
     results.filter(condition).length;
@@ -78,7 +78,7 @@
   };
 }
 
-/** A once-request of which its caller does not know whether it ran. */
+/** True for a once-request of which its caller cannot tell whether it ran. */
 function isUnknown({ end, request }: CallResult): boolean {
   if (!request.hasOnceStage || end.type === "whole") return false;
   return end.type !== "failure" || end.failure.outcome !== "not_run";
@@ -98,7 +98,7 @@
   return end.type === "failure" && end.failure.outcome === "not_run";
 }
 
-/** Some messages of errors that should not happen. */
+/** The first distinct messages of internal errors. */
 function internalErrors(results: readonly CallResult[]): Figures {
   const messages = results.flatMap(({ end }) =>
     end.type === "failure" && end.failure.result === "internal_error"
@@ -106,10 +106,10 @@
       : []
   );
   if (messages.length === 0) return {};
-  return { internalErrors: [...new Set(messages)].slice(0, MOST_MESSAGES) };
+  return { internalErrors: [...new Set(messages)].slice(0, MAXIMUM_MESSAGES) };
 }
 
-/** How often each result was the last word. */
+/** Counts the final results of requests by name. */
 function countEndings(results: readonly CallResult[]): Figures {
   const counts: Record<string, number> = {};
   for (const result of results) {
--- a/packages/kelpspar-standins/src/experiments/render_figures.ts
+++ b/packages/kelpspar-standins/src/experiments/render_figures.ts
@@ -2,7 +2,7 @@
 
 const NAME_WIDTH = 26;
 
-/** The figures of a line, one below the other, for people. */
+/** Renders figures as human-readable text, one per line. */
 export function renderFigures(figures: Figures): string {
   const lines = Object.entries(figures).map(([name, value]) =>
     `  ${name.padEnd(NAME_WIDTH)} ${
--- a/packages/kelpspar-standins/src/experiments/run_experiment.ts
+++ b/packages/kelpspar-standins/src/experiments/run_experiment.ts
@@ -5,13 +5,13 @@
 import type { SiteStop } from "./site/experiment_site.ts";
 import { loadavg } from "node:os";
 import { SeededRandom } from "kelpspar-shared";
-import { AddressBook } from "./caller/daemon_address_cache.ts";
+import { DaemonAddressCache } from "./caller/daemon_address_cache.ts";
 import { Caller } from "./caller/caller.ts";
 import { DaemonPools } from "./caller/daemon_pools.ts";
 import { LARGE_ACCOUNT } from "./load/load_plan.ts";
 import { planRequests } from "./load/plan_requests.ts";
 import { runLoad } from "./load/run_load.ts";
-import { checkKept } from "./measure/check_kept_results.ts";
+import { checkKeptResults } from "./measure/check_kept_results.ts";
 import { readProcessorTimes } from "./measure/processor_time.ts";
 import { round } from "./measure/statistics.ts";
 import { summarize } from "./measure/summarize.ts";
@@ -19,11 +19,11 @@
 import { ZONES } from "./site/create_site_plan.ts";
 import { ExperimentSite } from "./site/experiment_site.ts";
 
-const MILLISECONDS_A_SECOND = 1_000;
-/** Between the last answer and the counting, for work that still goes on. */
+const MILLISECONDS_PER_SECOND = 1_000;
+/** Wait between the last answer and the count, for stages that still run. */
 const SETTLE_MILLISECONDS = 1_000;
 
-/** The load unless an experiment or the command line says otherwise. */
+/** Default load; experiments and the command line override parts of it. */
 export const DEFAULT_LOAD: LoadPlan = {
   requestsPerSecond: 100,
   seconds: 10,
@@ -33,15 +33,15 @@
   deadlineMilliseconds: 3_000,
 };
 
-/** How a run is made. */
+/** Options of `runExperiment`. */
 export interface RunOptions {
   readonly seed: number;
   readonly timer: TimerService;
-  /** Seconds of measured load; default the experiment's. */
+  /** Seconds of measured load; defaults to the experiment's own. */
   readonly seconds?: number;
 }
 
-/** Runs one arm of an experiment; returns its line. */
+/** Performs one run of an experiment; returns its output line. */
 export async function runExperiment(
   experiment: Experiment,
   run: ExperimentRun,
@@ -71,7 +71,7 @@
     ...(run.variant === undefined ? {} : { variant: run.variant }),
     seed,
     ...figures,
-    daemonStopSeconds: round(stop.milliseconds / MILLISECONDS_A_SECOND, 1),
+    daemonStopSeconds: round(stop.milliseconds / MILLISECONDS_PER_SECOND, 1),
     killedAtStop: stop.killed,
     machineLoad: [round(loadBefore, 1), round(loadavg()[0] ?? 0, 1)],
   };
@@ -106,21 +106,21 @@
       at: (seconds) =>
         sleepUntil(
           timer,
-          startAt + (plan.warmUpSeconds + seconds) * MILLISECONDS_A_SECOND,
+          startAt + (plan.warmUpSeconds + seconds) * MILLISECONDS_PER_SECOND,
         ),
-      note: (more) => {
-        notes = { ...notes, ...more };
+      note: (added) => {
+        notes = { ...notes, ...added };
       },
     }),
   ]);
-  const daemonCores = busiestCores(processorBefore, {
+  const daemonCores = maximumCores(processorBefore, {
     after: readProcessorTimes(site.daemons),
-    seconds: (timer.now() - startAt) / MILLISECONDS_A_SECOND,
+    seconds: (timer.now() - startAt) / MILLISECONDS_PER_SECOND,
   });
   await sleepUntil(timer, timer.now() + SETTLE_MILLISECONDS);
   await site.readRunnerTime();
   const { pools } = options;
-  const kept = await checkKept(load.results, { site, pools, timer });
+  const kept = await checkKeptResults(load.results, { site, pools, timer });
   const measured = {
     ...load,
     resultsGone: kept.keptGone,
@@ -148,9 +148,12 @@
 ): Promise<Caller> {
   const { site, pools, timer, seed } = options;
   const ports = site.daemons.map(({ port }) => port);
-  const books = new Map<PlannedRequest["availabilityZone"], AddressBook>();
+  const addressCaches = new Map<
+    PlannedRequest["availabilityZone"],
+    DaemonAddressCache
+  >();
   for (const [index, availabilityZone] of ZONES.entries()) {
-    const book = new AddressBook({
+    const cache = new DaemonAddressCache({
       availabilityZone,
       ports,
       callerKey: callerKey(LARGE_ACCOUNT),
@@ -158,14 +161,17 @@
       timer,
       random: new SeededRandom(seed * 17 + index),
     });
-    await book.open();
-    books.set(availabilityZone, book);
+    await cache.open();
+    addressCaches.set(availabilityZone, cache);
   }
-  return new Caller({ books, pools, policy: run.callers ?? {}, timer });
+  return new Caller({ addressCaches, pools, policy: run.callers ?? {}, timer });
 }
 
-/** The part of a core that the busiest of the daemons that lived through took. */
-function busiestCores(
+/**
+ * Mean number of cores used by the busiest daemon, among those alive for the
+ * whole run.
+ */
+function maximumCores(
   before: ReadonlyMap<number, number>,
   options: {
     readonly after: ReadonlyMap<number, number>;
--- a/packages/kelpspar-standins/src/experiments/site/create_site_plan.ts
+++ b/packages/kelpspar-standins/src/experiments/site/create_site_plan.ts
@@ -5,14 +5,14 @@
 import { createConfiguration } from "./experiment_configuration.ts";
 import { createPools } from "./experiment_pools.ts";
 
-/** The availability zones of every experiment's site. */
+/** Availability zones of all experiment sites. */
 export const ZONES: readonly string[] = ["zone-a", "zone-b", "zone-c"];
 
-const DAEMONS = 3;
+const DAEMON_COUNT = 3;
 const TABLE_LATENCY_MILLISECONDS = 3;
 const VM_LIST_LAG_MILLISECONDS = 500;
 
-/** The plan of an experiment's site. */
+/** Creates the plan of an experiment's site. */
 export function createSitePlan(options: {
   readonly arm: ArmName;
   readonly changes: SiteChanges;
@@ -21,7 +21,7 @@
   const { arm, changes, seed } = options;
   const { daemonSettings, vmListLagMilliseconds } = changes;
   return {
-    daemons: changes.daemons ?? DAEMONS,
+    daemons: changes.daemons ?? DAEMON_COUNT,
     availabilityZones: ZONES,
     pools: createPools(changes),
     configuration: createConfiguration(changes.configuration),
--- a/packages/kelpspar-standins/src/experiments/site/experiment_configuration.ts
+++ b/packages/kelpspar-standins/src/experiments/site/experiment_configuration.ts
@@ -8,27 +8,27 @@
   PIPELINE_SERVICES,
 } from "./experiment_services.ts";
 
-/** The operator's key of the experiments' sites. */
+/** Operator key of the experiment sites. */
 export const OPERATOR_KEY = "sample-experiment-operator-key";
 
 const PLAIN_CONCURRENCY = 4;
 const ENGINE_CONCURRENCY = 4;
-const PLAIN_PROGRESS_MILLISECONDS = 500;
-const ENGINE_PROGRESS_MILLISECONDS = 1_000;
+const PLAIN_PROGRESS_TIMEOUT_MILLISECONDS = 500;
+const ENGINE_PROGRESS_TIMEOUT_MILLISECONDS = 1_000;
 const MAXIMUM_DEADLINE_MILLISECONDS = 30_000;
 
-/** The key of an account's callers. */
+/** Caller key of an account. */
 export function callerKey(account: string): string {
   return `sample-caller-key-of-${account}`;
 }
 
-/** What experiments change in the configuration. */
+/** Configuration parts that experiments override. */
 export interface ConfigurationChanges {
   readonly sharedPrefixCharacters?: number;
   readonly limits?: Readonly<Record<string, number>>;
 }
 
-/** The whole configuration of an experiment's site. */
+/** Creates the complete configuration of an experiment's site. */
 export function createConfiguration(
   changes: ConfigurationChanges = {},
 ): Readonly<Record<string, unknown>> {
@@ -54,7 +54,7 @@
         kind: "engine",
         models: [MODEL],
         concurrency: ENGINE_CONCURRENCY,
-        progressTimeoutMilliseconds: ENGINE_PROGRESS_MILLISECONDS,
+        progressTimeoutMilliseconds: ENGINE_PROGRESS_TIMEOUT_MILLISECONDS,
       },
     ],
     pipelines: (["plan", "booking", "chat", "order"] as const).map((id) =>
@@ -70,7 +70,7 @@
     kind: "plain",
     repeatable,
     concurrency: PLAIN_CONCURRENCY,
-    progressTimeoutMilliseconds: PLAIN_PROGRESS_MILLISECONDS,
+    progressTimeoutMilliseconds: PLAIN_PROGRESS_TIMEOUT_MILLISECONDS,
   };
 }
 
--- a/packages/kelpspar-standins/src/experiments/site/experiment_pools.ts
+++ b/packages/kelpspar-standins/src/experiments/site/experiment_pools.ts
@@ -7,12 +7,15 @@
   SERVICES,
 } from "./experiment_services.ts";
 
-const ENGINES = 8;
-const PLAIN_ENDPOINTS = 3;
-/** Smaller than the stand-in's default, so that the machine is no limit. */
-const ENGINE_BATCH = 4;
+const ENGINE_COUNT = 8;
+const PLAIN_ENDPOINT_COUNT = 3;
+/** Below the stand-in's default, so that the host does not limit a run. */
+const ENGINE_MAXIMUM_BATCH = 4;
 
-/** The endpoints of an experiment's site; every run of a call is printed. */
+/**
+ * Creates the endpoint pools of an experiment's site. The endpoints print every
+ * execution.
+ */
 export function createPools(changes: SiteChanges): readonly PoolPlan[] {
   return SERVICES.map((service) =>
     service === "engine"
@@ -26,7 +29,7 @@
   const isSlower = service === ONCE_SERVICE && onceMilliseconds !== undefined;
   return {
     service,
-    count: changes.plainEndpoints ?? PLAIN_ENDPOINTS,
+    count: changes.plainEndpoints ?? PLAIN_ENDPOINT_COUNT,
     settings: {
       kind: "plain",
       printExecutions: true,
@@ -38,13 +41,13 @@
 function createEnginePool(changes: SiteChanges): PoolPlan {
   return {
     service: "engine",
-    count: changes.engines ?? ENGINES,
+    count: changes.engines ?? ENGINE_COUNT,
     settings: {
       kind: "engine",
       printExecutions: true,
       engine: {
         models: { [MODEL]: MODEL_VERSION },
-        maximumBatch: ENGINE_BATCH,
+        maximumBatch: ENGINE_MAXIMUM_BATCH,
         ...changes.engine,
       },
     },
--- a/packages/kelpspar-standins/src/experiments/site/experiment_services.ts
+++ b/packages/kelpspar-standins/src/experiments/site/experiment_services.ts
@@ -1,6 +1,6 @@
 import type { ExperimentPipeline } from "../load/load_plan.ts";
 
-/** A service of the experiments' sites. */
+/** A service of the experiment sites. */
 export type ExperimentService =
   | "encoder"
   | "retriever"
@@ -8,12 +8,12 @@
   | "engine"
   | "booking";
 
-/** The model of every generation. */
+/** The only model of the engines. */
 export const MODEL = "writer";
-/** Its version. */
+/** Version of `MODEL`. */
 export const MODEL_VERSION = "1";
 
-/** The service of each stage; a stage has the name of its service. */
+/** Services of each pipeline's stages; a stage is named after its service. */
 export const PIPELINE_SERVICES: Readonly<
   Record<ExperimentPipeline, readonly ExperimentService[]>
 > = {
@@ -23,8 +23,8 @@
   order: ["booking"],
 };
 
-/** The one service whose calls may not be repeated. */
+/** The only service whose calls must not be repeated. */
 export const ONCE_SERVICE: ExperimentService = "booking";
 
-/** Every service. */
+/** All services; the booking pipeline uses each of them. */
 export const SERVICES: readonly ExperimentService[] = PIPELINE_SERVICES.booking;
--- a/packages/kelpspar-standins/src/experiments/site/experiment_site.ts
+++ b/packages/kelpspar-standins/src/experiments/site/experiment_site.ts
@@ -5,9 +5,9 @@
 import type { SiteChanges } from "./site_changes.ts";
 import { applyFirstConfiguration } from "../../site/apply_first_configuration.ts";
 import { Site } from "../../site/site.ts";
-import { ExecutionBook } from "../measure/execution_recorder.ts";
-import { LogBook } from "../measure/daemon_log_recorder.ts";
-import { RunnerTimeBook } from "../measure/runner_time_recorder.ts";
+import { ExecutionRecorder } from "../measure/execution_recorder.ts";
+import { DaemonLogRecorder } from "../measure/daemon_log_recorder.ts";
+import { RunnerTimeRecorder } from "../measure/runner_time_recorder.ts";
 import {
   createConfiguration,
   OPERATOR_KEY,
@@ -16,10 +16,10 @@
 import { createSitePlan } from "./create_site_plan.ts";
 import { SiteFaults } from "./site_faults.ts";
 
-/** Longer than any request's deadline. */
+/** Kill timeout of a stopping daemon; longer than any request's deadline. */
 const STOP_LIMIT_MILLISECONDS = 20_000;
 
-/** How an experiment's site is started. */
+/** Options of `ExperimentSite`. */
 export interface ExperimentSiteOptions {
   readonly arm: ArmName;
   readonly changes: SiteChanges;
@@ -27,23 +27,23 @@
   readonly timer: TimerService;
 }
 
-/** How a site stopped. */
+/** Result of stopping a site. */
 export interface SiteStop {
-  /** Names of what had to be killed. */
+  /** Names of the processes that had to be killed. */
   readonly killed: readonly string[];
-  /** How long the slowest daemon took, milliseconds. */
+  /** Stop time of the slowest daemon, in milliseconds. */
   readonly milliseconds: number;
 }
 
-/** A site under experiment, what ran on it, and the faults put to it. */
+/** The site of an experiment, with its recorders and fault injection. */
 export class ExperimentSite {
-  readonly executions: ExecutionBook;
-  readonly runnerTime: RunnerTimeBook;
+  readonly executions: ExecutionRecorder;
+  readonly runnerTime: RunnerTimeRecorder;
   readonly faults: SiteFaults;
-  /** What the daemons warned of. */
-  readonly logs = new LogBook();
+  /** Warnings and errors of the daemons. */
+  readonly logs = new DaemonLogRecorder();
   readonly arm: ArmName;
-  /** Ports of daemons that died without warning. */
+  /** Ports of daemons that were killed without warning. */
   readonly deadDaemonPorts = new Set<number>();
   readonly #site: Site;
   readonly #options: ExperimentSiteOptions;
@@ -54,8 +54,8 @@
     const { arm, timer } = options;
     this.arm = arm;
     this.#options = options;
-    this.executions = new ExecutionBook(timer);
-    this.runnerTime = new RunnerTimeBook((endpoint) =>
+    this.executions = new ExecutionRecorder(timer);
+    this.runnerTime = new RunnerTimeRecorder((endpoint) =>
       this.#site.controlEndpoint(endpoint, {
         method: "GET",
         path: "/control/executions",
@@ -65,7 +65,7 @@
     this.faults = new SiteFaults(this.#site);
   }
 
-  /** Starts everything and waits until it serves. */
+  /** Starts all processes and waits until the configuration is in force. */
   async start(): Promise<void> {
     await this.#site.start();
     for (const endpoint of this.#site.endpoints) {
@@ -79,14 +79,14 @@
     });
   }
 
-  /** Daemons that were not killed or stopped. */
+  /** Daemons that were neither killed nor stopped. */
   get daemons(): readonly SiteDaemon[] {
     return this.#site.daemons.filter(({ id }) =>
       !this.#gone.has(id) && !this.#leaving.has(id)
     );
   }
 
-  /** Endpoints that were not killed and do not leave. */
+  /** Endpoints that were not killed and are not leaving. */
   get endpoints(): readonly SiteEndpoint[] {
     return this.#site.endpoints.filter(({ id }) =>
       !this.#gone.has(id) && !this.#leaving.has(id)
@@ -98,7 +98,7 @@
     return this.endpoints.filter((endpoint) => endpoint.service === service);
   }
 
-  /** Starts a further daemon and lists it. */
+  /** Starts another daemon and adds it to the VM list. */
   async addDaemon(): Promise<SiteDaemon> {
     const daemon = await this.#site.startDaemon(this.#site.daemons.length);
     this.logs.follow(daemon);
@@ -106,7 +106,7 @@
     return daemon;
   }
 
-  /** Starts a further endpoint of a service and lists it. */
+  /** Starts another endpoint of a service and adds it to the VM list. */
   async addEndpoint(service: string): Promise<SiteEndpoint> {
     const pool = createPools(this.#options.changes).find((candidate) =>
       candidate.service === service
@@ -121,7 +121,7 @@
     return endpoint;
   }
 
-  /** Kills daemons without warning; the VM list tells after its lag. */
+  /** Kills daemons without warning; the VM list shows it after its lag. */
   async killDaemons(daemons: readonly SiteDaemon[]): Promise<void> {
     for (const { id, port } of daemons) {
       this.#gone.add(id);
@@ -131,7 +131,7 @@
     await this.#publish();
   }
 
-  /** Stops a daemon as planned; returns its exit code. */
+  /** Stops a daemon gracefully; returns its exit code. */
   async stopDaemon(daemon: SiteDaemon): Promise<number | null> {
     this.#leaving.add(daemon.id);
     await this.#publish();
@@ -141,24 +141,28 @@
     return code;
   }
 
-  /** Kills endpoints without warning; the VM list tells after its lag. */
+  /** Kills endpoints without warning; the VM list shows it after its lag. */
   async killEndpoints(endpoints: readonly SiteEndpoint[]): Promise<void> {
-    await Promise.all(endpoints.map((one) => this.runnerTime.read(one)));
+    await Promise.all(
+      endpoints.map((endpoint) => this.runnerTime.read(endpoint)),
+    );
     for (const { id } of endpoints) this.#gone.add(id);
     await Promise.all(endpoints.map(({ process }) => process.kill()));
     await this.#publish();
   }
 
-  /** Lists endpoints as leaving; they are told nothing themselves. */
+  /** Lists endpoints as leaving, without notifying the endpoints. */
   async listAsLeaving(endpoints: readonly SiteEndpoint[]): Promise<void> {
     for (const { id } of endpoints) this.#leaving.add(id);
     await this.#publish();
   }
 
-  /** Lets endpoints finish what they have and exit. */
+  /** Drains endpoints: they finish their running calls and exit. */
   async leave(endpoints: readonly SiteEndpoint[]): Promise<void> {
     for (const { id } of endpoints) this.#leaving.add(id);
-    await Promise.all(endpoints.map((one) => this.runnerTime.read(one)));
+    await Promise.all(
+      endpoints.map((endpoint) => this.runnerTime.read(endpoint)),
+    );
     await Promise.all(
       endpoints.map((endpoint) =>
         this.#site.controlEndpoint(endpoint, {
@@ -168,10 +172,12 @@
       ),
     );
     await this.#publish();
-    void Promise.all(endpoints.map((one) => this.#followLeaving(one)));
+    void Promise.all(
+      endpoints.map((endpoint) => this.#followLeaving(endpoint)),
+    );
   }
 
-  /** Reads the runner time of every endpoint that lives. */
+  /** Reads the runner time of all live endpoints. */
   async readRunnerTime(): Promise<void> {
     await Promise.all(
       this.endpoints.map((endpoint) => this.runnerTime.read(endpoint)),
@@ -179,8 +185,8 @@
   }
 
   /**
-   * Stops the daemons, while the platform and the endpoints still work, then
-   * all the rest.
+   * Stops the daemons while the platform and the endpoints still run, then all
+   * other processes.
    */
   async stop(): Promise<SiteStop> {
     const { timer } = this.#options;
@@ -198,7 +204,7 @@
     return { killed: [...killed, ...await this.#site.stop()], milliseconds };
   }
 
-  /** Reads what a leaving endpoint still does until it has gone. */
+  /** Reads the runner time of a leaving endpoint until it exits. */
   async #followLeaving(endpoint: SiteEndpoint): Promise<void> {
     let isGone = false;
     void endpoint.process.exited.then(() => {
--- a/packages/kelpspar-standins/src/experiments/site/site_faults.ts
+++ b/packages/kelpspar-standins/src/experiments/site/site_faults.ts
@@ -4,7 +4,7 @@
 import type { TableCounters } from "../../table/table_counters.ts";
 import type { TableFaults } from "../../table/table_faults.ts";
 
-/** The faults that an experiment puts to a site. */
+/** Fault injection for an experiment's site. */
 export class SiteFaults {
   readonly #site: Site;
 
@@ -24,7 +24,7 @@
     });
   }
 
-  /** Makes the open connections of endpoints silent for good. */
+  /** Makes the open connections of endpoints permanently silent. */
   async silence(endpoints: readonly SiteEndpoint[]): Promise<void> {
     await Promise.all(
       endpoints.map((endpoint) =>
@@ -36,7 +36,7 @@
     );
   }
 
-  /** Makes the open connections to the table and the VM list silent. */
+  /** Makes the open connections of the table and the VM list silent. */
   async silencePlatform(): Promise<void> {
     const exchange = { method: "POST", path: "/control/silence" } as const;
     await this.#site.control("table", exchange);
@@ -52,7 +52,7 @@
     });
   }
 
-  /** What the table was asked. */
+  /** Reads the table's request counters. */
   async tableCounters(): Promise<TableCounters> {
     const exchange = { method: "GET", path: "/control/counters" } as const;
     return await this.#site.control("table", exchange) as TableCounters;
