--- a/packages/kelpspar-standins/src/demo/run_demo.ts
+++ b/packages/kelpspar-standins/src/demo/run_demo.ts
@@ -80,9 +80,7 @@
   for (const cost of answer.cost) print(`    ${describeCost(cost)}`);
   if (request.idempotencyKey !== undefined) {
     const repeated = await client.submitWhole(submit);
-    if (repeated.text !== answer.text) {
-      throw new Error("The answers to one idempotency key differ");
-    }
+    if (repeated.text !== answer.text) throw new Error("The answers differ");
     print("  sent again: the same answer");
   }
   await client.close();
--- a/packages/kelpspar-standins/src/experiments/caller/caller.ts
+++ b/packages/kelpspar-standins/src/experiments/caller/caller.ts
@@ -178,9 +178,7 @@
       state.daemon = next;
       return true;
     }
-    if (outcome !== "not_run" || policy.retriesAfterDelay !== true) {
-      return false;
-    }
+    if (outcome !== "not_run" || policy.retriesLater !== true) return false;
     if (retryAfterMilliseconds === undefined) return false;
     const { timer } = this.#options;
     const left = state.plannedAt + state.request.deadlineMilliseconds -
--- a/packages/kelpspar-standins/src/experiments/caller/caller_policy.ts
+++ b/packages/kelpspar-standins/src/experiments/caller/caller_policy.ts
@@ -6,7 +6,7 @@
   /** Retries at a daemon of `elsewhere`, after a refusal with `not_run`. */
   readonly followsElsewhere?: boolean;
   /** Retries after the refusal's delay, if its outcome is `not_run`. */
-  readonly retriesAfterDelay?: boolean;
+  readonly retriesLater?: boolean;
   /** Resubmits under the same idempotency key after a broken answer. */
   readonly resubmitsCut?: boolean;
   /** Binds the idempotency keys of once-requests to a daemon. */
--- a/packages/kelpspar-standins/src/experiments/caller/submit.ts
+++ b/packages/kelpspar-standins/src/experiments/caller/submit.ts
@@ -39,7 +39,7 @@
       return { type: "failure", failure, text: "" };
     }
     wasAccepted = true;
-    return await readAnswer(answer.body, assembler);
+    return await follow(answer.body, assembler);
   } catch (thrown) {
     if (submission.signal.aborted) {
       return { type: "timed_out", text: assembler.text };
@@ -49,7 +49,7 @@
   }
 }
 
-async function readAnswer(
+async function follow(
   body: AsyncIterable<Uint8Array>,
   assembler: AnswerAssembler,
 ): Promise<SubmissionEnd> {
--- a/packages/kelpspar-standins/src/experiments/configuration/operator_client.ts
+++ b/packages/kelpspar-standins/src/experiments/configuration/operator_client.ts
@@ -4,8 +4,8 @@
 
 const TIMEOUT_MILLISECONDS = 3_000;
 
-/** A request to a daemon's operator interface. */
-export interface OperatorRequest {
+/** A request to the operator interface of a daemon. */
+export interface OperatorExchange {
   readonly method: "GET" | "POST";
   readonly path: string;
   readonly body?: unknown;
@@ -14,7 +14,7 @@
 /** Sends an operator request; undefined if no answer arrives in time. */
 export async function requestAsOperator(
   port: number,
-  request: OperatorRequest,
+  exchange: OperatorExchange,
   options: { readonly timer: TimerService },
 ): Promise<{ readonly status: number; readonly body: unknown } | undefined> {
   const client = new Client(`http://127.0.0.1:${port}`);
@@ -25,10 +25,10 @@
   );
   try {
     const answer = await client.request({
-      method: request.method,
-      path: request.path,
+      method: exchange.method,
+      path: exchange.path,
       headers: { authorization: `Bearer ${OPERATOR_KEY}` },
-      body: request.body === undefined ? null : JSON.stringify(request.body),
+      body: exchange.body === undefined ? null : JSON.stringify(exchange.body),
       signal: abort.signal,
     });
     const body = await answer.body.json();
--- a/packages/kelpspar-standins/src/experiments/configuration/operator_race.ts
+++ b/packages/kelpspar-standins/src/experiments/configuration/operator_race.ts
@@ -124,11 +124,11 @@
 
   #request(
     index: number,
-    request: Parameters<typeof requestAsOperator>[1],
+    exchange: Parameters<typeof requestAsOperator>[1],
   ): ReturnType<typeof requestAsOperator> {
     const { daemons } = this.#site;
     const port = daemons[index % daemons.length]?.port ?? 0;
-    return requestAsOperator(port, request, { timer: this.#timer });
+    return requestAsOperator(port, exchange, { timer: this.#timer });
   }
 }
 
--- a/packages/kelpspar-standins/src/experiments/definitions/store_outage.ts
+++ b/packages/kelpspar-standins/src/experiments/definitions/store_outage.ts
@@ -15,13 +15,13 @@
   name: "store-outage",
   question: "What is served while the table is down, by kind of key?",
   runs: [
-    createRun("naive", "free-keys", false),
-    createRun("kelpspar", "free-keys", false),
-    createRun("kelpspar", "bound-keys", true),
+    outage("naive", "free-keys", false),
+    outage("kelpspar", "free-keys", false),
+    outage("kelpspar", "bound-keys", true),
   ],
 };
 
-function createRun(
+function outage(
   arm: ArmName,
   variant: string,
   bindsKeys: boolean,
