--- a/packages/kelpspar-standins/src/demo/run_demo.ts
+++ b/packages/kelpspar-standins/src/demo/run_demo.ts
@@ -48,7 +48,7 @@
       configuration: example.written,
     });
     print(`Revision ${revision} is in force at every daemon`);
-    for (const request of demo.requests) await send(site, request, options);
+    for (const request of demo.requests) await show(site, request, options);
   } catch (thrown) {
     await site.stop();
     throw thrown;
@@ -58,7 +58,7 @@
   print("Every process ended gracefully");
 }
 
-async function send(
+async function show(
   site: Site,
   request: DemoRequest,
   options: RunDemoOptions,
