--- a/packages/kelpspar-decisions/src/__tests__/unit/routing_shared_pace_test.ts
+++ b/packages/kelpspar-decisions/src/__tests__/unit/routing_shared_rate_limiter_test.ts
@@ -1,8 +1,8 @@
-import type { RateLimitRequest } from "../../routing/shared_pace.ts";
+import type { RateLimitRequest } from "../../routing/shared_rate_limiter.ts";
 import { expect } from "earl";
 import { SeededRandom } from "kelpspar-shared";
 import { test } from "node:test";
-import { SharedRateLimiter } from "../../routing/shared_pace.ts";
+import { SharedRateLimiter } from "../../routing/shared_rate_limiter.ts";
 
 const PER_SECOND = 6;
 /** Tolerance that the requirements allow above the endpoint's rate limit. */
--- a/packages/kelpspar-decisions/src/routing/mod.ts
+++ b/packages/kelpspar-decisions/src/routing/mod.ts
@@ -49,5 +49,5 @@
 export { PrefixIndex } from "./prefix_index.ts";
 export { hashText, rendezvousScore } from "./rendezvous_hash.ts";
 export { RendezvousNodes } from "./rendezvous_nodes.ts";
-export { SharedRateLimiter } from "./shared_pace.ts";
+export { SharedRateLimiter } from "./shared_rate_limiter.ts";
 export { assignWatches } from "./watch_assignment.ts";
--- a/packages/kelpspar-scenarios/src/guards/notice_guards.ts
+++ b/packages/kelpspar-scenarios/src/guards/notice_guards.ts
@@ -22,7 +22,7 @@
   },
   {
     name: "a share that isn't used in its turn is lost",
-    file: "packages/kelpspar-decisions/src/routing/shared_pace.ts",
+    file: "packages/kelpspar-decisions/src/routing/shared_rate_limiter.ts",
     code: "const isInSlot = intervalFraction < CONCURRENT_SENDERS / senders;",
     without: "const isInSlot = intervalFraction >= 0;",
     noticedBy: `${TESTS}/limited_load_test.ts`,
