--- a/packages/kelpspar-decisions/src/__tests__/unit/routing_shared_rate_limiter_test.ts
+++ b/packages/kelpspar-decisions/src/__tests__/unit/routing_shared_rate_limiter_test.ts
@@ -88,7 +88,7 @@
   }
 });
 
-// Guards against a second cold start that continues with the first one's pace.
+// Guards against a second cold start that continues with the first one's rate.
 test("the pacer of an endpoint that was unused for long is reset", () => {
   const limiter = new SharedRateLimiter(new SeededRandom(1));
   const request = { perSecond: 1, senders: 1_000 };
--- a/packages/kelpspar-gateway/src/__tests__/support/play_limited_load.ts
+++ b/packages/kelpspar-gateway/src/__tests__/support/play_limited_load.ts
@@ -9,8 +9,8 @@
 const SERVICE = "service";
 const STEP_MILLISECONDS = 10;
 const MILLISECONDS_PER_SECOND = 1_000;
-/** Limits apply to the requests in any span of this length. */
-const SPAN_MILLISECONDS = 4_000;
+/** Limits apply to the requests in any window of this length. */
+const WINDOW_MILLISECONDS = 4_000;
 
 /** Load of a fleet on endpoints with limits. */
 export interface LimitedLoad {
@@ -98,13 +98,14 @@
   return { sentAt, asked };
 }
 
-/** Most sends to one endpoint in any span that starts at `from` or later. */
-export function maxInSpan(sentAt: readonly number[], from = 0): number {
+/** Most sends to one endpoint in any window that starts at `from` or later. */
+export function maximumInWindow(sentAt: readonly number[], from = 0): number {
   const late = sentAt.filter((at) => at >= from);
   return Math.max(
     0,
     ...late.map((start) =>
-      late.filter((at) => at >= start && at < start + SPAN_MILLISECONDS).length
+      late.filter((at) => at >= start && at < start + WINDOW_MILLISECONDS)
+        .length
     ),
   );
 }
--- a/packages/kelpspar-gateway/src/__tests__/support/request_world.ts
+++ b/packages/kelpspar-gateway/src/__tests__/support/request_world.ts
@@ -106,7 +106,7 @@
   readonly logLines: { readonly message: string; readonly fields: LogFields }[];
 }
 
-/** Answers endpoint endpointCalls in the order of `script`, at any endpoint. */
+/** Answers endpoint calls in the order of `script`, at any endpoint. */
 export function createWorld(
   script: readonly ScriptedAnswer[],
   options: {
--- a/packages/kelpspar-gateway/src/__tests__/unit/limited_chains_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/limited_chains_test.ts
@@ -11,7 +11,7 @@
 import { PieceCoordinator } from "../../pieces/piece_coordinator.ts";
 import { ServiceRetryBudget } from "../../retries/service_retry_budget.ts";
 import { configurationOf } from "../support/configuration_of.ts";
-import { maxInSpan } from "../support/play_limited_load.ts";
+import { maximumInWindow } from "../support/play_limited_load.ts";
 
 const LIMIT = 2;
 const MODELS = 3;
@@ -155,7 +155,7 @@
 test("chains over the limits of all models are refused at once", async () => {
   const { ended, placedAt } = await play(MODEL_IDS, 1);
   for (const id of MODEL_IDS) {
-    expect(maxInSpan(placedAt.get(id) ?? [])).toBeLessThanOrEqual(
+    expect(maximumInWindow(placedAt.get(id) ?? [])).toBeLessThanOrEqual(
       MAX_IN_SPAN,
     );
   }
@@ -184,7 +184,7 @@
 // Guards against piece calls that aren't counted towards the limit.
 test("a stage endpoint gets no more calls than its limit", async () => {
   const { ended, callsAt } = await play(["stage-0"], 1);
-  expect(maxInSpan(callsAt.get("stage-0") ?? [])).toBeLessThanOrEqual(
+  expect(maximumInWindow(callsAt.get("stage-0") ?? [])).toBeLessThanOrEqual(
     MAX_IN_SPAN,
   );
   expect((callsAt.get("stage-0") ?? []).length).toBeGreaterThan(20);
--- a/packages/kelpspar-gateway/src/__tests__/unit/limited_load_test.ts
+++ b/packages/kelpspar-gateway/src/__tests__/unit/limited_load_test.ts
@@ -1,7 +1,10 @@
 import type { LimitedLoad } from "../support/play_limited_load.ts";
 import { expect } from "earl";
 import { test } from "node:test";
-import { maxInSpan, playLimitedLoad } from "../support/play_limited_load.ts";
+import {
+  maximumInWindow,
+  playLimitedLoad,
+} from "../support/play_limited_load.ts";
 
 const SEEDS = [1, 2, 3, 4, 5];
 const PLAY_MILLISECONDS = 60_000;
@@ -43,7 +46,7 @@
         milliseconds: 20_000,
       });
       for (const sent of plays.flatMap(({ sentAt }) => sentAt)) {
-        expect(maxInSpan(sent)).toBeLessThanOrEqual(maxAllowed(limit));
+        expect(maximumInWindow(sent)).toBeLessThanOrEqual(maxAllowed(limit));
       }
     });
   }
@@ -70,7 +73,7 @@
   });
   for (const { sentAt: [sent = []] } of plays) {
     expect(sent.length).toBeGreaterThan(0);
-    expect(maxInSpan(sent)).toBeLessThanOrEqual(maxAllowed(1));
+    expect(maximumInWindow(sent)).toBeLessThanOrEqual(maxAllowed(1));
   }
 });
 
@@ -83,7 +86,7 @@
       limitAt: () => limit,
     });
     for (const sent of plays.flatMap(({ sentAt }) => sentAt)) {
-      expect(maxInSpan(sent)).toBeLessThanOrEqual(maxAllowed(limit));
+      expect(maximumInWindow(sent)).toBeLessThanOrEqual(maxAllowed(limit));
     }
   }
 });
@@ -93,7 +96,7 @@
   for (const daemons of [6, 85]) {
     const plays = playSeeds({ daemons, restartEveryMilliseconds: 500 });
     for (const sent of plays.flatMap(({ sentAt }) => sentAt)) {
-      expect(maxInSpan(sent)).toBeLessThanOrEqual(maxAllowed(1));
+      expect(maximumInWindow(sent)).toBeLessThanOrEqual(maxAllowed(1));
     }
   }
 });
@@ -102,7 +105,7 @@
 test("daemons that know two thirds of the others stay within the limits", () => {
   const plays = playSeeds({ daemons: 85, visibleDaemons: 57 });
   for (const sent of plays.flatMap(({ sentAt }) => sentAt)) {
-    expect(maxInSpan(sent)).toBeLessThanOrEqual(maxAllowed(1));
+    expect(maximumInWindow(sent)).toBeLessThanOrEqual(maxAllowed(1));
   }
 });
 
@@ -115,10 +118,14 @@
     for (const sent of plays.flatMap(({ sentAt }) => sentAt)) {
       const until = (at: number): readonly number[] =>
         sent.filter((one) => one < at);
-      expect(maxInSpan(until(20_000))).toBeLessThanOrEqual(maxAllowed(12));
-      expect(maxInSpan(until(40_000), 20_000))
+      expect(maximumInWindow(until(20_000))).toBeLessThanOrEqual(
+        maxAllowed(12),
+      );
+      expect(maximumInWindow(until(40_000), 20_000))
         .toBeLessThanOrEqual(maxAllowed(4));
-      expect(maxInSpan(sent, 40_000)).toBeLessThanOrEqual(maxAllowed(0.5));
+      expect(maximumInWindow(sent, 40_000)).toBeLessThanOrEqual(
+        maxAllowed(0.5),
+      );
     }
   }
 });
@@ -128,7 +135,7 @@
   for (const { sentAt } of playSeeds({ limitAt: () => 0 })) {
     for (const sent of sentAt) {
       expect(sent.length).toBeGreaterThan(0);
-      expect(maxInSpan(sent)).toBeLessThanOrEqual(maxAllowed(0));
+      expect(maximumInWindow(sent)).toBeLessThanOrEqual(maxAllowed(0));
     }
   }
 });
--- a/packages/kelpspar-gateway/src/endpoints/endpoint_rate_limiter.ts
+++ b/packages/kelpspar-gateway/src/endpoints/endpoint_rate_limiter.ts
@@ -52,11 +52,11 @@
  */
 export class EndpointRateLimiter {
   readonly #options: EndpointRateLimiterOptions;
-  readonly #pace: SharedRateLimiter;
+  readonly #rateLimiter: SharedRateLimiter;
 
   constructor(options: EndpointRateLimiterOptions) {
     this.#options = options;
-    this.#pace = new SharedRateLimiter(options.random);
+    this.#rateLimiter = new SharedRateLimiter(options.random);
   }
 
   /**
@@ -94,7 +94,7 @@
   waitFor(endpoint: EndpointState, now: number): number {
     const limit = this.limitOf(endpoint, now);
     if (limit === undefined) return 0;
-    return this.#pace.delayFor(endpoint.entry.id, {
+    return this.#rateLimiter.delayFor(endpoint.entry.id, {
       perSecond: limit * this.#roleShare(endpoint),
       senders: this.#options.senderCount(),
       now,
@@ -104,7 +104,7 @@
   /** Records a request to the endpoint. */
   recordRequest(endpoint: EndpointState, now: number): void {
     if (this.limitOf(endpoint, now) === undefined) return;
-    this.#pace.recordSent(endpoint.entry.id, now);
+    this.#rateLimiter.recordSent(endpoint.entry.id, now);
   }
 
   #roleShare({ entry }: EndpointState): number {
