--- a/packages/kelpspar-daemon/src/__tests__/support/core_harness.ts
+++ b/packages/kelpspar-daemon/src/__tests__/support/core_harness.ts
@@ -40,7 +40,7 @@
   const configuration = createConfiguration(options.configuration);
   core.configurationManager.offer(createRow(1, configuration), "table");
   core.state.update(() => ({ vms: ENDPOINT_VMS }));
-  core.watch.applyVmList();
+  core.endpointMonitor.applyVmList();
   return {
     timer,
     ports,
--- a/packages/kelpspar-daemon/src/__tests__/unit/request_service_test.ts
+++ b/packages/kelpspar-daemon/src/__tests__/unit/request_service_test.ts
@@ -15,17 +15,17 @@
 };
 const BOOKING = { pipeline: "booking", idempotencyKey: "k" };
 
-async function withBench(
+async function withHarness(
   options: Parameters<typeof createCoreHarness>[0],
-  run: (bench: CoreHarness) => Promise<void>,
+  run: (harness: CoreHarness) => Promise<void>,
 ): Promise<void> {
-  const bench = createCoreHarness(options);
-  await run(bench);
-  await bench.stop();
+  const harness = createCoreHarness(options);
+  await run(harness);
+  await harness.stop();
 }
 
 const ENDINGS: Readonly<
-  Record<string, (bench: CoreHarness, context: RequestContext) => void>
+  Record<string, (harness: CoreHarness, context: RequestContext) => void>
 > = {
   deadline_exceeded: () => {},
   cancelled: ({ core }, context) => core.requests.cancel(context, "a test"),
@@ -39,12 +39,12 @@
     // disconnects. The stage threw before it released its permit, and didn't
     // cancel the call at the endpoint.
     const settings = { limits: { abandonedGraceMilliseconds: 0 } };
-    return withBench({ settings }, async (bench) => {
-      const { core, ports, timer } = bench;
+    return withHarness({ settings }, async (harness) => {
+      const { core, ports, timer } = harness;
       ports.endpoints.onCall = () => {};
-      const context = bench.submit({});
+      const context = harness.submit({});
       await timer.settle();
-      end(bench, context);
+      end(harness, context);
       await timer.advance(1);
       const { final } = context.log;
       expect(final === undefined).toEqual(name === "deadline_exceeded");
@@ -55,7 +55,7 @@
       const [call] = ports.endpoints.calls;
       expect(call?.options.signal.aborted).toEqual(true);
       expect(ports.endpoints.cancelled).toEqual([call?.call.attemptId ?? ""]);
-      expect(inFlight(bench)).toEqual(0);
+      expect(inFlight(harness)).toEqual(0);
       expect(core.scheduler.loadOf(ENCODE).utilization).toEqual(0);
     });
   });
@@ -66,13 +66,13 @@
     createAccount("large", 0.6),
     { ...createAccount("small", 0.4), maximumQueuedRequests: 1 },
   ];
-  return withBench({ configuration: { accounts } }, async (bench) => {
-    bench.ports.endpoints.onCall = () => {};
+  return withHarness({ configuration: { accounts } }, async (harness) => {
+    harness.ports.endpoints.onCall = () => {};
     const finals = Array.from(
       { length: 40 },
-      () => bench.submit({ deadlineMilliseconds: 60_000 }).log,
+      () => harness.submit({ deadlineMilliseconds: 60_000 }).log,
     );
-    await bench.timer.advance(1);
+    await harness.timer.advance(1);
     const failures = finals.flatMap(({ final }) =>
       final?.type === "failure" ? [final] : []
     );
@@ -90,12 +90,12 @@
   // made, or makes it twice. The booking's call is in flight at the deadline and
   // answers later; the caller looks up its key and resubmits the request. A
   // result after the final record was dropped.
-  withBench({}, async (bench) => {
-    const { core, ports, timer } = bench;
+  withHarness({}, async (harness) => {
+    const { core, ports, timer } = harness;
     ports.endpoints.onCall = (call) => {
       if (call.call.stageId === "encode") call.answer("encoded");
     };
-    const context = bench.submit(BOOKING);
+    const context = harness.submit(BOOKING);
     await timer.advance(DEADLINE_MILLISECONDS);
     expect({ ...context.log.final }).toLooseEqual(expect.subset({
       result: "deadline_exceeded",
@@ -111,7 +111,7 @@
     );
     expect("result" in found && "text" in found.result && found.result.text)
       .toEqual("booked");
-    const again = bench.submit({ ...BOOKING, resubmission: true });
+    const again = harness.submit({ ...BOOKING, resubmission: true });
     expect([again.log.text(), again.log.final?.type]).toEqual([
       "booked",
       "end",
@@ -124,46 +124,49 @@
   // Failure: a caller that got not_run books again, and two trucks arrive. A
   // booking's first submission got no answer, and the second one is refused for
   // any reason. The refusing daemon has no record of the first submission.
-  withBench({ settings: { limits: { maximumRequests: 1 } } }, async (bench) => {
-    const { core } = bench;
-    const refusals: Partial<SubmitRequest>[] = [
-      { pipeline: "none" },
-      { pipeline: "large-only" },
-      { deadlineMilliseconds: 0 },
-      { idempotencyKey: "@other/0.k" },
-      { idempotencyKey: "@malformed/k" },
-    ];
-    const check = (request: Partial<SubmitRequest>): string => {
-      const first = refusalOf(bench, request);
-      const again = refusalOf(bench, { ...request, resubmission: true });
-      expect(again.result).toEqual(first.result);
-      expect(again.outcome).toEqual("outcome_unknown");
-      return first.result;
-    };
-    expect(refusals.map(check)).toEqual([
-      "unknown_pipeline",
-      "not_allowed",
-      "deadline_out_of_range",
-      "wrong_daemon",
-      "malformed_request",
-    ]);
-    bench.ports.endpoints.onCall = () => {};
-    bench.submit({ deadlineMilliseconds: 60_000 });
-    expect(check(BOOKING)).toEqual("overloaded");
-    core.state.update(() => ({ isLeaving: true }));
-    expect(check(BOOKING)).toEqual("draining");
-  }));
+  withHarness(
+    { settings: { limits: { maximumRequests: 1 } } },
+    async (harness) => {
+      const { core } = harness;
+      const refusals: Partial<SubmitRequest>[] = [
+        { pipeline: "none" },
+        { pipeline: "large-only" },
+        { deadlineMilliseconds: 0 },
+        { idempotencyKey: "@other/0.k" },
+        { idempotencyKey: "@malformed/k" },
+      ];
+      const check = (request: Partial<SubmitRequest>): string => {
+        const first = refusalOf(harness, request);
+        const again = refusalOf(harness, { ...request, resubmission: true });
+        expect(again.result).toEqual(first.result);
+        expect(again.outcome).toEqual("outcome_unknown");
+        return first.result;
+      };
+      expect(refusals.map(check)).toEqual([
+        "unknown_pipeline",
+        "not_allowed",
+        "deadline_out_of_range",
+        "wrong_daemon",
+        "malformed_request",
+      ]);
+      harness.ports.endpoints.onCall = () => {};
+      harness.submit({ deadlineMilliseconds: 60_000 });
+      expect(check(BOOKING)).toEqual("overloaded");
+      core.state.update(() => ({ isLeaving: true }));
+      expect(check(BOOKING)).toEqual("draining");
+    },
+  ));
 
 test("a running hedge is not abandoned when the first call fails", () =>
   // Failure: a request fails, or makes three calls, although a call is still in
   // flight. A call is late, a hedge is sent to another endpoint, and then the
   // first endpoint dies. The first call's failure ended the hedge too.
-  withBench({}, async (bench) => {
-    const { ports, timer } = bench;
-    await warmUp(bench);
+  withHarness({}, async (harness) => {
+    const { ports, timer } = harness;
+    await warmUp(harness);
     const callsBefore = ports.endpoints.calls.length;
     ports.endpoints.onCall = () => {};
-    const context = bench.submit({ deadlineMilliseconds: 10_000 });
+    const context = harness.submit({ deadlineMilliseconds: 10_000 });
     await timer.advance(200);
     const [first, hedge] = ports.endpoints.calls.slice(callsBefore);
     expect(hedge?.endpoint.endpointId === first?.endpoint.endpointId)
@@ -175,29 +178,29 @@
     expect([context.log.text(), context.log.final?.type])
       .toEqual(["hedged", "end"]);
     expect(ports.endpoints.calls.length - callsBefore).toEqual(2);
-    expect(inFlight(bench)).toEqual(0);
+    expect(inFlight(harness)).toEqual(0);
   }));
 
 /** Slow calls to raise the hedge delay, then enough calls to allow a hedge. */
-async function warmUp(bench: CoreHarness): Promise<void> {
-  const { ports, timer } = bench;
+async function warmUp(harness: CoreHarness): Promise<void> {
+  const { ports, timer } = harness;
   for (let round = 0; round < 100; round++) {
     const milliseconds = round < 49 ? 20 : 1;
     ports.endpoints.onCall = (call) => {
       timer.registerTimeout(() => call.answer("warm"), milliseconds);
     };
-    const context = bench.submit({});
+    const context = harness.submit({});
     await timer.advance(20);
     expect(context.log.text()).toEqual("warm");
   }
 }
 
 function refusalOf(
-  bench: CoreHarness,
+  harness: CoreHarness,
   request: Partial<SubmitRequest>,
 ): KelpsparError {
   try {
-    bench.submit(request);
+    harness.submit(request);
   } catch (thrown) {
     return toKelpsparError(thrown);
   }
@@ -216,7 +219,7 @@
     // Failure: two trucks arrive for one booking. An endpoint starts a booking,
     // then fails it with a failure record. Its reason was read as a refusal,
     // which would prove that the booking never started.
-    withBench({}, async ({ ports, timer, submit }) => {
+    withHarness({}, async ({ ports, timer, submit }) => {
       ports.endpoints.onCall = (call) => {
         if (call.call.stageId === "encode") return call.answer("encoded");
         call.push({ type: "failure", reason, started: true });
--- a/packages/kelpspar-daemon/src/__tests__/unit/stage_attempt_test.ts
+++ b/packages/kelpspar-daemon/src/__tests__/unit/stage_attempt_test.ts
@@ -31,7 +31,7 @@
 };
 const END = { runnerMilliseconds: 1, tokensIn: 1, tokensOut: 1 };
 
-class AttemptBench {
+class AttemptHarness {
   readonly timer = new ManualTimer();
   readonly endpoints = new FakeEndpoints();
   readonly progress = new StageProgress();
@@ -127,21 +127,21 @@
       fc.array(foreignRecords, { maxLength: 4 }),
       fc.nat(8),
       async (own, foreign, at) => {
-        const bench = new AttemptBench();
+        const harness = new AttemptHarness();
         const sent = own.toSpliced(at, 0, ...foreign);
-        for (const record of sent) bench.call.push(record);
-        bench.call.close();
-        await bench.timer.settle();
-        expect(bench.ending).toEqual("whole");
-        expect(bench.progress.text).toEqual(TEXT);
-        expect(bench.foreign.length).toEqual(foreign.length);
+        for (const record of sent) harness.call.push(record);
+        harness.call.close();
+        await harness.timer.settle();
+        expect(harness.ending).toEqual("whole");
+        expect(harness.progress.text).toEqual(TEXT);
+        expect(harness.foreign.length).toEqual(foreign.length);
       },
     ),
     { seed: 1, numRuns: 200 },
   ));
 
 test("a stream that ends before its result is complete fails the call", async () => {
-  const streams: ((call: AttemptBench["call"]) => void)[] = [
+  const streams: ((call: AttemptHarness["call"]) => void)[] = [
     (call) => call.chunk(0, "li"),
     (call) => call.end(4),
     (call) => {
@@ -154,23 +154,23 @@
     },
   ];
   for (const send of streams) {
-    const bench = new AttemptBench();
-    send(bench.call);
-    bench.call.close();
-    await bench.timer.settle();
-    expect([bench.ending, bench.outcome])
+    const harness = new AttemptHarness();
+    send(harness.call);
+    harness.call.close();
+    await harness.timer.settle();
+    expect([harness.ending, harness.outcome])
       .toEqual(["endpoint_failed", "outcome_unknown"]);
   }
 });
 
 test("a complete result is accepted although its stream breaks or stays open", async () => {
-  const broken = new AttemptBench();
+  const broken = new AttemptHarness();
   broken.call.end(4);
   broken.call.chunk(0, "lime");
   broken.call.fail(new Error("reset"));
   await broken.timer.settle();
   expect(broken.ending).toEqual("whole");
-  const open = new AttemptBench();
+  const open = new AttemptHarness();
   open.call.chunk(0, "lime");
   open.call.end(4);
   await open.timer.advance(TIMEOUT_MILLISECONDS / 2);
@@ -181,41 +181,48 @@
   // Failure: a request hangs until its deadline on a dead connection. After a
   // few records the connection delivers nothing more of the call, and without
   // an error it was treated as working.
-  const bench = new AttemptBench();
+  const harness = new AttemptHarness();
   const step = TIMEOUT_MILLISECONDS - 100;
   for (let offset = 0; offset < 3; offset++) {
-    await bench.timer.advance(step);
-    expect(bench.ending).toEqual(undefined);
-    bench.call.chunk(offset, "x");
+    await harness.timer.advance(step);
+    expect(harness.ending).toEqual(undefined);
+    harness.call.chunk(offset, "x");
   }
-  await bench.timer.advance(step);
-  bench.call.push({ type: "chunk", offset: 3, text: "x", attemptId: "other" });
-  await bench.timer.advance(TIMEOUT_MILLISECONDS - step + 50);
-  expect([bench.ending, bench.outcome])
+  await harness.timer.advance(step);
+  harness.call.push({
+    type: "chunk",
+    offset: 3,
+    text: "x",
+    attemptId: "other",
+  });
+  await harness.timer.advance(TIMEOUT_MILLISECONDS - step + 50);
+  expect([harness.ending, harness.outcome])
     .toEqual(["endpoint_silent", "outcome_unknown"]);
-  expect(bench.call.options.signal.aborted).toEqual(true);
+  expect(harness.call.options.signal.aborted).toEqual(true);
 });
 
 test("a call that the probe allows to continue may still complete", async () => {
-  const bench = new AttemptBench({ evaluateSilence: async () => undefined });
-  await bench.timer.advance(10 * TIMEOUT_MILLISECONDS);
-  expect(bench.ending).toEqual(undefined);
-  bench.call.answer("lime");
-  await bench.timer.settle();
-  expect(bench.ending).toEqual("whole");
+  const harness = new AttemptHarness({
+    evaluateSilence: async () => undefined,
+  });
+  await harness.timer.advance(10 * TIMEOUT_MILLISECONDS);
+  expect(harness.ending).toEqual(undefined);
+  harness.call.answer("lime");
+  await harness.timer.settle();
+  expect(harness.ending).toEqual("whole");
 });
 
 test("only the endpoint's failure record proves that a call did not start", async () => {
   for (const started of [true, false]) {
-    const bench = new AttemptBench();
-    bench.call.push({ type: "failure", reason: "overloaded", started });
-    await bench.timer.settle();
-    expect([bench.ending, bench.outcome]).toEqual([
+    const harness = new AttemptHarness();
+    harness.call.push({ type: "failure", reason: "overloaded", started });
+    await harness.timer.settle();
+    expect([harness.ending, harness.outcome]).toEqual([
       "endpoint_overloaded",
       started ? "outcome_unknown" : "not_run",
     ]);
   }
-  const aborted = new AttemptBench();
+  const aborted = new AttemptHarness();
   aborted.signal.abort(new Error("gone"));
   await aborted.timer.settle();
   expect(aborted.outcome).toEqual("outcome_unknown");
--- a/packages/kelpspar-daemon/src/actors/endpoints_actor.ts
+++ b/packages/kelpspar-daemon/src/actors/endpoints_actor.ts
@@ -9,7 +9,7 @@
 
 /** Dependencies of the endpoints actor. */
 export interface EndpointsActorOptions extends ActorOptions {
-  readonly watch: EndpointMonitor;
+  readonly endpointMonitor: EndpointMonitor;
   readonly loadPollMilliseconds: number;
 }
 
@@ -22,22 +22,22 @@
 export function startEndpointsActor(
   options: EndpointsActorOptions,
 ): () => void {
-  const { watch, state, timer, random } = options;
+  const { endpointMonitor, state, timer, random } = options;
   const send = spawnActor<null, EndpointsCommand>(options.system, {
     name: "endpoints",
     initialState: null,
     handlers: {
       list: () => {
-        watch.applyVmList();
-        watch.poll();
+        endpointMonitor.applyVmList();
+        endpointMonitor.poll();
         return null;
       },
       poll: () => {
-        watch.poll();
+        endpointMonitor.poll();
         return null;
       },
       probe: () => {
-        watch.probe();
+        endpointMonitor.probe();
         return null;
       },
     },
--- a/packages/kelpspar-daemon/src/create_core.ts
+++ b/packages/kelpspar-daemon/src/create_core.ts
@@ -34,7 +34,7 @@
   readonly scheduler: FairScheduler;
   readonly registry: RequestRegistry;
   readonly ledger: KeyLedger;
-  readonly watch: EndpointMonitor;
+  readonly endpointMonitor: EndpointMonitor;
   readonly fleet: Fleet;
   readonly metrics: DaemonMetrics;
   readonly requestMetrics: RequestMetrics;
@@ -97,7 +97,7 @@
     onWait: (request, milliseconds) =>
       requestMetrics.onWait(request, milliseconds),
   });
-  const watch = new EndpointMonitor({
+  const endpointMonitor = new EndpointMonitor({
     daemonId,
     availabilityZone,
     state,
@@ -117,7 +117,7 @@
     state,
     parts,
     scheduler,
-    watch,
+    endpointMonitor,
     revision: () => configuration.revision(),
     keyEpoch: () => ledger.advanceEpoch(timer.now()),
     spareShare: () => 1 - registry.running / limits.maximumRequests,
@@ -154,7 +154,7 @@
     scheduler,
     registry,
     ledger,
-    watch,
+    endpointMonitor,
     fleet,
     metrics,
     requestMetrics,
--- a/packages/kelpspar-daemon/src/create_request_parts.ts
+++ b/packages/kelpspar-daemon/src/create_request_parts.ts
@@ -39,7 +39,7 @@
   readonly claims: ClaimService;
   readonly requests: RequestService;
   readonly lookup: KeyLookup;
-  readonly arrivals: RequestAdmission;
+  readonly admission: RequestAdmission;
 }
 
 /** Creates the components that run requests. */
@@ -65,12 +65,12 @@
       log.warn("dropped a record of another request", { requestId, attemptId }),
   });
   const keys = new RequestKeys({ ledger: options.ledger, timer });
-  const askHolder = (
+  const createHolderQuery = (
     accountId: string,
     idempotencyKey: string,
   ): ClaimHolderQuery =>
     createAskHolder(options, { accountId, idempotencyKey });
-  const arrivals = new RequestAdmission({
+  const admission = new RequestAdmission({
     admission: options.parts.admission,
     scheduler: options.scheduler,
     registry,
@@ -86,9 +86,9 @@
     registry,
     keys,
     claims,
-    admission: arrivals,
+    admission,
     createHolderQuery: ({ account, request }) =>
-      askHolder(account.id, request.idempotencyKey ?? ""),
+      createHolderQuery(account.id, request.idempotencyKey ?? ""),
     incarnation: options.incarnation,
     timer,
     random,
@@ -110,10 +110,10 @@
     keys,
     registry,
     table,
-    createHolderQuery: askHolder,
+    createHolderQuery,
     incarnation: options.incarnation,
   });
-  return { claims, requests, lookup, arrivals };
+  return { claims, requests, lookup, admission };
 }
 
 function createAskHolder(
--- a/packages/kelpspar-daemon/src/drain_daemon.ts
+++ b/packages/kelpspar-daemon/src/drain_daemon.ts
@@ -43,7 +43,7 @@
     // A caller whose request meets a closing connection cannot know whether it
     // ran, so the server keeps listening until callers stop sending.
     const isQuiet =
-      now - core.arrivals.lastArrivalAt >= QUIET_PERIOD_MILLISECONDS ||
+      now - core.admission.lastArrivalAt >= QUIET_PERIOD_MILLISECONDS ||
       now - startedAt >= QUIET_TIMEOUT_MILLISECONDS;
     if (!isQuiet) return false;
     if (core.registry.running > 0) return false;
--- a/packages/kelpspar-daemon/src/fleet/fleet.ts
+++ b/packages/kelpspar-daemon/src/fleet/fleet.ts
@@ -95,7 +95,7 @@
 
   /** Applies a digest received from a peer. */
   receiveDigest(digest: PeerDigest): void {
-    const { parts, watch, timer } = this.#options;
+    const { parts, endpointMonitor, timer } = this.#options;
     const now = timer.now();
     applyNewerDrains(this.#options.state, digest);
     this.#refusedIncarnations.delete(digest.member.incarnation);
@@ -105,7 +105,7 @@
     } else {
       for (const demand of digest.demands) parts.fleet.accept(demand, now);
     }
-    watch.applyPeerLoads(digest.member);
+    endpointMonitor.applyPeerLoads(digest.member);
   }
 
   /** The digest of this interval, the same for every peer. */
@@ -137,7 +137,7 @@
         keyEpoch: options.keyEpoch(),
         revision: options.revision(),
         spareShare: options.spareShare(),
-        ...options.watch.createLoadDigest(),
+        ...options.endpointMonitor.createLoadDigest(),
         usage: { accountIds: [], costs: [] },
       },
       drains: copyDrains(drains),
--- a/packages/kelpspar-daemon/src/fleet/fleet_options.ts
+++ b/packages/kelpspar-daemon/src/fleet/fleet_options.ts
@@ -17,7 +17,7 @@
   readonly state: StateStore<DaemonState>;
   readonly parts: DecisionParts;
   readonly scheduler: FairScheduler;
-  readonly watch: EndpointMonitor;
+  readonly endpointMonitor: EndpointMonitor;
   readonly revision: () => number;
   readonly keyEpoch: () => number;
   /** Fraction of the request capacity that is free, 0 to 1. */
--- a/packages/kelpspar-daemon/src/orders/engine_group_controller.ts
+++ b/packages/kelpspar-daemon/src/orders/engine_group_controller.ts
@@ -23,7 +23,7 @@
   readonly #options: EngineGroupControllerOptions;
   readonly #lease: GroupLease;
   readonly #lastOrders = new Map<string, OrderedEngine>();
-  readonly #takenOutAt = new Map<string, number>();
+  readonly #removedFromRoutingAt = new Map<string, number>();
   readonly #grants = new Map<string, number>();
   readonly #grantRetryAt = new Map<string, number>();
   #isPlanning = false;
@@ -101,12 +101,13 @@
   }
 
   #roleOf(endpointId: string): DesiredEngineState["role"] {
-    return this.#options.watch.reportOf(endpointId)?.report.role ?? "any";
+    return this.#options.endpointMonitor.reportOf(endpointId)?.report.role ??
+      "any";
   }
 
   #toPlannedEngine(vm: ListedVm, desired: DesiredEngineState): PlannedEngine {
-    const { watch, parts } = this.#options;
-    const known = watch.reportOf(vm.id);
+    const { endpointMonitor, parts } = this.#options;
+    const known = endpointMonitor.reportOf(vm.id);
     const takenOutAt = this.#trackTakenOut(vm);
     const ordered = this.#lastOrders.get(vm.id);
     return {
@@ -127,13 +128,13 @@
     const { state, timer } = this.#options;
     const { takenOut } = state.read();
     if (takenOut.endpoints[vm.id] !== vm.incarnation) {
-      this.#takenOutAt.delete(vm.id);
+      this.#removedFromRoutingAt.delete(vm.id);
       return undefined;
     }
-    const known = this.#takenOutAt.get(vm.id);
+    const known = this.#removedFromRoutingAt.get(vm.id);
     if (known !== undefined) return known;
     // Taken out by another holder: counting from now never ends a wait too early.
-    this.#takenOutAt.set(vm.id, timer.now());
+    this.#removedFromRoutingAt.set(vm.id, timer.now());
     return timer.now();
   }
 
@@ -174,13 +175,13 @@
     onTakenOut(
       await takenOut.drain({ kind: "endpoint", id: endpointId, incarnation }),
     );
-    this.#takenOutAt.set(endpointId, timer.now());
+    this.#removedFromRoutingAt.set(endpointId, timer.now());
   }
 
   async #returnToRouting(endpointId: string): Promise<void> {
     const { takenOut, onTakenOut } = this.#options;
     onTakenOut(await takenOut.undrain({ kind: "endpoint", id: endpointId }));
-    this.#takenOutAt.delete(endpointId);
+    this.#removedFromRoutingAt.delete(endpointId);
   }
 
   async #sendOrder(
--- a/packages/kelpspar-daemon/src/orders/engine_group_controller_options.ts
+++ b/packages/kelpspar-daemon/src/orders/engine_group_controller_options.ts
@@ -21,7 +21,7 @@
   readonly state: StateStore<DaemonState>;
   readonly configuration: ConfigurationIndexReader;
   readonly parts: DecisionParts;
-  readonly watch: EndpointMonitor;
+  readonly endpointMonitor: EndpointMonitor;
   readonly endpoints: EndpointClient;
   readonly table: TableService;
   readonly weightStore: WeightStore;
--- a/packages/kelpspar-daemon/src/orders/start_engine_group_controllers.ts
+++ b/packages/kelpspar-daemon/src/orders/start_engine_group_controllers.ts
@@ -6,7 +6,7 @@
 const TICK_MILLISECONDS = 250;
 const CANDIDATE_COUNT = 3;
 
-/** Dependencies of the engine controller controllers. */
+/** Dependencies of the engine group controllers. */
 export interface EngineGroupControllersOptions
   extends Omit<EngineGroupControllerOptions, "service"> {
   readonly daemonId: string;
--- a/packages/kelpspar-daemon/src/scheduling/service_dispatcher.ts
+++ b/packages/kelpspar-daemon/src/scheduling/service_dispatcher.ts
@@ -42,7 +42,7 @@
 export class ServiceDispatcher {
   readonly #options: ServiceDispatcherOptions;
   #parked: WaitingCall[] = [];
-  readonly #pace = new SlotThroughput();
+  readonly #throughput = new SlotThroughput();
   #running = 0;
   #limit = 1;
 
@@ -73,7 +73,7 @@
 
   /** Cost that this daemon's slots process in a millisecond. */
   get concurrency(): number {
-    return this.#pace.effectiveConcurrency(this.#limit);
+    return this.#throughput.effectiveConcurrency(this.#limit);
   }
 
   /** True when a new call would have to wait. */
@@ -93,7 +93,7 @@
     readonly cost: number;
   }): void {
     this.#running--;
-    this.#pace.observe(call);
+    this.#throughput.observe(call);
     this.dispatch();
   }
 
--- a/packages/kelpspar-daemon/src/start_actors.ts
+++ b/packages/kelpspar-daemon/src/start_actors.ts
@@ -47,7 +47,7 @@
   });
   const stopEndpoints = startEndpointsActor({
     ...actorOptions,
-    watch: core.watch,
+    endpointMonitor: core.endpointMonitor,
     loadPollMilliseconds: intervals.loadPollMilliseconds,
   });
   const stopVmList = startVmListActor({
@@ -73,7 +73,7 @@
     state,
     configuration,
     parts: core.parts,
-    watch: core.watch,
+    endpointMonitor: core.endpointMonitor,
     takenOut: core.takenOut,
     onTakenOut: (takenOut) => applyNewerDrains(state, { takenOut }),
     liveDaemonIds: () => fleet.liveDaemonIds(),
--- a/packages/kelpspar-scenarios/src/world/daemon/world_daemon.ts
+++ b/packages/kelpspar-scenarios/src/world/daemon/world_daemon.ts
@@ -37,7 +37,7 @@
   readonly process: DaemonProcess;
   readonly ports: DaemonPorts;
   readonly core: DaemonCore;
-  readonly roles: DaemonActors;
+  readonly actors: DaemonActors;
   readonly handlers: PeerHandlers;
   readonly log = new CollectingLog();
   /** The revisions that became active here, in order. */
@@ -77,7 +77,7 @@
     );
     mutation.core?.(this.core);
     this.handlers = createPeerHandlers(this.core, changed);
-    this.roles = startActors({ settings, ports: changed, core: this.core });
+    this.actors = startActors({ settings, ports: changed, core: this.core });
   }
 
   get daemonId(): string {
@@ -106,7 +106,7 @@
   die(): void {
     this.process.die();
     this.#unregisterListener();
-    this.roles.stop();
+    this.actors.stop();
   }
 
   /** Shuts down gracefully, as on SIGTERM; resolves when the process ended. */
@@ -116,7 +116,7 @@
     await (mutation.drain ?? drainDaemon)({
       core: this.core,
       timer: this.process.timer,
-      announce: this.roles.announce,
+      announce: this.actors.announce,
       limitMilliseconds: settings.limits.drainLimitMilliseconds,
     });
     if (!this.isAlive) return;
--- a/packages/kelpspar-scenarios/src/world/operators/operators.ts
+++ b/packages/kelpspar-scenarios/src/world/operators/operators.ts
@@ -70,7 +70,7 @@
     readonly configuration: unknown;
   }): Promise<void> {
     const { change, configuration } = options;
-    const { roles } = daemon;
+    const { actors } = daemon;
     const applier = new ConfigurationApplier(daemon.ports);
     try {
       const row = await applier.apply({
@@ -79,7 +79,7 @@
         changeId: change.changeId,
         operator: "release",
       });
-      roles.offer(row);
+      actors.offer(row);
       this.#confirm(change, row.revision);
     } catch (thrown) {
       const error = toKelpsparError(thrown);
--- a/packages/kelpspar-scenarios/src/world/world_mutation.ts
+++ b/packages/kelpspar-scenarios/src/world/world_mutation.ts
@@ -4,7 +4,7 @@
 export interface WorldMutation {
   /** Replaces ports of every daemon. */
   readonly ports?: (ports: DaemonPorts) => DaemonPorts;
-  /** Modifies a core before its roles start. */
+  /** Modifies a core before its actors start. */
   readonly core?: (core: DaemonCore) => void;
   /** Callers omit the `resubmission` flag. */
   readonly dropsResubmission?: boolean;
