--- a/packages/kelpspar-standins/src/programs/soak_main.ts
+++ b/packages/kelpspar-standins/src/programs/soak_main.ts
@@ -67,13 +67,12 @@
       hasFaults: !options.isCalm,
       print: (line) => printText(`  ${line}`),
     });
-    const { submitted: requests, served, refused, violations: broken } =
-      verdict;
+    const { submitted, served, refused, violations } = verdict;
     printText(
-      `Seed ${seed}: ${requests} requests, ${served} served, ` +
-        `${refused} refused, ${broken.length} promises broken`,
+      `Seed ${seed}: ${submitted} requests, ${served} served, ` +
+        `${refused} refused, ${violations.length} promises broken`,
     );
-    for (const line of broken) printText(`  BROKEN ${line}`);
-    if (broken.length > 0) process.exitCode = EXIT_CHECK_FAILED;
+    for (const line of violations) printText(`  BROKEN ${line}`);
+    if (violations.length > 0) process.exitCode = EXIT_CHECK_FAILED;
   }
 }
