--- a/packages/kelpspar-daemon/src/__tests__/unit/stage_attempt_test.ts
+++ b/packages/kelpspar-daemon/src/__tests__/unit/stage_attempt_test.ts
@@ -3,7 +3,7 @@
 import { expect } from "earl";
 import fc from "fast-check";
 import { test } from "node:test";
-import { ConnectionWatch } from "kelpspar-decisions/routing";
+import { ConnectionMonitor } from "kelpspar-decisions/routing";
 import { ManualTimer, toKelpsparError } from "kelpspar-shared";
 import { runStageAttempt } from "../../requests/stage_attempt.ts";
 import { StageProgress } from "../../requests/stage_progress.ts";
@@ -50,7 +50,7 @@
       newConnection: false,
       progress: this.progress,
       timer: this.timer,
-      watch: new ConnectionWatch({
+      connectionMonitor: new ConnectionMonitor({
         effect: "none",
         isResumable: false,
         progressTimeoutMilliseconds: TIMEOUT_MILLISECONDS,
--- a/packages/kelpspar-daemon/src/requests/call_attempt.ts
+++ b/packages/kelpspar-daemon/src/requests/call_attempt.ts
@@ -9,7 +9,7 @@
 import type { StageServices } from "./stage_services.ts";
 import type { StageTask } from "./stage_task.ts";
 import { toKelpsparError } from "kelpspar-shared";
-import { ConnectionWatch } from "kelpspar-decisions/routing";
+import { ConnectionMonitor } from "kelpspar-decisions/routing";
 import { proofOf } from "./call_proof.ts";
 import { probeSilence } from "./probe_silence.ts";
 import { runStageAttempt } from "./stage_attempt.ts";
@@ -62,7 +62,7 @@
   let firstRecordAt: number | undefined;
   let lastRecordAt: number | undefined;
   let mayResume = true;
-  const watch = new ConnectionWatch({
+  const connectionMonitor = new ConnectionMonitor({
     effect: trace.once ? "once" : "none",
     isResumable: task.service.kind === "engine",
     progressTimeoutMilliseconds: task.service.progressTimeoutMilliseconds,
@@ -85,11 +85,14 @@
       newConnection: trace.once || plan.resumeAttemptId !== undefined,
       progress: plan.progress,
       timer,
-      watch,
+      connectionMonitor,
       p99GapMilliseconds: () =>
         services.recordGaps.p99(task.service.id, timer.now()),
       evaluateSilence: () =>
-        probeSilence(services, { watch, endpoint: plan.permit.endpoint }),
+        probeSilence(services, {
+          connectionMonitor,
+          endpoint: plan.permit.endpoint,
+        }),
       onSilent: (verdict) => {
         mayResume = verdict?.call === "resume_here";
       },
--- a/packages/kelpspar-daemon/src/requests/probe_silence.ts
+++ b/packages/kelpspar-daemon/src/requests/probe_silence.ts
@@ -1,5 +1,5 @@
 import type {
-  ConnectionWatch,
+  ConnectionMonitor,
   SilenceVerdict,
 } from "kelpspar-decisions/routing";
 import type { EndpointAddress, LoadReport } from "kelpspar-shared";
@@ -9,7 +9,7 @@
 
 /** A call without progress, and its endpoint. */
 export interface SilentCall {
-  readonly watch: ConnectionWatch;
+  readonly connectionMonitor: ConnectionMonitor;
   readonly endpoint: EndpointAddress;
 }
 
@@ -39,7 +39,7 @@
       direct: true,
     });
   }
-  const verdict = call.watch.evaluateProbe({
+  const verdict = call.connectionMonitor.evaluateProbe({
     answered: report !== undefined,
     isQueueing: (report?.waiting ?? 0) > 0,
     suspectedAt,
--- a/packages/kelpspar-daemon/src/requests/stage_attempt.ts
+++ b/packages/kelpspar-daemon/src/requests/stage_attempt.ts
@@ -11,7 +11,7 @@
 } from "kelpspar-shared";
 import type { ResultName } from "kelpspar-shared";
 import type {
-  ConnectionWatch,
+  ConnectionMonitor,
   SilenceVerdict,
 } from "kelpspar-decisions/routing";
 import type { EndpointClient } from "kelpspar-backends";
@@ -29,7 +29,7 @@
   readonly progress: StageProgress;
   readonly timer: TimerService;
   /** Decides when the call is suspect and what happens to it then. */
-  readonly watch: ConnectionWatch;
+  readonly connectionMonitor: ConnectionMonitor;
   /** The p99 gap between the service's records; undefined when unknown. */
   readonly p99GapMilliseconds: () => number | undefined;
   /** Probes the endpoint; undefined when the call may continue. */
@@ -126,7 +126,7 @@
       options.onForeignRecord(record);
       continue;
     }
-    options.watch.progressed(options.timer.now());
+    options.connectionMonitor.progressed(options.timer.now());
     options.onRecord?.();
     if (record.type === "failure") throw createFailureError(options, record);
     if (record.type === "end") follow.end = record;
@@ -184,7 +184,7 @@
   const check = (): void => {
     const now = timer.now();
     const dueAt = follow.endedAt === undefined
-      ? options.watch.suspectAt(options.p99GapMilliseconds())
+      ? options.connectionMonitor.suspectAt(options.p99GapMilliseconds())
       : follow.endedAt + STREAM_CLOSE_TIMEOUT_MILLISECONDS;
     if (now < dueAt) return schedule(dueAt - now);
     if (follow.endedAt !== undefined) return giveUp();
--- a/packages/kelpspar-decisions/src/__tests__/unit/routing_watch_test.ts
+++ b/packages/kelpspar-decisions/src/__tests__/unit/routing_watch_test.ts
@@ -1,7 +1,7 @@
 import type { SilenceProbe, ZonedNode } from "../../routing/mod.ts";
 import { test } from "node:test";
 import { expect } from "earl";
-import { assignWatches, ConnectionWatch } from "../../routing/mod.ts";
+import { assignWatches, ConnectionMonitor } from "../../routing/mod.ts";
 
 function createNodes(
   prefix: string,
@@ -77,20 +77,20 @@
   for (const effect of ["none", "once"] as const) {
     for (const isResumable of [true, false]) {
       for (const answered of [true, false]) {
-        const watch = new ConnectionWatch({
+        const monitor = new ConnectionMonitor({
           effect,
           isResumable,
           progressTimeoutMilliseconds: 2_000,
           startedAt: 1_000,
         });
-        expect(watch.suspectAt(10)).toEqual(3_000);
-        const verdict = watch.evaluateProbe(probe({ answered }));
+        expect(monitor.suspectAt(10)).toEqual(3_000);
+        const verdict = monitor.evaluateProbe(probe({ answered }));
         verdicts.push(`${verdict?.endpoint} ${verdict?.call}`);
-        watch.progressed(3_500);
-        expect(watch.evaluateProbe(probe())).toEqual(undefined);
+        monitor.progressed(3_500);
+        expect(monitor.evaluateProbe(probe())).toEqual(undefined);
         const streamTimeout = effect === "none" ? 250 : 2_000;
-        expect(watch.suspectAt(10)).toEqual(3_500 + streamTimeout);
-        expect(watch.suspectAt(9_000)).toEqual(5_500);
+        expect(monitor.suspectAt(10)).toEqual(3_500 + streamTimeout);
+        expect(monitor.suspectAt(9_000)).toEqual(5_500);
       }
     }
   }
@@ -109,14 +109,14 @@
 // Guards against doubling the load of an overloaded service: calls are queued
 // there for longer than the progress timeout and are sent again.
 test("a call that may be queued gets one more timeout, and only one", () => {
-  const watch = new ConnectionWatch({
+  const monitor = new ConnectionMonitor({
     effect: "none",
     isResumable: false,
     progressTimeoutMilliseconds: 2_000,
     startedAt: 1_000,
   });
-  expect(watch.evaluateProbe(probe({ isQueueing: true }))).toEqual(undefined);
-  expect(watch.suspectAt()).toEqual(5_000);
+  expect(monitor.evaluateProbe(probe({ isQueueing: true }))).toEqual(undefined);
+  expect(monitor.suspectAt()).toEqual(5_000);
   const later = probe({ isQueueing: true, suspectedAt: 5_000 });
-  expect(watch.evaluateProbe(later)?.call).toEqual("resend_elsewhere");
+  expect(monitor.evaluateProbe(later)?.call).toEqual("resend_elsewhere");
 });
--- a/packages/kelpspar-decisions/src/routing/connection_monitor.ts
+++ b/packages/kelpspar-decisions/src/routing/connection_monitor.ts
@@ -5,7 +5,7 @@
 export type StageEffect = "none" | "once";
 
 /** The call whose progress is monitored. */
-export interface ConnectionWatchOptions {
+export interface ConnectionMonitorOptions {
   readonly effect: StageEffect;
   /** True for engines, which keep an attempt alive and can stream it again. */
   readonly isResumable: boolean;
@@ -66,13 +66,13 @@
  *
  * Source: the brief, "What fails".
  */
-export class ConnectionWatch {
-  readonly #options: ConnectionWatchOptions;
+export class ConnectionMonitor {
+  readonly #options: ConnectionMonitorOptions;
   #progressAt: number;
   #hasRecords = false;
   #isExtended = false;
 
-  constructor(options: ConnectionWatchOptions) {
+  constructor(options: ConnectionMonitorOptions) {
     this.#options = options;
     this.#progressAt = options.startedAt;
   }
--- a/packages/kelpspar-decisions/src/routing/mod.ts
+++ b/packages/kelpspar-decisions/src/routing/mod.ts
@@ -9,7 +9,7 @@
   PrefixHolders,
 } from "./choose_options.ts";
 export type {
-  ConnectionWatchOptions,
+  ConnectionMonitorOptions,
   SilenceProbe,
   SilenceVerdict,
   StageEffect,
@@ -40,7 +40,7 @@
 } from "./watch_assignment.ts";
 export { AdaptiveLimit } from "./adaptive_limit.ts";
 export { chooseEndpoint } from "./choose_endpoint.ts";
-export { ConnectionWatch } from "./connection_monitor.ts";
+export { ConnectionMonitor } from "./connection_monitor.ts";
 export { DEFAULT_CHOICE_WEIGHTS } from "./choose_options.ts";
 export { EndpointRegistry } from "./endpoint_registry.ts";
 export { LeavingTracker } from "./leaving_tracker.ts";
