--- a/packages/kelpspar-daemon/src/orders/engine_group_controller.ts
+++ b/packages/kelpspar-daemon/src/orders/engine_group_controller.ts
@@ -108,7 +108,7 @@
   #toPlannedEngine(vm: ListedVm, desired: DesiredEngineState): PlannedEngine {
     const { endpointMonitor, parts } = this.#options;
     const known = endpointMonitor.reportOf(vm.id);
-    const takenOutAt = this.#trackTakenOut(vm);
+    const removedFromRoutingAt = this.#trackTakenOut(vm);
     const ordered = this.#lastOrders.get(vm.id);
     return {
       endpointId: vm.id,
@@ -118,7 +118,7 @@
         ? {}
         : { report: known.report, reportAt: known.at }),
       inFlight: parts.registry.entryOf(vm.id)?.load.inFlight ?? 0,
-      ...(takenOutAt === undefined ? {} : { removedFromRoutingAt: takenOutAt }),
+      ...(removedFromRoutingAt === undefined ? {} : { removedFromRoutingAt }),
       ...(ordered === undefined ? {} : { lastOrder: ordered }),
     };
   }
