--- a/packages/kelpspar-standins/src/programs/soak_main.ts
+++ b/packages/kelpspar-standins/src/programs/soak_main.ts
@@ -67,9 +67,9 @@
       hasFaults: !options.isCalm,
       print: (line) => printText(`  ${line}`),
     });
-    const { submitted, served, refused, violations } = verdict;
+    const { submitted: requests, served, refused, violations } = verdict;
     printText(
-      `Seed ${seed}: ${submitted} requests, ${served} served, ` +
+      `Seed ${seed}: ${requests} requests, ${served} served, ` +
         `${refused} refused, ${violations.length} promises broken`,
     );
     for (const line of violations) printText(`  BROKEN ${line}`);
