--- a/packages/kelpspar-decisions/src/__tests__/unit/fairness_shares_test.ts
+++ b/packages/kelpspar-decisions/src/__tests__/unit/fairness_shares_test.ts
@@ -17,8 +17,8 @@
 }
 
 /**
- * Serves calls for a fixed duration. `spread` is the change of the lead of a
- * over c, in service by weight, while both waited; `delay` is how much later an
+ * Serves calls for a fixed duration. `spread` is the change of the lead of `a`
+ * over `c`, in service by weight, while both waited; `delay` is how much later an
  * account's call started than it would on dedicated slots of the size of its
  * share.
  */
--- a/packages/kelpspar-standins/src/table/in_memory_table.ts
+++ b/packages/kelpspar-standins/src/table/in_memory_table.ts
@@ -29,7 +29,7 @@
 /**
  * The table service in memory, for tests without HTTP. It throws the same errors
  * as `HttpTableService`: `table_unavailable` when nothing was written,
- * `write_unknown` when the response to a write was lostResult, and `platform_refused`
+ * `write_unknown` when the response to a write was lost, and `platform_refused`
  * for an invalid transaction.
  */
 export class InMemoryTable implements TableService {
